--- a/src/controller/admission/capacity.ts
+++ b/src/controller/admission/capacity.ts
@@ -1,64 +1,74 @@
 import { isBackgroundWork } from "./queue.js";
-import { countUsableSlots, measureUseAbove } from "./slots.js";
+import { countUsableSlots, computeHigherClassShare } from "./slots.js";
 import { listValues } from "./tree.js";
 import type { Admission, AdmissionRequest, TargetSlots } from "./types.js";
 
-/** What some targets have for one class. Infinity stands for never. */
+/**
+ * The rate at which a set of targets can start requests of one priority class. An interval of
+ * Infinity means that nothing is ever started.
+ */
 export interface Capacity {
-  /** Milliseconds between two starts by what more important classes leave. */
-  readonly leftEveryMs: number;
-  /** The share of the slots that they leave. */
-  readonly leftShare: number;
-  /** Milliseconds between two starts by the guaranteed share alone. */
-  readonly owedEveryMs: number;
-  readonly owedShare: number;
+  /** Mean time between two starts out of the capacity that more important classes leave unused. */
+  readonly residualIntervalMs: number;
+  /** The share of the slots that more important classes leave unused, 0 to 1. */
+  readonly residualShare: number;
+  /** Mean time between two starts out of the class's guaranteed share alone. */
+  readonly guaranteedIntervalMs: number;
+  readonly guaranteedShare: number;
+  /** The longest mean service time among the targets. */
   readonly serviceMs: number;
-  /** When slots come back, where there are none now or stalled statements hold all of them. */
-  readonly backInMs: number | undefined;
+  /**
+   * The time until slots are expected. Set only while no slot is usable, because there are none or
+   * stalled statements hold all of them, and a time is known.
+   */
+  readonly slotsExpectedInMs: number | undefined;
 }
 
 /**
- * A statement that holds its slot this many times the usual time no longer counts as about to end; it
- * is expected to last as long again.
+ * A statement that has held its slot for this many mean service times is no longer expected to end
+ * soon, but to hold the slot for as long again.
  */
-const stalledFactor = 20;
-const stalledAfterMs = 1000;
-const smallestShare = 1e-6;
+const stalledServiceTimes = 20;
+const minStalledMs = 1000;
+const minResidualShare = 1e-6;
 
-/** Measures what the targets of a request have for its class. */
-export function measureCapacity(
+/** Estimates the capacity that a request's candidate targets have for its priority class. */
+export function estimateCapacity(
   admission: Admission,
-  question: Pick<AdmissionRequest, "plan" | "priority" | "candidates">,
+  request: Pick<AdmissionRequest, "plan" | "priority" | "candidates">,
   at: number,
 ): Capacity {
-  const { priority, candidates } = question;
+  const { priority, candidates } = request;
   const stalled = countStalled(admission, at);
-  let all = 0;
-  let left = 0;
+  let totalRate = 0;
+  let residualRate = 0;
   let serviceMs = 0;
-  let backAt = Infinity;
+  let slotsExpectedAt = Infinity;
   for (const target of listTargets(admission, candidates)) {
     serviceMs = Math.max(serviceMs, target.serviceMs);
-    if (target.slots === 0) backAt = Math.min(backAt, target.backAt ?? Infinity);
-    const usable = countUsableSlots(target, isBackgroundWork(question));
-    const held = stalled.get(target.target);
-    const rate = Math.max(0, usable - (held?.count ?? 0)) / target.serviceMs;
-    if (rate === 0 && held !== undefined) backAt = Math.min(backAt, at + held.shortestMs);
-    all += rate;
-    left += rate * (1 - measureUseAbove(target, priority, at));
+    if (target.slots === 0)
+      slotsExpectedAt = Math.min(slotsExpectedAt, target.slotsExpectedAt ?? Infinity);
+    const usable = countUsableSlots(target, isBackgroundWork(request));
+    const stalledHere = stalled.get(target.target);
+    const rate = Math.max(0, usable - (stalledHere?.count ?? 0)) / target.serviceMs;
+    if (rate === 0 && stalledHere !== undefined)
+      slotsExpectedAt = Math.min(slotsExpectedAt, at + stalledHere.shortestMs);
+    totalRate += rate;
+    residualRate += rate * (1 - computeHigherClassShare(target, priority, at));
   }
-  const owedShare = admission.settings.guaranteedShare[priority];
+  const guaranteedShare = admission.settings.guaranteedShare[priority];
   return {
-    leftEveryMs: 1 / left,
-    leftShare: Math.max(smallestShare, left / all || 0),
-    owedEveryMs: 1 / (all * owedShare),
-    owedShare,
+    residualIntervalMs: 1 / residualRate,
+    residualShare: Math.max(minResidualShare, residualRate / totalRate || 0),
+    guaranteedIntervalMs: 1 / (totalRate * guaranteedShare),
+    guaranteedShare,
     serviceMs,
-    backInMs: all === 0 && backAt < Infinity ? Math.max(0, backAt - at) : undefined,
+    slotsExpectedInMs:
+      totalRate === 0 && slotsExpectedAt < Infinity ? Math.max(0, slotsExpectedAt - at) : undefined,
   };
 }
 
-/** The known ones of some targets. */
+/** Looks up targets by name and skips the unknown ones. */
 export function listTargets(
   admission: Admission,
   names: readonly string[],
@@ -66,10 +76,12 @@
   return names.flatMap((name) => admission.targets[name] ?? []);
 }
 
-/** The slots of a target that statements hold for unusually long. */
+/**
+ * The slots of one target that are held by stalled statements, which exceed the usual time by far.
+ */
 interface Stalled {
   readonly count: number;
-  /** How long the newest of them has held its slot. */
+  /** How long the most recently started of them has held its slot. */
   readonly shortestMs: number;
 }
 
@@ -78,7 +90,7 @@
   for (const { target, startedAt } of listValues(admission.running)) {
     const serviceMs = admission.targets[target]?.serviceMs ?? 0;
     const heldMs = at - startedAt;
-    if (heldMs <= Math.max(stalledAfterMs, stalledFactor * serviceMs)) continue;
+    if (heldMs <= Math.max(minStalledMs, stalledServiceTimes * serviceMs)) continue;
     const { count, shortestMs } = stalled.get(target) ?? { count: 0, shortestMs: Infinity };
     stalled.set(target, { count: count + 1, shortestMs: Math.min(shortestMs, heldMs) });
   }
--- a/src/controller/admission/slots.ts
+++ b/src/controller/admission/slots.ts
@@ -1,83 +1,98 @@
 import { priorities, type Priority } from "../../model/index.js";
-import type { Running, TargetSlots } from "./types.js";
+import type { RunningRequest, TargetSlots } from "./types.js";
 
-const serviceWeight = 0.05;
-/** The span over which the use of slots by each class is averaged. */
-const usedSpanMs = 1000;
+/** The weight of the newest sample in the moving average of service times. */
+const serviceTimeWeight = 0.05;
+/** The time constant of the exponential decay of the slot time used by each class. */
+const usageTimeConstantMs = 1000;
 
-const nothingUsed: Readonly<Record<Priority, number>> = {
+const noUsage: Readonly<Record<Priority, number>> = {
   critical: 0,
   normal: 0,
   browsing: 0,
   trial: 0,
 };
 
-/** A target of which nothing is known yet. */
-export function makeTarget(target: string, serviceMs: number, at: number): TargetSlots {
+/** A target without slots, whose service time has not been measured yet. */
+export function createTargetSlots(target: string, serviceMs: number, at: number): TargetSlots {
   return {
     target,
     role: "replica",
     slots: 0,
-    backAt: undefined,
+    slotsExpectedAt: undefined,
     running: 0,
     runningBackground: 0,
     serviceMs,
-    used: nothingUsed,
-    usedAt: at,
+    usageMs: noUsage,
+    usageAt: at,
   };
 }
 
-/** The slots that a kind of work may hold at once: background work leaves one of a primary's free. */
+/**
+ * The number of slots that a kind of work may hold at the same time. Background work leaves one
+ * slot free on a primary that has two or more.
+ */
 export function countUsableSlots(target: TargetSlots, isBackground: boolean): number {
   return isBackground && target.role === "primary" && target.slots >= 2
     ? target.slots - 1
     : target.slots;
 }
 
-/** Whether a target has a slot for any work. */
+/** Whether a target has a slot that work of any kind may take. */
 export function hasFreeSlot(target: TargetSlots): boolean {
   return target.running < target.slots;
 }
 
 /**
- * Whether a target has a slot for trial or browsing work. Were it in every slot of the primary, paying
- * writes would wait for the first of it to end; with one slot kept clear a write always has a slot that
- * only other important work can hold.
+ * Whether a target has a slot for background work. If background work could hold every slot of a
+ * primary, the writes of paying teams would wait until one of its statements ends. One reserved
+ * slot suffices, because only more important work can hold it.
  */
 export function canRunBackground(target: TargetSlots): boolean {
   return hasFreeSlot(target) && target.runningBackground < countUsableSlots(target, true);
 }
 
-/** A target with one more statement. */
+/** Counts one more running statement on a target. */
 export function takeSlot(target: TargetSlots, isBackground: boolean): TargetSlots {
   const runningBackground = target.runningBackground + (isBackground ? 1 : 0);
   return { ...target, running: target.running + 1, runningBackground };
 }
 
-/** A target after a statement has left its slot, with what its time there tells. */
-export function releaseSlot(target: TargetSlots, running: Running, at: number): TargetSlots {
+/**
+ * Counts one running statement less, and updates the mean service time and the slot time used by
+ * its class.
+ */
+export function releaseSlot(target: TargetSlots, running: RunningRequest, at: number): TargetSlots {
   const heldMs = Math.max(0, at - running.startedAt);
-  const used = decayUse(target, at);
+  const usageMs = decayUsage(target, at);
   return {
     ...target,
     running: target.running - 1,
     runningBackground: target.runningBackground - (running.isBackground ? 1 : 0),
-    serviceMs: target.serviceMs + serviceWeight * (heldMs - target.serviceMs),
-    used: { ...used, [running.priority]: used[running.priority] + heldMs },
-    usedAt: at,
+    serviceMs: target.serviceMs + serviceTimeWeight * (heldMs - target.serviceMs),
+    usageMs: { ...usageMs, [running.priority]: usageMs[running.priority] + heldMs },
+    usageAt: at,
   };
 }
 
-/** The share of a target's slot time that classes more important than `priority` use, 0 to 1. */
-export function measureUseAbove(target: TargetSlots, priority: Priority, at: number): number {
+/**
+ * The share of a target's slot time used by classes that are more important than `priority`, 0 to
+ * 1.
+ */
+export function computeHigherClassShare(
+  target: TargetSlots,
+  priority: Priority,
+  at: number,
+): number {
   const above = priorities.slice(0, priorities.indexOf(priority));
-  const used = above.reduce((sum, p) => sum + target.used[p], 0) * findDecay(target, at);
-  return Math.min(1, used / (usedSpanMs * Math.max(1, target.slots)));
+  const usedMs =
+    above.reduce((sum, p) => sum + target.usageMs[p], 0) * computeDecayFactor(target, at);
+  return Math.min(1, usedMs / (usageTimeConstantMs * Math.max(1, target.slots)));
 }
 
-function decayUse(target: TargetSlots, at: number): Readonly<Record<Priority, number>> {
-  const factor = findDecay(target, at);
-  const { critical, normal, browsing, trial } = target.used;
+function decayUsage(target: TargetSlots, at: number): Readonly<Record<Priority, number>> {
+  const factor = computeDecayFactor(target, at);
+  const { critical, normal, browsing, trial } = target.usageMs;
   return {
     critical: critical * factor,
     normal: normal * factor,
@@ -86,6 +101,6 @@
   };
 }
 
-function findDecay(target: TargetSlots, at: number): number {
-  return Math.exp(-Math.max(0, at - target.usedAt) / usedSpanMs);
+function computeDecayFactor(target: TargetSlots, at: number): number {
+  return Math.exp(-Math.max(0, at - target.usageAt) / usageTimeConstantMs);
 }
--- a/src/controller/admission/wait.ts
+++ b/src/controller/admission/wait.ts
@@ -1,126 +1,160 @@
 import { priorities, type Plan, type Priority } from "../../model/index.js";
-import { measureCapacity, type Capacity } from "./capacity.js";
+import { estimateCapacity, type Capacity } from "./capacity.js";
 import { isBackgroundWork } from "./queue.js";
 import { canRunBackground, hasFreeSlot } from "./slots.js";
 import { listValues } from "./tree.js";
-import { findOverlap, foreseeTurns } from "./turns.js";
+import { computeOverlap, predictServiceOrder } from "./order.js";
 import type { Admission } from "./types.js";
 
-/** What decides how long a request would wait. */
-export interface WaitQuestion {
+/** The attributes of a request that determine how long it would wait. */
+export interface RequestProfile {
   readonly team: string;
   readonly plan: Plan;
   readonly priority: Priority;
   readonly candidates: readonly string[];
 }
 
-/** How long a request would wait, and how fast its class is served. */
+/** The estimated wait of a request, and the rate at which its class is served. */
 export interface WaitEstimate {
-  /** Infinity when none of its targets has slots and none is expected back. */
+  /** The mean wait. Infinity when none of the candidates has slots and none is expected to. */
   readonly waitMs: number;
   /** The standard deviation of the wait. */
-  readonly spreadMs: number;
-  /** Milliseconds between two starts that its class gets on these targets. */
-  readonly startEveryMs: number;
+  readonly deviationMs: number;
+  /** Mean time between two starts of its class on the candidates. */
+  readonly startIntervalMs: number;
   readonly serviceMs: number;
 }
 
-const carefulSpreads = 2;
+/** Standard deviations that a pessimistic wait adds to the mean. */
+const pessimisticDeviations = 2;
 
-/** Estimates the wait of a request that would arrive now. */
-export function measureWait(
+/** Estimates the wait of a request that arrives now. */
+export function estimateWait(
   admission: Admission,
-  question: WaitQuestion,
+  request: RequestProfile,
   at: number,
 ): WaitEstimate {
-  const isFree = question.candidates.some((name) => canStartOn(admission, question, name));
+  const isFree = request.candidates.some((name) => canStartOn(admission, request, name));
   if (isFree) {
-    const { leftEveryMs, serviceMs } = measureCapacity(admission, question, at);
-    return { waitMs: 0, spreadMs: 0, startEveryMs: leftEveryMs, serviceMs };
+    const { residualIntervalMs, serviceMs } = estimateCapacity(admission, request, at);
+    return { waitMs: 0, deviationMs: 0, startIntervalMs: residualIntervalMs, serviceMs };
   }
-  const line = measureLine(admission, question, at);
-  return line.estimate(question.team, line.findPlace(question.team) + 1);
+  const estimator = createWaitEstimator(admission, request, at);
+  return estimator.estimate(request.team, estimator.countWaiting(request.team) + 1);
 }
 
-/** The line before some targets for one class. */
-export interface Line {
-  /** How many requests of a team stand in it. */
-  readonly findPlace: (team: string) => number;
-  /** Estimates the wait of the `place`-th request of a team. */
-  readonly estimate: (team: string, place: number) => WaitEstimate;
+/** Estimates waits in one priority class for one set of candidates. */
+export interface WaitEstimator {
+  /**
+   * The number of a team's waiting requests, each weighted by the share of its candidates in the
+   * set.
+   */
+  readonly countWaiting: (team: string) => number;
+  /** Estimates the wait of the `position`-th request of a team. */
+  readonly estimate: (team: string, position: number) => WaitEstimate;
 }
 
-/** Measures the line that a request's class forms before its targets, for many questions. */
-export function measureLine(admission: Admission, question: WaitQuestion, at: number): Line {
-  const capacity = measureCapacity(admission, question, at);
-  const queue = admission.classes[question.priority];
-  const turns = foreseeTurns(queue, question.candidates, capacity.serviceMs);
-  const above = countAbove(admission, question);
+/**
+ * Creates an estimator for the class and candidates of a request. Its fixed cost is shared by all
+ * estimates that it makes.
+ */
+export function createWaitEstimator(
+  admission: Admission,
+  request: RequestProfile,
+  at: number,
+): WaitEstimator {
+  const capacity = estimateCapacity(admission, request, at);
+  const queue = admission.classes[request.priority];
+  const order = predictServiceOrder(queue, request.candidates, capacity.serviceMs);
+  const higherClassCount = countHigherClassRequests(admission, request);
   return {
-    findPlace: turns.findPlace,
-    estimate: (team, place) => {
-      const { backInMs, serviceMs } = capacity;
-      if (backInMs !== undefined) {
-        return { waitMs: backInMs, spreadMs: 0, startEveryMs: capacity.leftEveryMs, serviceMs };
+    countWaiting: order.countWaiting,
+    estimate: (team, position) => {
+      const { slotsExpectedInMs, serviceMs } = capacity;
+      if (slotsExpectedInMs !== undefined) {
+        return {
+          waitMs: slotsExpectedInMs,
+          deviationMs: 0,
+          startIntervalMs: capacity.residualIntervalMs,
+          serviceMs,
+        };
       }
-      const own = turns.countUntil(team, place);
-      return pickSooner(foreseeLeft(capacity, above + own), foreseeOwed(capacity, own));
+      const ownClassCount = order.countServedUntil(team, position);
+      return pickShorterWait(
+        estimateResidualWait(capacity, higherClassCount + ownClassCount),
+        estimateGuaranteedWait(capacity, ownClassCount),
+      );
     },
   };
 }
 
-/** A wait by what more important classes leave. Their bursts make it vary the more they use. */
-function foreseeLeft({ leftEveryMs, leftShare, serviceMs }: Capacity, ahead: number): WaitEstimate {
-  const burstiness = Math.sqrt((2 - leftShare) / leftShare);
+/**
+ * The wait for capacity that more important classes leave unused. It varies the more, the more they
+ * use, because their requests come in bursts.
+ */
+function estimateResidualWait(
+  { residualIntervalMs, residualShare, serviceMs }: Capacity,
+  countAhead: number,
+): WaitEstimate {
+  const burstiness = Math.sqrt((2 - residualShare) / residualShare);
   return {
-    waitMs: ahead * leftEveryMs,
-    spreadMs: Math.sqrt(ahead) * leftEveryMs * burstiness,
-    startEveryMs: leftEveryMs,
+    waitMs: countAhead * residualIntervalMs,
+    deviationMs: Math.sqrt(countAhead) * residualIntervalMs * burstiness,
+    startIntervalMs: residualIntervalMs,
     serviceMs,
   };
 }
 
 /**
- * A wait by the guaranteed share alone, whoever else waits. Each start of the class comes after many
- * of others, so that it varies little. Without it a class beside a flood of a more important one
- * would be refused for the wait behind that flood, and never use its share.
+ * The wait for the guaranteed share of the class alone, whatever the load of the other classes. It
+ * varies little, since each start of the class follows many starts of others. Without this estimate
+ * a class would be refused for the long wait behind a flood of more important requests, and would
+ * never use its guaranteed share.
  */
-function foreseeOwed({ owedEveryMs, owedShare, serviceMs }: Capacity, ahead: number): WaitEstimate {
+function estimateGuaranteedWait(
+  { guaranteedIntervalMs, guaranteedShare, serviceMs }: Capacity,
+  countAhead: number,
+): WaitEstimate {
   return {
-    waitMs: ahead * owedEveryMs,
-    spreadMs: Math.sqrt(ahead * owedShare) * owedEveryMs,
-    startEveryMs: owedEveryMs,
+    waitMs: countAhead * guaranteedIntervalMs,
+    deviationMs: Math.sqrt(countAhead * guaranteedShare) * guaranteedIntervalMs,
+    startIntervalMs: guaranteedIntervalMs,
     serviceMs,
   };
 }
 
-function pickSooner(a: WaitEstimate, b: WaitEstimate): WaitEstimate {
-  return findCarefulWait(a) <= findCarefulWait(b) ? a : b;
+function pickShorterWait(a: WaitEstimate, b: WaitEstimate): WaitEstimate {
+  return computePessimisticWaitMs(a) <= computePessimisticWaitMs(b) ? a : b;
 }
 
-/** The wait that one in some forty is longer than. */
-export function findCarefulWait({ waitMs, spreadMs }: WaitEstimate): number {
-  return waitMs === Infinity ? Infinity : waitMs + carefulSpreads * spreadMs;
+/** A wait that about one request in forty exceeds: the mean plus two standard deviations. */
+export function computePessimisticWaitMs({ waitMs, deviationMs }: WaitEstimate): number {
+  return waitMs === Infinity ? Infinity : waitMs + pessimisticDeviations * deviationMs;
 }
 
-/** Whether a target has a slot for a request, whoever else waits. */
+/**
+ * Whether a target has a free slot that a request may take, regardless of other waiting requests.
+ */
 export function canStartOn(
   admission: Admission,
-  question: { readonly plan: Plan; readonly priority: Priority },
+  request: { readonly plan: Plan; readonly priority: Priority },
   name: string,
 ): boolean {
   const target = admission.targets[name];
   if (target === undefined) return false;
-  return isBackgroundWork(question) ? canRunBackground(target) : hasFreeSlot(target);
+  return isBackgroundWork(request) ? canRunBackground(target) : hasFreeSlot(target);
 }
 
-/** Requests of more important classes that some targets serve first. */
-function countAbove(admission: Admission, question: WaitQuestion): number {
-  const above = priorities.slice(0, priorities.indexOf(question.priority));
+/**
+ * Counts the waiting requests of more important classes, each weighted by the share of its
+ * candidates that the request has too.
+ */
+function countHigherClassRequests(admission: Admission, request: RequestProfile): number {
+  const higherClasses = priorities.slice(0, priorities.indexOf(request.priority));
   let count = 0;
-  for (const priority of above) {
-    for (const set of listValues(admission.classes[priority].sets)) {
-      count += set.count * findOverlap(set.candidates, question.candidates);
+  for (const priority of higherClasses) {
+    for (const set of listValues(admission.classes[priority].candidateSets)) {
+      count += set.count * computeOverlap(set.candidates, request.candidates);
     }
   }
   return count;
--- a/src/controller/connections/pool.ts
+++ b/src/controller/connections/pool.ts
@@ -1,73 +1,77 @@
 import type { Connection, ConnectionEffect, ConnectionSettings, Pool, Waiter } from "./types.js";
 
-/** A state on its way through a step, with the effects so far. */
+/** The pool within a step, with the effects so far. */
 export interface Draft {
   readonly pool: Pool;
   readonly effects: readonly ConnectionEffect[];
 }
 
-/** What holds unless an owner sets something else. */
-export const defaultConnectionSettings: Omit<ConnectionSettings, "limit" | "largestShare"> = {
+/** The defaults of the connection settings. */
+export const defaultConnectionSettings: Omit<ConnectionSettings, "limit" | "maxShare"> = {
   controlReserve: 2,
-  openingAtOnce: 2,
+  maxOpening: 2,
   openTimeoutMs: 1000,
   progressTimeoutMs: 10_000,
-  suspicionMs: 1000,
+  abandonedSilenceMs: 1000,
   checkAfterIdleMs: 15_000,
   checkTimeoutMs: 250,
-  keptIdle: 5,
-  idleCloseMs: 30_000,
+  minIdle: 5,
+  idleTimeoutMs: 30_000,
   lingerMs: 1000,
-  growEveryMs: 250,
+  growIntervalMs: 250,
   growAfterMs: 0,
-  fullMs: 500,
+  growPauseWhenFullMs: 500,
   growNotBefore: 0,
   firstBackoffMs: 100,
   longestBackoffMs: 5000,
 };
 
 /**
- * A pool without connections; the first `ask` opens one. It starts with the share that no predecessor
- * can hold: a dead owner's connections may count at the target for as long as a TCP timeout.
+ * Creates a pool without connections; the first `ask` opens one. It starts with the share that no
+ * predecessor can hold, because the connections of a dead owner may count at the target for as long
+ * as a TCP timeout.
  */
 export function createPool(
   settings: Partial<ConnectionSettings> & Pick<ConnectionSettings, "limit">,
 ): Pool {
   const known = { ...defaultConnectionSettings, ...settings };
-  const { largestShare, share } = divideLimit(known.limit - known.controlReserve, settings);
+  const { maxShare, share } = computeShares(known.limit - known.controlReserve, settings);
   return {
-    settings: { ...known, largestShare },
+    settings: { ...known, maxShare },
     connections: {},
     waiters: [],
     nextId: 1,
     share,
-    growAt: known.growNotBefore,
-    firstShare: share,
-    openNotBefore: 0,
+    nextGrowthAt: known.growNotBefore,
+    initialShare: share,
+    nextOpenAt: 0,
     backoffMs: known.firstBackoffMs,
     lastFailure: undefined,
     isDraining: false,
   };
 }
 
-/** The largest share of the free connections, and the one to begin with. */
-function divideLimit(free: number, settings: { readonly largestShare?: number }) {
-  const largestShare = Math.max(1, Math.min(free, settings.largestShare ?? Math.floor(free / 2)));
-  return { largestShare, share: Math.max(1, Math.min(largestShare, free - largestShare)) };
+/** Computes the maximum share of the free connections, and the initial one. */
+function computeShares(free: number, settings: { readonly maxShare?: number }) {
+  const maxShare = Math.max(1, Math.min(free, settings.maxShare ?? Math.floor(free / 2)));
+  return { maxShare, share: Math.max(1, Math.min(maxShare, free - maxShare)) };
 }
 
-/** The pool with another limit and largest share. What is open beyond them closes as it comes free. */
-export function resizePool(pool: Pool, limit: number, largestShare: number): Pool {
-  const divided = divideLimit(limit - pool.settings.controlReserve, { largestShare });
+/**
+ * Changes the limit and the maximum share of a pool. Connections beyond them are closed as they
+ * become idle.
+ */
+export function resizePool(pool: Pool, limit: number, maxShare: number): Pool {
+  const divided = computeShares(limit - pool.settings.controlReserve, { maxShare });
   return {
     ...pool,
-    settings: { ...pool.settings, limit, largestShare: divided.largestShare },
-    firstShare: divided.share,
-    share: Math.max(divided.share, Math.min(pool.share, divided.largestShare)),
+    settings: { ...pool.settings, limit, maxShare: divided.maxShare },
+    initialShare: divided.share,
+    share: Math.max(divided.share, Math.min(pool.share, divided.maxShare)),
   };
 }
 
-/** The connections of one kind, in the order in which they were opened. */
+/** The connections in one state, in the order in which they were opened. */
 export function listConnections<T extends Connection["type"]>(
   pool: Pool,
   type: T,
@@ -77,14 +81,17 @@
   );
 }
 
-/** Waiters for whom no connection of their team is on its way in one of these states, in their order. */
-export function listUnmet(
+/**
+ * The waiters, in their order, for whom no connection of their team is pending in one of the given
+ * states.
+ */
+export function listUnservedWaiters(
   pool: Pool,
-  coming: readonly ("opening" | "suspect")[],
+  pendingTypes: readonly ("opening" | "suspect")[],
 ): readonly Waiter[] {
   if (pool.waiters.length === 0) return pool.waiters;
   const counts = new Map<string, number>();
-  for (const { team } of coming.flatMap((type) => listConnections(pool, type))) {
+  for (const { team } of pendingTypes.flatMap((type) => listConnections(pool, type))) {
     counts.set(team, (counts.get(team) ?? 0) + 1);
   }
   return pool.waiters.filter(({ team }) => {
@@ -94,39 +101,45 @@
   });
 }
 
-/** The connections that the target may count against its limit. */
-export function countHeld(pool: Pool): number {
+/**
+ * The number of connections that the target may count against its limit, which includes recently
+ * closed ones.
+ */
+export function countAgainstLimit(pool: Pool): number {
   return Object.keys(pool.connections).length;
 }
 
-/** The connections that are not closed. */
+/** The number of connections that are not closed, which includes those being opened. */
 export function countLive(pool: Pool): number {
-  return countHeld(pool) - listConnections(pool, "closed").length;
+  return countAgainstLimit(pool) - listConnections(pool, "closed").length;
 }
 
-/** The draft with a connection in a new state. */
+/** Adds a connection, or replaces its state. */
 export function putConnection(draft: Draft, connection: Connection): Draft {
   const connections = { ...draft.pool.connections, [connection.id]: connection };
   return { ...draft, pool: { ...draft.pool, connections } };
 }
 
-/** The draft without a connection. */
+/** Removes a connection. An unknown id is ignored. */
 export function removeConnection(draft: Draft, id: string): Draft {
   const { [id]: removed, ...connections } = draft.pool.connections;
   return removed === undefined ? draft : { ...draft, pool: { ...draft.pool, connections } };
 }
 
-/** The draft with one more effect. */
+/** Appends an effect. */
 export function addEffect(draft: Draft, effect: ConnectionEffect): Draft {
   return { ...draft, effects: [...draft.effects, effect] };
 }
 
-/** The draft with something changed that is no connection. */
-export function withPool(draft: Draft, change: Partial<Pool>): Draft {
+/** Changes fields of the pool other than its connections. */
+export function updatePool(draft: Draft, change: Partial<Pool>): Draft {
   return { ...draft, pool: { ...draft.pool, ...change } };
 }
 
-/** Closes a connection; it counts until it is gone or its time to linger is over. */
+/**
+ * Closes a connection. It counts against the share until it is known to be gone or `lingerMs` has
+ * passed.
+ */
 export function closeConnection(
   draft: Draft,
   id: string,
--- a/test/admission/builders.ts
+++ b/test/admission/builders.ts
@@ -9,7 +9,7 @@
 } from "../../src/controller/admission/index.js";
 import { priorities } from "../../src/model/index.js";
 
-export const strict: Partial<AdmissionSettings> = {
+export const strictPriority: Partial<AdmissionSettings> = {
   guaranteedShare: { critical: 1, normal: 0, browsing: 0, trial: 0 },
 };
 
@@ -24,8 +24,8 @@
   ...rest,
 });
 
-/** A group under test: applies events and keeps what came of them. */
-export class Bench {
+/** Applies events to the admission queue of one group and collects the effects. */
+export class AdmissionHarness {
   admission: Admission;
   at = 0;
   readonly effects: AdmissionEffect[] = [];
@@ -52,7 +52,10 @@
     return this.apply({ type: "finish", at: this.at, id });
   }
 
-  /** Finishes whatever was started, `count` times, and gives the ids in the order of their starts. */
+  /**
+   * Finishes the running request `count` times, and returns the ids of the started requests in
+   * order.
+   */
   serve(count: number, whenStarted: (id: string) => void = () => undefined): readonly string[] {
     const order: string[] = [];
     let running = this.effects.flatMap((e) => (e.type === "start" ? e.id : [])).at(-1);
