--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -141,8 +141,8 @@
     invariant: "Connections to targets come free",
     safeguard: "a transaction that began for nobody is rolled back",
     file: "src/direct/transaction.ts",
-    find: "    if (context.gone.aborted) {",
-    put: "    if (context.gone.aborted && !context.gone.aborted) {",
+    find: "    if (context.disconnectSignal.aborted) {",
+    put: "    if (context.disconnectSignal.aborted && !context.disconnectSignal.aborted) {",
     tests: "test/gateway/hop",
   },
   {
--- a/src/direct/attempt.ts
+++ b/src/direct/attempt.ts
@@ -1,41 +1,46 @@
 import type { Mark } from "../model/index.js";
 import type { CommandResult, ErrorCode, TargetCommand } from "../statement/index.js";
-import type { ReadNeed, SessionContext } from "./context.js";
-import { placeStatement, type Place, type Placed, type PlaceRequest } from "./place.js";
+import type { ReadRequirement, SessionContext } from "./context.js";
+import {
+  placeStatement,
+  type PlacedConnection,
+  type PlacementResult,
+  type PlacementRequest,
+} from "./placement.js";
 
 /**
  * From this time without an answer on a primary counts as silent and is looked after, in milliseconds:
  * longer than most statements take, 14 to 55 ms on average. Statements run out of their time one after the
  * other on few connections: a dark primary would be suspected seconds later.
  */
-const silenceMs = 150;
+const silenceThresholdMs = 150;
 
 /** Finds a target for one try of a session's statement or transaction, and takes a connection to it. */
 export function placeAttempt(
-  { ports, group, database, team, nextId, gone }: SessionContext,
-  need: ReadNeed,
-  limits: Pick<PlaceRequest, "excluded" | "deadlineAt">,
-): Promise<Placed> {
+  { ports, group, database, team, nextId, disconnectSignal: gone }: SessionContext,
+  need: ReadRequirement,
+  limits: Pick<PlacementRequest, "excluded" | "deadlineAt">,
+): Promise<PlacementResult> {
   return placeStatement(ports, group, {
     ...limits,
     id: nextId(),
     database,
     team: team?.name ?? "",
     needsPrimary: need.type === "primary",
-    hasMark: need.type === "replica",
+    hasRequiredMark: need.type === "replica",
     isBackground: database.action.priority === "browsing",
     signal: gone,
   });
 }
 
 /** Tells when the target has left what was sent to it without an answer for too long. */
-export function watchSilence(context: SessionContext, place: Place): () => void {
+export function startSilenceTimer(context: SessionContext, place: PlacedConnection): () => void {
   if (place.role !== "primary") return () => undefined;
   const { clock, primaries } = context.ports;
   const since = clock.now();
   const timer = setTimeout(() => {
     primaries.noteSilence(place.group.name, place.target, since);
-  }, silenceMs);
+  }, silenceThresholdMs);
   return () => clearTimeout(timer);
 }
 
@@ -45,18 +50,18 @@
  */
 export async function sendCommand(
   context: SessionContext,
-  place: Place,
+  place: PlacedConnection,
   command: TargetCommand,
   timeoutMs: number,
 ): Promise<CommandResult> {
   const { clock, primaries } = context.ports;
   const askedAt = clock.now();
-  const stopWatch = watchSilence(context, place);
+  const stopWatch = startSilenceTimer(context, place);
   const result = await place.link.link.run(command, timeoutMs);
   stopWatch();
   const isAnswered = result.type === "answered";
   if (place.role === "primary") {
-    primaries.noteContact(place.group.name, place.target, isAnswered && !isReadOnly(result));
+    primaries.noteContact(place.group.name, place.target, isAnswered && !hasRefusedWrites(result));
   }
   if (!isAnswered) {
     place.group.noteFailure(place.target);
@@ -65,18 +70,18 @@
   }
   place.noteProgress();
   place.group.noteAnswer(place.target);
-  if (isBusy(result)) place.group.noteFull(place.target);
+  if (hasReportedBusy(result)) place.group.noteSaturated(place.target);
   notePosition(context, place, result.reply.mark, askedAt);
   return result;
 }
 
 /** A primary that takes no writes any more has lost the lead to another. */
-function isReadOnly(result: CommandResult): boolean {
+function hasRefusedWrites(result: CommandResult): boolean {
   return hasFailedWith(result, "readOnly");
 }
 
 /** All slots of the target were taken. */
-function isBusy(result: CommandResult): boolean {
+function hasReportedBusy(result: CommandResult): boolean {
   return hasFailedWith(result, "busy");
 }
 
@@ -93,7 +98,7 @@
  * the new one acknowledged. Whoever replaces a primary waits until every proxy knows, or its
  * permission has lapsed, so that what is sent after this question is never late.
  */
-export function isStillLeading(context: SessionContext, place: Place): boolean {
+export function isStillPrimary(context: SessionContext, place: PlacedConnection): boolean {
   if (place.role !== "primary") return true;
   const primary = context.ports.primaries.find(place.group.name);
   return primary.type === "serving" && primary.target === place.target;
@@ -108,11 +113,11 @@
  */
 function notePosition(
   context: SessionContext,
-  place: Place,
+  place: PlacedConnection,
   mark: Mark | undefined,
   askedAt: number,
 ): void {
   if (mark === undefined || place.role !== "primary") return;
-  if (!isStillLeading(context, place)) return;
+  if (!isStillPrimary(context, place)) return;
   place.group.notePrimaryMark(place.target, mark, askedAt);
 }
--- a/src/direct/callers.ts
+++ b/src/direct/callers.ts
@@ -22,7 +22,7 @@
   parse(line: string): CallerMessage;
   encodeReady(state: SessionState): string;
   /** An error with nothing after it: the connection is closed. */
-  encodeFarewell(reply: Reply): string;
+  encodeFatalError(reply: Reply): string;
   encodeReply(reply: Reply): string;
 }
 
@@ -31,19 +31,19 @@
  * give up after 2 s. After a loss of power while the store is away all wait for its return; refused after
  * 0.5 s they had used up their tries before it.
  */
-const sceneWaitMs = 1500;
-const sceneStepMs = 20;
+const configWaitMs = 1500;
+const configPollMs = 20;
 /** Told when none has come by then: the store is away, and looked for every 250 ms. */
-const sceneBackMs = 500;
+const configRetryMs = 500;
 /** Lines of one caller that wait for their turn; beyond it the caller breaks the protocol. */
-const maxWaiting = 64;
+const maxQueuedLines = 64;
 
 /** The callers of this proxy: one handler and one session for each connection. */
-export class Callers {
-  private readonly open = new Set<Caller>();
+export class CallerRegistry {
+  private readonly connections = new Set<CallerConnection>();
   private nextSession = 1;
-  private nextTry = 1;
-  private isLeaving = false;
+  private nextAttempt = 1;
+  private isDraining = false;
 
   constructor(
     private readonly codec: CallerCodec,
@@ -53,39 +53,39 @@
   ) {}
 
   get size(): number {
-    return this.open.size;
+    return this.connections.size;
   }
 
   /** Callers whose connection can't be closed without cutting something off. */
   countBusy(): number {
-    return [...this.open].filter((c) => !c.isIdle).length;
+    return [...this.connections].filter((c) => !c.isIdle).length;
   }
 
   accept(connection: LineConnection): LineHandler {
-    const caller = new Caller(connection, {
+    const caller = new CallerConnection(connection, {
       codec: this.codec,
       ports: this.ports,
       groups: this.groups,
       runner: this.runner,
       session: `s${this.nextSession}`,
-      nextId: () => `t${this.nextTry++}`,
-      isLeaving: () => this.isLeaving,
-      onClose: () => this.open.delete(caller),
+      nextId: () => `t${this.nextAttempt++}`,
+      isDraining: () => this.isDraining,
+      onClose: () => this.connections.delete(caller),
     });
     this.nextSession += 1;
-    this.open.add(caller);
+    this.connections.add(caller);
     return caller;
   }
 
   /** From now on sessions are closed between two operations. */
-  closeIdle(): void {
-    this.isLeaving = true;
-    for (const caller of this.open) caller.closeIfIdle();
+  drain(): void {
+    this.isDraining = true;
+    for (const caller of this.connections) caller.closeIfIdle();
   }
 
   /** Closes the sessions that are idle now; those that come later stay. */
-  moveIdle(): void {
-    for (const caller of this.open) caller.closeIfIdle();
+  closeIdleNow(): void {
+    for (const caller of this.connections) caller.closeIfIdle();
   }
 
   /**
@@ -93,12 +93,12 @@
    * operations, and the transactions that they have open.
    */
   endRevoked(): void {
-    for (const caller of this.open) caller.endRevoked();
+    for (const caller of this.connections) caller.endIfRevoked();
   }
 
   /** Ends open transactions, which have had their time. */
   endTransactions(): void {
-    for (const caller of this.open) caller.endTransaction();
+    for (const caller of this.connections) caller.endTransaction();
   }
 }
 
@@ -109,14 +109,14 @@
   readonly runner: WorkRunner;
   readonly session: string;
   readonly nextId: () => string;
-  readonly isLeaving: () => boolean;
+  readonly isDraining: () => boolean;
   readonly onClose: () => void;
 }
 
-class Caller implements LineHandler {
+class CallerConnection implements LineHandler {
   private session: DirectSession | undefined;
-  private readonly waiting: string[] = [];
-  private isWorking = false;
+  private readonly queuedLines: string[] = [];
+  private isProcessing = false;
   private isEnded = false;
 
   constructor(
@@ -125,17 +125,17 @@
   ) {}
 
   get isIdle(): boolean {
-    return !this.isWorking && this.waiting.length === 0 && (this.session?.isIdle ?? true);
+    return !this.isProcessing && this.queuedLines.length === 0 && (this.session?.isIdle ?? true);
   }
 
   handleLine(line: string): void {
     if (this.isEnded) return;
-    if (this.waiting.length >= maxWaiting) {
-      this.farewell(failLocally("malformed", "too many lines at once", "idle"));
+    if (this.queuedLines.length >= maxQueuedLines) {
+      this.rejectAndClose(failLocally("malformed", "too many lines at once", "idle"));
       return;
     }
-    this.waiting.push(line);
-    if (!this.isWorking) void this.work();
+    this.queuedLines.push(line);
+    if (!this.isProcessing) void this.processQueue();
   }
 
   handleUnreadable(reason: "tooLong" | "strayBreak"): void {
@@ -143,16 +143,16 @@
       reason === "tooLong"
         ? failLocally("tooLarge", "a line is longer than allowed", "idle")
         : failLocally("malformed", "a line break is not CR LF", "idle");
-    this.farewell(reply);
+    this.rejectAndClose(reply);
   }
 
   handleStall(): void {
-    this.farewell(failLocally("malformed", "half a line came and nothing after it", "idle"));
+    this.rejectAndClose(failLocally("malformed", "half a line came and nothing after it", "idle"));
   }
 
   handleClose(): void {
     this.isEnded = true;
-    this.waiting.length = 0;
+    this.queuedLines.length = 0;
     this.session?.close();
     this.options.onClose();
   }
@@ -166,21 +166,21 @@
     this.session?.endTransaction();
   }
 
-  endRevoked(): void {
-    this.session?.endRevoked();
+  endIfRevoked(): void {
+    this.session?.rollbackIfRevoked();
     if (this.session?.isAllowed === false) this.closeIfIdle();
   }
 
-  private async work(): Promise<void> {
-    this.isWorking = true;
-    for (let line = this.waiting.shift(); line !== undefined; line = this.waiting.shift()) {
-      await this.answer(line);
+  private async processQueue(): Promise<void> {
+    this.isProcessing = true;
+    for (let line = this.queuedLines.shift(); line !== undefined; line = this.queuedLines.shift()) {
+      await this.handleMessage(line);
     }
-    this.isWorking = false;
-    if (this.options.isLeaving() || this.session?.isAllowed === false) this.closeIfIdle();
+    this.isProcessing = false;
+    if (this.options.isDraining() || this.session?.isAllowed === false) this.closeIfIdle();
   }
 
-  private async answer(line: string): Promise<void> {
+  private async handleMessage(line: string): Promise<void> {
     const { codec } = this.options;
     const message = codec.parse(line);
     switch (message.type) {
@@ -191,10 +191,10 @@
         this.end();
         return;
       case "unreadable":
-        this.farewell(failLocally("malformed", message.reason, "idle"));
+        this.rejectAndClose(failLocally("malformed", message.reason, "idle"));
         return;
       case "badStatement":
-        this.replyBad(message.reason);
+        this.replyMalformed(message.reason);
         return;
       case "statement":
         await this.runStatement(message.statement);
@@ -204,24 +204,24 @@
   private async start(database: string, key: string): Promise<void> {
     const { codec, ports, groups, runner, session: id, nextId } = this.options;
     if (this.session !== undefined) {
-      this.farewell(failLocally("malformed", "the session has begun already", "idle"));
+      this.rejectAndClose(failLocally("malformed", "the session has begun already", "idle"));
       return;
     }
-    if (!(await this.waitForScene())) {
-      this.farewell(
-        failLocally("busy", describeRefusal("no configuration yet", sceneBackMs), "idle"),
+    if (!(await this.waitForConfig())) {
+      this.rejectAndClose(
+        failLocally("busy", describeRefusal("no configuration yet", configRetryMs), "idle"),
       );
       return;
     }
-    if (!ports.scene().databases.has(database)) {
-      this.farewell(failLocally("unknownDatabase", `no database ${database}`, "idle"));
+    if (!ports.getServingConfig().databases.has(database)) {
+      this.rejectAndClose(failLocally("unknownDatabase", `no database ${database}`, "idle"));
       return;
     }
     const session = new DirectSession({ id, database, key, ports, groups, runner, nextId });
     if (!session.isAllowed) {
-      const { revision } = ports.scene();
+      const { revision } = ports.getServingConfig();
       ports.logger.write(directEvents.keyUnknown, { session: id, key: digestKey(key), revision });
-      this.farewell(failLocally("denied", deniedReason, "idle"));
+      this.rejectAndClose(failLocally("denied", deniedReason, "idle"));
       return;
     }
     this.session = session;
@@ -229,11 +229,11 @@
   }
 
   /** Right after a start a database is unknown only because no configuration has come yet. */
-  private async waitForScene(): Promise<boolean> {
-    const { scene, clock } = this.options.ports;
-    const until = clock.now() + sceneWaitMs;
+  private async waitForConfig(): Promise<boolean> {
+    const { getServingConfig: scene, clock } = this.options.ports;
+    const until = clock.now() + configWaitMs;
     while (scene().revision === 0 && clock.now() < until && !this.isEnded) {
-      await clock.sleep(sceneStepMs);
+      await clock.sleep(configPollMs);
     }
     return scene().revision > 0;
   }
@@ -241,35 +241,35 @@
   private async runStatement(statement: Statement): Promise<void> {
     const { codec } = this.options;
     if (this.session === undefined) {
-      this.farewell(failLocally("malformed", "the session has not begun", "idle"));
+      this.rejectAndClose(failLocally("malformed", "the session has not begun", "idle"));
       return;
     }
     const reply = await this.session.run(statement);
     if (!this.isEnded) this.connection.write(codec.encodeReply(reply));
   }
 
-  private replyBad(reason: string): void {
+  private replyMalformed(reason: string): void {
     const state = this.session?.state;
-    if (state === undefined) this.farewell(failLocally("malformed", reason, "idle"));
+    if (state === undefined) this.rejectAndClose(failLocally("malformed", reason, "idle"));
     else {
       const reply = failLocally("malformed", reason, state);
       this.connection.write(this.options.codec.encodeReply(reply));
     }
   }
 
-  private farewell(reply: Reply): void {
+  private rejectAndClose(reply: Reply): void {
     if (this.isEnded) return;
     const { codec, ports, session } = this.options;
     const reason = reply.end.type === "error" ? reply.end.text : "";
     ports.logger.write(directEvents.sessionRefused, { session, reason });
-    this.connection.write(codec.encodeFarewell(reply));
+    this.connection.write(codec.encodeFatalError(reply));
     this.end();
   }
 
   private end(): void {
     if (this.isEnded) return;
     this.isEnded = true;
-    this.waiting.length = 0;
+    this.queuedLines.length = 0;
     this.connection.end();
   }
 }
--- a/src/direct/candidates.ts
+++ b/src/direct/candidates.ts
@@ -2,7 +2,7 @@
 import type { PrimaryState } from "./primary.js";
 
 /** A target as the choice sees it. */
-export interface CandidateView {
+export interface CandidateTarget {
   readonly name: string;
   readonly isLeaving: boolean;
   /** In this proxy's own data centre. */
@@ -14,14 +14,14 @@
   readonly hasIdle: boolean;
   readonly slots: number;
   /** Of these, taken by what works there or waits for a connection. */
-  readonly held: number;
+  readonly occupiedSlots: number;
 }
 
 /** What a statement asks of its target. */
-export interface PlaceDemand {
+export interface PlacementConstraints {
   readonly needsPrimary: boolean;
   /** Whether a replica must prove that it holds a mark. */
-  readonly hasMark: boolean;
+  readonly hasRequiredMark: boolean;
   /** It must not take what more important work may need. */
   readonly isBackground: boolean;
   /** Targets that have refused this statement already. */
@@ -34,20 +34,20 @@
  */
 const primaryProbeFailures = 2;
 /** What waits for that one looks again after this: about a new connection's time of 12 ms, and its work. */
-const probeWaitMs = 50;
+const probeRetryMs = 50;
 /** What opening a connection is to a target, in statements. */
-const openingLoad = 0.5;
+const connectionOpeningLoad = 0.5;
 /** Why a statement waits, or is refused after it has waited. */
-const failing = "the primary has left statements without an answer just now";
+const primaryFailingReason = "the primary has left statements without an answer just now";
 
 /** Where a statement may go. */
-export type Choice =
+export type CandidateChoice =
   | {
       readonly type: "targets";
       readonly role: "primary" | "replica";
       readonly names: readonly string[];
     }
-  | { readonly type: "wait"; readonly backInMs: number; readonly reason: string }
+  | { readonly type: "wait"; readonly readyInMs: number; readonly reason: string }
   | { readonly type: "nowhere"; readonly reason: string };
 
 /**
@@ -56,27 +56,33 @@
  * is near and idle.
  */
 export function chooseCandidates(
-  demand: PlaceDemand,
+  constraints: PlacementConstraints,
   primary: PrimaryState,
-  views: readonly CandidateView[],
+  candidates: readonly CandidateTarget[],
   now: number,
-  draw: () => number,
-): Choice {
-  if (demand.needsPrimary) return choosePrimary(primary, views, now);
-  const leader = primary.type === "serving" ? primary.target : undefined;
-  const replicas = views.filter((v) => v.name !== leader && isFit(v, demand, now));
-  const near = views.find((v) => v.name === leader && canReadNear(v, demand, now));
-  const hasIdleNear = replicas.some((v) => v.isLocal && v.running === 0);
-  if (near !== undefined && !hasIdleNear) {
-    return { type: "targets", role: "primary", names: [near.name] };
+  random: () => number,
+): CandidateChoice {
+  if (constraints.needsPrimary) return choosePrimary(primary, candidates, now);
+  const primaryName = primary.type === "serving" ? primary.target : undefined;
+  const replicas = candidates.filter(
+    (v) => v.name !== primaryName && isEligible(v, constraints, now),
+  );
+  const localPrimary = candidates.find(
+    (v) => v.name === primaryName && canReadFromLocalPrimary(v, constraints, now),
+  );
+  const hasIdleLocalReplica = replicas.some((v) => v.isLocal && v.running === 0);
+  if (localPrimary !== undefined && !hasIdleLocalReplica) {
+    return { type: "targets", role: "primary", names: [localPrimary.name] };
   }
   if (replicas.length > 0)
-    return { type: "targets", role: "replica", names: pickLeast(replicas, draw) };
-  const onPrimary = choosePrimary(primary, views, now);
+    return { type: "targets", role: "replica", names: pickLeastLoaded(replicas, random) };
+  const onPrimary = choosePrimary(primary, candidates, now);
   if (onPrimary.type === "targets") return onPrimary;
-  const last = views.filter((v) => v.name !== leader && !v.isLeaving && v.slots > 0);
-  if (last.length === 0) return onPrimary;
-  return { type: "targets", role: "replica", names: pickLeast(last, draw) };
+  const fallbackReplicas = candidates.filter(
+    (v) => v.name !== primaryName && !v.isLeaving && v.slots > 0,
+  );
+  if (fallbackReplicas.length === 0) return onPrimary;
+  return { type: "targets", role: "replica", names: pickLeastLoaded(fallbackReplicas, random) };
 }
 
 /**
@@ -85,22 +91,22 @@
  */
 function choosePrimary(
   primary: PrimaryState,
-  views: readonly CandidateView[],
+  candidates: readonly CandidateTarget[],
   now: number,
-): Choice {
+): CandidateChoice {
   switch (primary.type) {
     case "changing":
-      return { type: "wait", backInMs: primary.backInMs, reason: primary.reason };
+      return { type: "wait", readyInMs: primary.readyInMs, reason: primary.reason };
     case "unknown":
       return { type: "nowhere", reason: primary.reason };
     case "serving": {
-      const view = views.find((v) => v.name === primary.target);
-      if (view === undefined) return { type: "nowhere", reason: "the primary is not listed" };
-      const backInMs = view.health.avoidUntil - now;
-      if (backInMs > 0) return { type: "wait", backInMs, reason: failing };
-      if (view.health.failures >= primaryProbeFailures && view.held > 0)
-        return { type: "wait", backInMs: probeWaitMs, reason: failing };
-      return { type: "targets", role: "primary", names: [view.name] };
+      const candidate = candidates.find((v) => v.name === primary.target);
+      if (candidate === undefined) return { type: "nowhere", reason: "the primary is not listed" };
+      const readyInMs = candidate.health.avoidUntil - now;
+      if (readyInMs > 0) return { type: "wait", readyInMs, reason: primaryFailingReason };
+      if (candidate.health.failures >= primaryProbeFailures && candidate.occupiedSlots > 0)
+        return { type: "wait", readyInMs: probeRetryMs, reason: primaryFailingReason };
+      return { type: "targets", role: "primary", names: [candidate.name] };
     }
   }
 }
@@ -111,9 +117,16 @@
  * on it, so that writes find a slot; background work keeps away from it altogether. Without it
  * reads leave their data centre past an idle primary, and pay for the way.
  */
-function canReadNear(view: CandidateView, demand: PlaceDemand, now: number): boolean {
-  if (demand.isBackground || !view.isLocal || view.running > 0) return false;
-  return isFit(view, { ...demand, hasMark: false }, now) && now >= view.health.fullUntil;
+function canReadFromLocalPrimary(
+  candidate: CandidateTarget,
+  constraints: PlacementConstraints,
+  now: number,
+): boolean {
+  if (constraints.isBackground || !candidate.isLocal || candidate.running > 0) return false;
+  return (
+    isEligible(candidate, { ...constraints, hasRequiredMark: false }, now) &&
+    now >= candidate.health.saturatedUntil
+  );
 }
 
 /**
@@ -121,14 +134,19 @@
  * elsewhere. Each that is sent to one that went dark waits up to 0.4 s for a connection, longer than its
  * callers' aim, and those that queue behind it are refused.
  */
-function isBeingTried({ health, held }: CandidateView): boolean {
+function isBeingProbed({ health, occupiedSlots: held }: CandidateTarget): boolean {
   return health.failures > 0 && held > 0;
 }
 
-function isFit(view: CandidateView, demand: PlaceDemand, now: number): boolean {
-  if (view.isLeaving || view.slots === 0 || demand.excluded.has(view.name)) return false;
-  if (now < view.health.avoidUntil || isBeingTried(view)) return false;
-  return !demand.hasMark || now >= view.health.behindUntil;
+function isEligible(
+  candidate: CandidateTarget,
+  constraints: PlacementConstraints,
+  now: number,
+): boolean {
+  if (candidate.isLeaving || candidate.slots === 0 || constraints.excluded.has(candidate.name))
+    return false;
+  if (now < candidate.health.avoidUntil || isBeingProbed(candidate)) return false;
+  return !constraints.hasRequiredMark || now >= candidate.health.laggingUntil;
 }
 
 /**
@@ -137,17 +155,20 @@
  * takes about 12 ms and one of its slots. Ties go to this data centre, whose links cost nothing, and are drawn
  * otherwise: were they broken by name, every idle proxy would send to the same target.
  */
-function measureLoad({ running, hasIdle }: CandidateView): number {
-  return running + (hasIdle ? 0 : openingLoad);
+function measureLoad({ running, hasIdle }: CandidateTarget): number {
+  return running + (hasIdle ? 0 : connectionOpeningLoad);
 }
 
-function pickLeast(views: readonly CandidateView[], draw: () => number): readonly string[] {
-  const free = views.filter((v) => v.running < v.slots);
-  if (free.length === 0) return views.map((v) => v.name);
-  const least = Math.min(...free.map(measureLoad));
-  const idle = free.filter((v) => measureLoad(v) === least);
-  const local = idle.filter((v) => v.isLocal);
-  const ties = local.length > 0 ? local : idle;
-  const pick = ties[Math.floor(draw() * ties.length)];
+function pickLeastLoaded(
+  candidates: readonly CandidateTarget[],
+  random: () => number,
+): readonly string[] {
+  const free = candidates.filter((v) => v.running < v.slots);
+  if (free.length === 0) return candidates.map((v) => v.name);
+  const minLoad = Math.min(...free.map(measureLoad));
+  const leastLoaded = free.filter((v) => measureLoad(v) === minLoad);
+  const local = leastLoaded.filter((v) => v.isLocal);
+  const ties = local.length > 0 ? local : leastLoaded;
+  const pick = ties[Math.floor(random() * ties.length)];
   return pick === undefined ? [] : [pick.name];
 }
--- a/src/direct/context.ts
+++ b/src/direct/context.ts
@@ -1,7 +1,7 @@
 import { pickLaterMark, type Mark, type Team } from "../model/index.js";
 import type { DirectGroup } from "./group.js";
 import type { DirectPorts } from "./ports.js";
-import type { Database } from "./scene.js";
+import type { Database } from "./serving-config.js";
 import type { StatementTrace } from "./trace.js";
 
 /** What a statement's run knows of its session. */
@@ -14,9 +14,9 @@
   readonly group: DirectGroup;
   readonly values: ReadonlyMap<string, string>;
   /** The newest commit that the session was told of; absent when it has written nothing. */
-  readonly written: Mark | undefined;
+  readonly lastCommit: Mark | undefined;
   /** Aborts when the caller has gone: what has not begun need not begin. */
-  readonly gone: AbortSignal;
+  readonly disconnectSignal: AbortSignal;
   /** What decided the statement that runs now. */
   readonly trace: StatementTrace;
   /** Makes ids that no other try of this process has. */
@@ -27,7 +27,7 @@
 const ageMarginMs = 100;
 
 /** What a read needs of its target: the primary itself, or a mark that a replica must hold. */
-export type ReadNeed =
+export type ReadRequirement =
   { readonly type: "primary" } | { readonly type: "replica"; readonly atLeast: Mark };
 
 /**
@@ -35,16 +35,17 @@
  * enough only if it holds a mark at which the primary was seen within the allowed age. Without such
  * a sighting the primary answers, which brings one.
  */
-export function findReadNeed(context: SessionContext, arrivedAt: number): ReadNeed {
+export function findReadRequirement(context: SessionContext, arrivedAt: number): ReadRequirement {
   const { route } = context.database.action;
   if (route.type === "primary") return { type: "primary" };
   if (route.maxAgeMs === undefined) {
-    return context.written === undefined
+    return context.lastCommit === undefined
       ? { type: "primary" }
-      : { type: "replica", atLeast: context.written };
+      : { type: "replica", atLeast: context.lastCommit };
   }
   const known = context.group.findMarkSince(arrivedAt - route.maxAgeMs + ageMarginMs);
   if (known === undefined) return { type: "primary" };
-  const atLeast = context.written === undefined ? known : pickLaterMark(known, context.written);
+  const atLeast =
+    context.lastCommit === undefined ? known : pickLaterMark(known, context.lastCommit);
   return { type: "replica", atLeast };
 }
--- a/src/direct/direct.ts
+++ b/src/direct/direct.ts
@@ -1,9 +1,9 @@
 import type { WorkRunner } from "./runner.js";
-import { runSingle } from "./single.js";
+import { runAutocommit } from "./autocommit.js";
 import { Transaction } from "./transaction.js";
 
 /** Over this process's own connections to the targets. */
 export const directRunner: WorkRunner = {
-  runSingle,
+  runAutocommit: runAutocommit,
   openTransaction: (isReadOnly) => new Transaction(isReadOnly),
 };
--- a/src/direct/directory.ts
+++ b/src/direct/directory.ts
@@ -1,7 +1,7 @@
 import type { Disposable } from "../model/index.js";
 import { DirectGroup } from "./group.js";
 import type { DirectPorts } from "./ports.js";
-import type { Scene } from "./scene.js";
+import type { ServingConfig } from "./serving-config.js";
 
 /** The groups that this proxy uses, kept in step with the scene. */
 export class GroupDirectory implements Disposable {
@@ -14,7 +14,7 @@
   }
 
   /** Follows a new scene. A group that is listed no more keeps what runs, and gets nothing new. */
-  update(scene: Scene): void {
+  update(scene: ServingConfig): void {
     for (const group of scene.groups.values()) {
       const known = this.groups.get(group.name);
       if (known === undefined) this.groups.set(group.name, new DirectGroup(group, this.ports));
--- a/src/direct/group.ts
+++ b/src/direct/group.ts
@@ -16,26 +16,26 @@
   observePrimary,
   type PositionHistory,
 } from "../policy/index.js";
-import type { CandidateView } from "./candidates.js";
+import type { CandidateTarget } from "./candidates.js";
 import {
   noteAnswer,
-  noteBehind,
+  noteLagging,
   noteFailure,
-  noteFull,
-  soundHealth,
+  noteSaturated,
+  healthyTarget,
   type TargetHealth,
 } from "./health.js";
 import type { DirectPorts } from "./ports.js";
-import { PreparedLink } from "./prelude.js";
+import { TrackedLink } from "./tracked-link.js";
 import type { TargetLink } from "../statement/index.js";
-import type { AnnouncedGroup, AnnouncedTarget } from "./scene.js";
-import { countShare, leastShare, type ConnectionShare } from "./share.js";
+import type { AnnouncedGroup, AnnouncedTarget } from "./serving-config.js";
+import { computeShare, minShare, type ConnectionShare } from "./share.js";
 
 /** A connection in use by one statement or transaction. */
-export type DirectTaken = ConnectionTaken<PreparedLink>;
+export type ConnectionResult = ConnectionTaken<TrackedLink>;
 
 /** How long a connection is waited for. Times are on the proxy's clock, in milliseconds. */
-export interface TakeLimits {
+export interface ConnectionWaitLimits {
   readonly deadlineAt: number;
   readonly signal: AbortSignal;
 }
@@ -54,34 +54,34 @@
 /** Connections idle for longer are checked before use: they may have gone silent meanwhile. */
 const checkAfterIdleMs = 5000;
 /** Between two looks at the connections; the usual 50 ms would wake an idle process all the time. */
-const poolTickMs = 200;
+const poolCheckIntervalMs = 200;
 /** Statements are ended by their own timeouts; a connection silent for longer is closed anyway. */
 const progressTimeoutMs = 10_000;
 /** A statement that has waited for so long shows that the base does not do: several times the usual work. */
 const growAfterMs = 60;
 /** How long a target counts the connections of processes that lost their power, and a margin. */
-const lingerMs = 4000;
+const staleConnectionMs = 4000;
 /** An idle connection beyond the base is closed after this: others may need its place. */
-const surplusMs = 1000;
+const surplusIdleMs = 1000;
 
 /** A group's targets as this proxy uses them: their slots, connections, health and positions. */
 export class DirectGroup implements Disposable {
   readonly slots: SlotQueue;
-  private readonly owned = new DisposableStore();
-  private readonly pools = new Map<string, TargetPool<PreparedLink>>();
+  private readonly disposables = new DisposableStore();
+  private readonly pools = new Map<string, TargetPool<TrackedLink>>();
   private readonly health = new Map<string, TargetHealth>();
-  private readonly running = new Map<string, number>();
+  private readonly runningCounts = new Map<string, number>();
   private targets = new Map<string, AnnouncedTarget>();
   private history: PositionHistory = emptyHistory;
   /** The newest end of its log that the primary has shown since it leads. */
-  private shownEnd: ShownEnd | undefined;
+  private reportedEnd: ReportedEnd | undefined;
   private readonly shares = new Map<string, ConnectionShare>();
 
   constructor(
     private group: AnnouncedGroup,
     private readonly ports: DirectPorts,
   ) {
-    this.slots = this.owned.add(new SlotQueue(ports.clock));
+    this.slots = this.disposables.add(new SlotQueue(ports.clock));
     this.update(group);
   }
 
@@ -102,16 +102,16 @@
   }
 
   /** The targets as the choice of one for a team's statement sees them. */
-  listViews(team: string): readonly CandidateView[] {
+  listCandidates(team: string): readonly CandidateTarget[] {
     return [...this.targets.values()].map((target) => ({
       name: target.name,
       isLeaving: target.isLeaving === true,
       isLocal: target.dataCentre === this.ports.dataCentre,
       health: this.findHealth(target.name),
-      running: this.running.get(target.name) ?? 0,
+      running: this.runningCounts.get(target.name) ?? 0,
       hasIdle: this.pools.get(target.name)?.hasIdle(team) === true,
       slots: this.findShare(target.name).slots,
-      held: this.findShare(target.name).slots - this.slots.countFree(target.name),
+      occupiedSlots: this.findShare(target.name).slots - this.slots.countFree(target.name),
     }));
   }
 
@@ -125,17 +125,21 @@
    * free only as its statements run out of their time, 0.8 s; what waited behind them was refused unsent.
    */
   evict(target: string): void {
-    this.shownEnd = undefined;
+    this.reportedEnd = undefined;
     this.slots.evict(target);
   }
 
   /** Whether something waits for a target alone. */
-  isWanted(target: string): boolean {
+  hasWaitersFor(target: string): boolean {
     return this.slots.countWaitingFor(target) > 0;
   }
 
   /** Waits for a connection to a target that serves one team, or those of no team by the empty name. */
-  take(target: string, team: string, { deadlineAt, signal }: TakeLimits): Promise<DirectTaken> {
+  takeConnection(
+    target: string,
+    team: string,
+    { deadlineAt, signal }: ConnectionWaitLimits,
+  ): Promise<ConnectionResult> {
     const listed = this.targets.get(target);
     if (listed !== undefined && !this.pools.has(target)) this.addPool(listed);
     const pool = this.pools.get(target);
@@ -146,11 +150,11 @@
   }
 
   noteStart(target: string): void {
-    this.running.set(target, (this.running.get(target) ?? 0) + 1);
+    this.runningCounts.set(target, (this.runningCounts.get(target) ?? 0) + 1);
   }
 
   noteEnd(target: string): void {
-    this.running.set(target, Math.max(0, (this.running.get(target) ?? 0) - 1));
+    this.runningCounts.set(target, Math.max(0, (this.runningCounts.get(target) ?? 0) - 1));
   }
 
   noteAnswer(target: string): void {
@@ -158,23 +162,23 @@
   }
 
   /** Notes that a target had no slot free. */
-  noteFull(target: string): void {
+  noteSaturated(target: string): void {
     this.pools.get(target)?.noteFull();
-    this.health.set(target, noteFull(this.findHealth(target), this.ports.clock.now()));
+    this.health.set(target, noteSaturated(this.findHealth(target), this.ports.clock.now()));
   }
 
   noteFailure(target: string): void {
     this.health.set(target, noteFailure(this.findHealth(target), this.ports.clock.now()));
   }
 
-  noteBehind(target: string): void {
-    this.health.set(target, noteBehind(this.findHealth(target), this.ports.clock.now()));
+  noteLagging(target: string): void {
+    this.health.set(target, noteLagging(this.findHealth(target), this.ports.clock.now()));
   }
 
   /** Notes where the primary's log ended in an answer to what was sent at `askedAt`. */
   notePrimaryMark(target: string, mark: Mark, askedAt: number): void {
-    const shown = this.findShownEnd(target);
-    this.shownEnd = { target, mark: shown === undefined ? mark : pickLaterMark(shown, mark) };
+    const shown = this.findReportedEnd(target);
+    this.reportedEnd = { target, mark: shown === undefined ? mark : pickLaterMark(shown, mark) };
     const newest = findNewestMark(this.history);
     if (newest !== undefined && compareTerms(mark.term, newest.term) < 0) return;
     this.history = observePrimary(this.history, { status: { mark }, askedAt });
@@ -192,24 +196,24 @@
 
   dispose(): Promise<void> {
     for (const pool of this.pools.values()) pool.dispose();
-    return this.owned.dispose();
+    return this.disposables.dispose();
   }
 
   private findHealth(target: string): TargetHealth {
-    return this.health.get(target) ?? soundHealth;
+    return this.health.get(target) ?? healthyTarget;
   }
 
   private findShare(target: string): ConnectionShare {
-    return this.shares.get(target) ?? leastShare;
+    return this.shares.get(target) ?? minShare;
   }
 
   private updateTarget(target: AnnouncedTarget): void {
     const isLeaving = target.isLeaving === true;
-    const holding = this.ports.findHolding(this.name, target.dataCentre);
-    const share = countShare(this.group.connections, target, holding);
+    const holding = this.ports.findShareRule(this.name, target.dataCentre);
+    const share = computeShare(this.group.connections, target, holding);
     this.shares.set(target.name, share);
     const pool = this.pools.get(target.name);
-    pool?.resize(share.base + share.most, share.most);
+    pool?.resize(share.base + share.max, share.max);
     if (holding.type === "none") this.closePool(target.name);
     else if (pool === undefined && !isLeaving) this.addPool(target);
     this.slots.resize(target.name, target.announcedRole, share.slots);
@@ -225,17 +229,17 @@
     const { dialer, clock } = this.ports;
     const ports = {
       open: (timeoutMs: number, team: string) => this.openLink(target, timeoutMs, team),
-      check: (link: PreparedLink) => link.check(checkTimeoutMs),
-      isTooMany: (error: unknown) => dialer.isTooMany(error),
+      check: (link: TrackedLink) => link.check(checkTimeoutMs),
+      isTooMany: (error: unknown) => dialer.isTooManyConnections(error),
     };
-    const { base, most } = this.findShare(target.name);
+    const { base, max: most } = this.findShare(target.name);
     const settings = {
       // The base may be opened from the start.
       limit: base + most,
       largestShare: most,
       growAfterMs,
-      growNotBefore: clock.now() + lingerMs,
-      idleCloseMs: surplusMs,
+      growNotBefore: clock.now() + staleConnectionMs,
+      idleCloseMs: surplusIdleMs,
       controlReserve: 0,
       openTimeoutMs,
       firstBackoffMs,
@@ -245,20 +249,23 @@
       progressTimeoutMs,
       keptIdle: base,
     };
-    this.pools.set(target.name, new TargetPool(ports, clock, { settings, tickMs: poolTickMs }));
+    this.pools.set(
+      target.name,
+      new TargetPool(ports, clock, { settings, tickMs: poolCheckIntervalMs }),
+    );
   }
 
   /** Opens a connection. One that fails tells of the target, unless the target itself refused it. */
-  private async openLink(target: Target, timeoutMs: number, team: string): Promise<PreparedLink> {
+  private async openLink(target: Target, timeoutMs: number, team: string): Promise<TrackedLink> {
     const { dialer, primaries, clock } = this.ports;
     const askedAt = clock.now();
-    const shown = this.findShownEnd(target.name);
+    const shown = this.findReportedEnd(target.name);
     try {
       const link = await dialer.open(this.name, target, timeoutMs, team || undefined);
-      if (this.isPrimary(target)) this.noteOpened(target, link, shown, askedAt);
-      return new PreparedLink(link);
+      if (this.isPrimary(target)) this.checkOpenedLog(target, link, shown, askedAt);
+      return new TrackedLink(link);
     } catch (error) {
-      if (!dialer.isTooMany(error)) {
+      if (!dialer.isTooManyConnections(error)) {
         this.noteFailure(target.name);
         if (this.isPrimary(target)) primaries.noteContact(this.name, target.name, false);
       }
@@ -278,7 +285,7 @@
    * before it, by commits that had reached no replica. Held against it, that would make a second change of
    * primary follow the first.
    */
-  private noteOpened(
+  private checkOpenedLog(
     { name }: Target,
     link: TargetLink,
     shown: Mark | undefined,
@@ -293,13 +300,13 @@
       }
       // It leads all the same, since no other target runs: its log begins anew here.
       this.history = emptyHistory;
-      this.shownEnd = undefined;
+      this.reportedEnd = undefined;
     }
     if (openedAt !== undefined) this.notePrimaryMark(name, openedAt, askedAt);
   }
 
-  private findShownEnd(target: string): Mark | undefined {
-    return this.shownEnd?.target === target ? this.shownEnd.mark : undefined;
+  private findReportedEnd(target: string): Mark | undefined {
+    return this.reportedEnd?.target === target ? this.reportedEnd.mark : undefined;
   }
 
   private isPrimary({ name }: Pick<Target, "name">): boolean {
@@ -324,7 +331,7 @@
 }
 
 /** Where a primary's log ended when it last told. */
-interface ShownEnd {
+interface ReportedEnd {
   readonly target: string;
   readonly mark: Mark;
 }
--- a/src/direct/health.ts
+++ b/src/direct/health.ts
@@ -4,27 +4,27 @@
   /** Until then other targets go first. */
   readonly avoidUntil: number;
   /** Marks that its log lacks are not asked of it until then. */
-  readonly behindUntil: number;
+  readonly laggingUntil: number;
   /** All its slots were taken; until then nothing goes there that can go elsewhere. */
-  readonly fullUntil: number;
+  readonly saturatedUntil: number;
 }
 
 /** A target of which nothing bad is known. */
-export const soundHealth: TargetHealth = {
+export const healthyTarget: TargetHealth = {
   failures: 0,
   avoidUntil: 0,
-  behindUntil: 0,
-  fullUntil: 0,
+  laggingUntil: 0,
+  saturatedUntil: 0,
 };
 
 /** The first pause after a failure: about the time of two tries to connect within a data centre. */
-const firstAvoidMs = 50;
+const minAvoidMs = 50;
 /** The longest pause: a target that came back is found again within it. */
-const longestAvoidMs = 400;
+const maxAvoidMs = 400;
 /** A replica that lacked a mark gets it after about its usual lag, 60 to 150 ms. */
-const behindMs = 80;
+const laggingPauseMs = 80;
 /** Several times the usual work of 14 to 30 ms: by then a burst that filled the slots is over. */
-const fullMs = 250;
+const saturatedPauseMs = 250;
 
 /**
  * Notes that a target could not be reached or left a statement without an answer. Several statements
@@ -33,7 +33,7 @@
 export function noteFailure(health: TargetHealth, now: number): TargetHealth {
   if (now < health.avoidUntil) return health;
   const failures = health.failures + 1;
-  const pause = Math.min(longestAvoidMs, firstAvoidMs * 2 ** (failures - 1));
+  const pause = Math.min(maxAvoidMs, minAvoidMs * 2 ** (failures - 1));
   return { ...health, failures, avoidUntil: now + pause };
 }
 
@@ -43,11 +43,11 @@
 }
 
 /** Notes that a target had no slot free. */
-export function noteFull(health: TargetHealth, now: number): TargetHealth {
-  return { ...health, fullUntil: now + fullMs };
+export function noteSaturated(health: TargetHealth, now: number): TargetHealth {
+  return { ...health, saturatedUntil: now + saturatedPauseMs };
 }
 
 /** Notes that a replica lacked a mark. */
-export function noteBehind(health: TargetHealth, now: number): TargetHealth {
-  return { ...health, behindUntil: now + behindMs };
+export function noteLagging(health: TargetHealth, now: number): TargetHealth {
+  return { ...health, laggingUntil: now + laggingPauseMs };
 }
--- a/src/direct/rest.ts
+++ b/src/direct/idle.ts
@@ -3,38 +3,42 @@
  * statement may queue, half of its time. Callers that begin, write and stay away would keep connections
  * until their limit, while others are refused for want of one.
  */
-const wantedRestMs = 400;
+const contendedIdleMs = 400;
 /** Between two looks whether somebody waits, in milliseconds. */
-const lookMs = 100;
+const checkIntervalMs = 100;
 
 /** How long a transaction may rest between two statements, and what ends it. */
-export interface RestOptions {
+export interface IdleWatchOptions {
   /** In any case, in milliseconds. */
   readonly limitMs: number;
   /** Whether others wait for what it holds. */
-  readonly isWanted: () => boolean;
+  readonly hasWaiters: () => boolean;
   readonly end: (restedMs: number) => void;
 }
 
 /** Whether a transaction that has rested for `restedMs` is ended. */
-export function isRestOver(restedMs: number, limitMs: number, isWanted: boolean): boolean {
-  return restedMs >= limitMs || (isWanted && restedMs >= wantedRestMs);
+export function isIdleLimitReached(idleMs: number, limitMs: number, hasWaiters: boolean): boolean {
+  return idleMs >= limitMs || (hasWaiters && idleMs >= contendedIdleMs);
 }
 
 /** Watches a transaction that rests; answers with what stops the watch. */
-export function watchRest({ limitMs, isWanted, end }: RestOptions): () => void {
-  let restedMs = 0;
-  const look = () => {
-    if (isRestOver(restedMs, limitMs, isWanted())) end(restedMs);
-    else wait(Math.min(lookMs, limitMs - restedMs));
+export function watchTransactionIdle({
+  limitMs,
+  hasWaiters: isWanted,
+  end,
+}: IdleWatchOptions): () => void {
+  let idleMs = 0;
+  const check = () => {
+    if (isIdleLimitReached(idleMs, limitMs, isWanted())) end(idleMs);
+    else scheduleCheck(Math.min(checkIntervalMs, limitMs - idleMs));
   };
-  const wait = (ms: number) => {
+  const scheduleCheck = (ms: number) => {
     timer = setTimeout(() => {
-      restedMs += ms;
-      look();
+      idleMs += ms;
+      check();
     }, ms).unref();
   };
   let timer: NodeJS.Timeout | undefined;
-  wait(Math.min(wantedRestMs, limitMs));
+  scheduleCheck(Math.min(contendedIdleMs, limitMs));
   return () => clearTimeout(timer);
 }
--- a/src/direct/place.ts
+++ b/src/direct/placement.ts
@@ -1,13 +1,13 @@
 import { type AdmissionRequest } from "../controller/admission/index.js";
 import type { HeldConnection, Slot } from "../capacity/index.js";
-import { chooseCandidates, type PlaceDemand } from "./candidates.js";
+import { chooseCandidates, type PlacementConstraints } from "./candidates.js";
 import type { DirectGroup } from "./group.js";
 import type { DirectPorts } from "./ports.js";
-import type { PreparedLink } from "./prelude.js";
-import type { Database } from "./scene.js";
+import type { TrackedLink } from "./tracked-link.js";
+import type { Database } from "./serving-config.js";
 
 /** One statement's or transaction's wish for a connection. Times are on the proxy's clock. */
-export interface PlaceRequest extends PlaceDemand {
+export interface PlacementRequest extends PlacementConstraints {
   readonly id: string;
   readonly database: Database;
   /** Whose connection it must be; the empty name where it is nobody's in particular. */
@@ -17,11 +17,11 @@
 }
 
 /** A connection to a target, held until `release` or `drop`. */
-export interface Place {
+export interface PlacedConnection {
   readonly group: DirectGroup;
   readonly target: string;
   readonly role: "primary" | "replica";
-  readonly link: PreparedLink;
+  readonly link: TrackedLink;
   /** Notes an answer: the connection lives, however long its transaction goes on. */
   noteProgress(): void;
   /** Gives the connection back: nothing is in flight and no transaction is open on it. */
@@ -31,8 +31,8 @@
 }
 
 /** What came of a wish for a connection. */
-export type Placed =
-  | { readonly type: "placed"; readonly place: Place }
+export type PlacementResult =
+  | { readonly type: "placed"; readonly place: PlacedConnection }
   | {
       readonly type: "refused";
       readonly reason: string;
@@ -44,23 +44,23 @@
   | { readonly type: "unreachable"; readonly target: string; readonly reason: string };
 
 /** A wish that was refused. */
-export type Refused = Extract<Placed, { type: "refused" }>;
+export type RefusedPlacement = Extract<PlacementResult, { type: "refused" }>;
 
 /** A primary that is expected back later than this is not waited for, in milliseconds. */
-const longestPrimaryWaitMs = 600;
-const waitStepMs = 20;
+const maxPrimaryWaitMs = 600;
+const primaryPollMs = 20;
 /** Told where nothing is known of when a group will serve again: a change of primary's usual time. */
-const unknownRetryMs = 1000;
+const unknownPrimaryRetryMs = 1000;
 
 /** Finds a target for a statement, waits for a slot there and takes a connection. */
 export async function placeStatement(
   ports: DirectPorts,
   group: DirectGroup,
-  request: PlaceRequest,
-): Promise<Placed> {
-  const choice = await choose(ports, group, request);
+  request: PlacementRequest,
+): Promise<PlacementResult> {
+  const choice = await waitForCandidates(ports, group, request);
   if (choice.type === "refused") return choice;
-  const admitted = await group.acquire(toAdmission(request, choice.names), request.signal);
+  const admitted = await group.acquire(makeAdmissionRequest(request, choice.names), request.signal);
   if (admitted.type === "refused") {
     const { reason } = admitted;
     // The primary that it waited for was replaced: the next try finds the new one.
@@ -70,56 +70,62 @@
     return { type: "refused", reason, retryAfterMs, waitedFor: choice.names };
   }
   const { slot } = admitted;
-  const taken = await group.take(slot.target, request.team, request);
+  const taken = await group.takeConnection(slot.target, request.team, request);
   if (taken.type === "refused") {
     slot.release();
     return { type: "unreachable", target: slot.target, reason: taken.reason };
   }
-  return { type: "placed", place: makePlace(group, slot, choice.role, taken.connection) };
+  return {
+    type: "placed",
+    place: makePlacedConnection(group, slot, choice.role, taken.connection),
+  };
 }
 
-type Chosen =
+type CandidateResult =
   | {
       readonly type: "chosen";
       readonly role: "primary" | "replica";
       readonly names: readonly string[];
     }
-  | Refused;
+  | RefusedPlacement;
 
 /** Waits for a change of primary only as long as it is expected to end in time. */
-async function choose(
+async function waitForCandidates(
   ports: DirectPorts,
   group: DirectGroup,
-  request: PlaceRequest,
-): Promise<Chosen> {
+  request: PlacementRequest,
+): Promise<CandidateResult> {
   const { clock, primaries, random } = ports;
   const startedAt = clock.now();
   for (;;) {
     const now = clock.now();
     const primary = primaries.find(group.name);
-    const choice = chooseCandidates(request, primary, group.listViews(request.team), now, () =>
+    const choice = chooseCandidates(request, primary, group.listCandidates(request.team), now, () =>
       random.draw(),
     );
     if (choice.type === "targets")
       return { type: "chosen", role: choice.role, names: choice.names };
     if (choice.type === "nowhere") {
       const { reason } = choice;
-      return { type: "refused", reason, retryAfterMs: unknownRetryMs, waitedFor: [] };
+      return { type: "refused", reason, retryAfterMs: unknownPrimaryRetryMs, waitedFor: [] };
     }
-    const isLong = now + choice.backInMs > request.deadlineAt || request.signal.aborted;
-    if (isLong || now - startedAt > longestPrimaryWaitMs) {
+    const isLong = now + choice.readyInMs > request.deadlineAt || request.signal.aborted;
+    if (isLong || now - startedAt > maxPrimaryWaitMs) {
       return {
         type: "refused",
         reason: choice.reason,
-        retryAfterMs: Math.ceil(choice.backInMs),
+        retryAfterMs: Math.ceil(choice.readyInMs),
         waitedFor: [],
       };
     }
-    await clock.sleep(waitStepMs);
+    await clock.sleep(primaryPollMs);
   }
 }
 
-function toAdmission(request: PlaceRequest, candidates: readonly string[]): AdmissionRequest {
+function makeAdmissionRequest(
+  request: PlacementRequest,
+  candidates: readonly string[],
+): AdmissionRequest {
   const { id, database, deadlineAt } = request;
   const { priority, maxQueueMs } = database.action;
   // Turns are by team, so that one that sends many times its usual waits behind itself.
@@ -127,12 +133,12 @@
   return { id, team, plan: "paying", priority, candidates, deadlineAt, maxQueueMs };
 }
 
-function makePlace(
+function makePlacedConnection(
   group: DirectGroup,
   slot: Slot,
   role: "primary" | "replica",
-  connection: HeldConnection<PreparedLink>,
-): Place {
+  connection: HeldConnection<TrackedLink>,
+): PlacedConnection {
   const { target } = slot;
   group.noteStart(target);
   let isHeld = true;
--- a/src/direct/ports.ts
+++ b/src/direct/ports.ts
@@ -2,9 +2,9 @@
 import type { Clock, Random, Target } from "../model/index.js";
 import type { TargetLink } from "../statement/index.js";
 import type { PrimarySource } from "./primary.js";
-import type { Holding } from "./share.js";
+import type { ShareRule } from "./share.js";
 import type { RateGate } from "../rates/index.js";
-import type { Scene } from "./scene.js";
+import type { ServingConfig } from "./serving-config.js";
 
 /**
  * Opens connections to targets. `team` is told to the target, and the connection serves no other; absent for
@@ -18,7 +18,7 @@
     team: string | undefined,
   ): Promise<TargetLink>;
   /** Whether an error says that the target accepts no more connections. */
-  isTooMany(error: unknown): boolean;
+  isTooManyConnections(error: unknown): boolean;
 }
 
 /** How one statement or transaction's piece ended, for metrics. */
@@ -40,9 +40,9 @@
   readonly random: Random;
   readonly logger: Logger;
   /** The scene in force. */
-  readonly scene: () => Scene;
+  readonly getServingConfig: () => ServingConfig;
   /** What this proxy holds of the connections to a group's targets in one data centre. */
-  readonly findHolding: (group: string, dataCentre: string) => Holding;
+  readonly findShareRule: (group: string, dataCentre: string) => ShareRule;
   /** Keeps teams to their rates. */
   readonly rates: RateGate;
   readonly onStatement: (sample: StatementSample) => void;
--- a/src/direct/primary.ts
+++ b/src/direct/primary.ts
@@ -2,7 +2,7 @@
 export type PrimaryState =
   | { readonly type: "serving"; readonly target: string }
   /** None may be used now, for a reason that passes; expected to be over in `backInMs`. */
-  | { readonly type: "changing"; readonly backInMs: number; readonly reason: string }
+  | { readonly type: "changing"; readonly readyInMs: number; readonly reason: string }
   /** Nobody is known to lead, or this proxy may not rely on what it knows. */
   | { readonly type: "unknown"; readonly reason: string };
 
--- a/src/direct/verdict.ts
+++ b/src/direct/result-class.ts
@@ -2,7 +2,7 @@
 import { isNotRun, type CommandResult, type ErrorCode } from "../statement/index.js";
 
 /** What follows from the result of a statement outside a transaction. */
-export type StatementVerdict =
+export type ResultClass =
   | { readonly type: "done" }
   /** It has not run, or runs twice without harm: another try may follow. */
   | { readonly type: "again"; readonly reason: ErrorCode | "broken"; readonly isNotRun: boolean }
@@ -13,7 +13,7 @@
  * Judges a result. A write whose connection broke may have been committed: sent again it could land
  * twice, so that its caller hears that it may have run. A read has no effect to repeat.
  */
-export function judgeResult(result: CommandResult, effect: Effect): StatementVerdict {
+export function classifyResult(result: CommandResult, effect: Effect): ResultClass {
   if (result.type === "broken") {
     if (!result.sent) return { type: "again", reason: "broken", isNotRun: true };
     if (effect === "read") return { type: "again", reason: "broken", isNotRun: false };
@@ -21,7 +21,7 @@
   }
   const { end } = result.reply;
   if (end.type === "complete") return { type: "done" };
-  if (isRepeatable(end.code)) return { type: "again", reason: end.code, isNotRun: true };
+  if (isRetryable(end.code)) return { type: "again", reason: end.code, isNotRun: true };
   if (effect === "read" && !isNotRun(end.code)) {
     return { type: "again", reason: end.code, isNotRun: false };
   }
@@ -29,7 +29,7 @@
 }
 
 /** Refusals that another target, or the same one a moment later, may not give. */
-function isRepeatable(code: ErrorCode): boolean {
+function isRetryable(code: ErrorCode): boolean {
   switch (code) {
     case "busy":
     case "lagging":
--- a/src/direct/runner.ts
+++ b/src/direct/runner.ts
@@ -1,6 +1,6 @@
 import type { Reply, SessionState, Work } from "../statement/index.js";
 import type { SessionContext } from "./context.js";
-import type { StatementEnd } from "./single.js";
+import type { StatementResult } from "./autocommit.js";
 
 /** One transaction of a session, from its beginning to its end, wherever its connection is held. */
 export interface OpenTransaction {
@@ -9,7 +9,7 @@
   /** Whether a statement of it is on its way. */
   readonly isRunning: boolean;
   /** Whether others wait for the connection that it holds in this process. */
-  readonly isWanted: boolean;
+  readonly hasWaiters: boolean;
   /** Runs a statement in it. Never rejects. */
   run(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply>;
   /** Commits it. The session is idle afterwards, whatever came of it. */
@@ -18,7 +18,7 @@
     id: string,
     text: string,
     arrivedAt: number,
-  ): Promise<StatementEnd>;
+  ): Promise<StatementResult>;
   /** Rolls it back without waiting. */
   rollback(context: SessionContext): void;
 }
@@ -29,6 +29,6 @@
  * milliseconds on the process's clock.
  */
 export interface WorkRunner {
-  runSingle(context: SessionContext, work: Work, arrivedAt: number): Promise<StatementEnd>;
+  runAutocommit(context: SessionContext, work: Work, arrivedAt: number): Promise<StatementResult>;
   openTransaction(isReadOnly: boolean): OpenTransaction;
 }
--- a/src/direct/scene.ts
+++ b/src/direct/serving-config.ts
@@ -26,7 +26,7 @@
 }
 
 /** What a proxy serves: its databases and the groups behind them. */
-export interface Scene {
+export interface ServingConfig {
   /** Of the configuration in force; 0 before any is known. Never goes back. */
   readonly revision: number;
   readonly databases: ReadonlyMap<string, Database>;
@@ -40,7 +40,7 @@
 }
 
 /** Before any configuration is known. The times hold until one brings its own. */
-export const emptyScene: Scene = {
+export const emptyServingConfig: ServingConfig = {
   revision: 0,
   databases: new Map(),
   groups: new Map(),
--- a/src/direct/session.ts
+++ b/src/direct/session.ts
@@ -13,10 +13,10 @@
 import type { SessionContext } from "./context.js";
 import type { GroupDirectory } from "./directory.js";
 import type { DirectPorts, StatementSample } from "./ports.js";
-import { watchRest } from "./rest.js";
+import { watchTransactionIdle } from "./idle.js";
 import { identifyCaller, type CallerIdentity } from "./roster.js";
 import type { OpenTransaction, WorkRunner } from "./runner.js";
-import type { StatementEnd } from "./single.js";
+import type { StatementResult } from "./autocommit.js";
 import { StatementTrace } from "./trace.js";
 
 /** What a session is opened with. */
@@ -35,12 +35,12 @@
 export const deniedReason = "no team holds this key";
 
 /** What a statement's run knows of its session, or why nothing may run. */
-type FoundContext =
+type ContextResult =
   | { readonly type: "found"; readonly context: SessionContext }
   | { readonly type: "refused"; readonly reply: Reply };
 
 /** Values and prepared statements of one session, each; beyond it a caller is refused. */
-const maxNames = 1000;
+const maxSessionEntries = 1000;
 
 /**
  * One caller's session: its values, its prepared statements and its transaction. Statements come one
@@ -50,11 +50,11 @@
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, Prepared>();
   /** The newest commit by group: a route may move the database to another. */
-  private readonly written = new Map<string, Mark>();
-  private readonly gone = new AbortController();
+  private readonly lastCommits = new Map<string, Mark>();
+  private readonly disconnect = new AbortController();
   private transaction:
     { readonly body: OpenTransaction; readonly context: SessionContext } | undefined;
-  private stopRest: (() => void) | undefined;
+  private stopIdleWatch: (() => void) | undefined;
   private isRunning = false;
 
   constructor(private readonly options: SessionOptions) {}
@@ -77,12 +77,12 @@
   async run(statement: Statement): Promise<Reply> {
     this.isRunning = true;
     this.stopIdleTimer();
-    this.endRevoked();
+    this.rollbackIfRevoked();
     try {
-      return await this.runNow(statement);
+      return await this.dispatch(statement);
     } finally {
       this.isRunning = false;
-      this.endRevoked();
+      this.rollbackIfRevoked();
       this.startIdleTimer();
     }
   }
@@ -91,7 +91,7 @@
    * Rolls back an open transaction whose team the caller's key stands for no more. Its connection was
    * opened for that team: going on, a caller whose key was taken away would write for it until it ends.
    */
-  endRevoked(): void {
+  rollbackIfRevoked(): void {
     const { transaction } = this;
     if (transaction?.body.state !== "transaction" || transaction.body.isRunning) return;
     const identity = this.identify();
@@ -110,14 +110,14 @@
 
   /** The caller has gone: what waits gives up, an open transaction is rolled back. */
   close(): void {
-    this.gone.abort();
+    this.disconnect.abort();
     this.stopIdleTimer();
     const { transaction } = this;
     if (transaction === undefined) return;
     if (!transaction.body.isRunning) transaction.body.rollback(transaction.context);
   }
 
-  private async runNow(statement: Statement): Promise<Reply> {
+  private async dispatch(statement: Statement): Promise<Reply> {
     if (this.state === "failed" && statement.type !== "commit" && statement.type !== "rollback") {
       return failLocally("malformed", "the transaction has failed; roll it back", "failed");
     }
@@ -125,7 +125,7 @@
       case "set":
         return this.setValue(statement.name, statement.value);
       case "prepare":
-        return this.prepareName(statement.name, statement.prepared);
+        return this.prepareStatement(statement.name, statement.prepared);
       case "deallocate":
         return this.deallocate(statement.name);
       case "begin":
@@ -142,15 +142,15 @@
   }
 
   private setValue(name: string, value: string): Reply {
-    if (!this.values.has(name) && this.values.size >= maxNames) {
+    if (!this.values.has(name) && this.values.size >= maxSessionEntries) {
       return failLocally("tooLarge", "the session has too many values", this.state);
     }
     this.values.set(name, value);
     return completeLocally(this.state);
   }
 
-  private prepareName(name: string, prepared: Prepared): Reply {
-    if (!this.prepared.has(name) && this.prepared.size >= maxNames) {
+  private prepareStatement(name: string, prepared: Prepared): Reply {
+    if (!this.prepared.has(name) && this.prepared.size >= maxSessionEntries) {
       return failLocally("tooLarge", "the session has too many prepared statements", this.state);
     }
     this.prepared.set(name, prepared);
@@ -195,7 +195,7 @@
       body.commit(traced, id, text, at),
     );
     this.transaction = undefined;
-    this.keepWritten(context, end);
+    this.recordCommit(context, end);
     return end.reply;
   }
 
@@ -213,16 +213,16 @@
       const end = await this.observe(context, work.id, findEffect(work), async (traced, at) => ({
         reply: await body.run(traced, work, at),
       }));
-      if (this.gone.signal.aborted) body.rollback(context);
+      if (this.disconnect.signal.aborted) body.rollback(context);
       return end.reply;
     }
     const found = this.findContext();
     if (found.type === "refused") return found.reply;
     const { context } = found;
     const end = await this.observe(context, work.id, findEffect(work), (traced, at) =>
-      this.options.runner.runSingle(traced, work, at),
+      this.options.runner.runAutocommit(traced, work, at),
     );
-    this.keepWritten(context, end);
+    this.recordCommit(context, end);
     return end.reply;
   }
 
@@ -231,8 +231,8 @@
     context: SessionContext,
     id: string,
     effect: StatementSample["effect"],
-    run: (traced: SessionContext, arrivedAt: number) => Promise<StatementEnd>,
-  ): Promise<StatementEnd> {
+    run: (traced: SessionContext, arrivedAt: number) => Promise<StatementResult>,
+  ): Promise<StatementResult> {
     const { clock, logger, onStatement } = context.ports;
     const arrivedAt = clock.now();
     const trace = new StatementTrace();
@@ -259,20 +259,20 @@
     return end;
   }
 
-  private keepWritten(context: SessionContext, end: StatementEnd): void {
-    if (end.written !== undefined) this.written.set(context.group.name, end.written);
+  private recordCommit(context: SessionContext, end: StatementResult): void {
+    if (end.commitMark !== undefined) this.lastCommits.set(context.group.name, end.commitMark);
   }
 
   private identify(): CallerIdentity {
     const { ports, database, key } = this.options;
-    const { roster, databases } = ports.scene();
+    const { roster, databases } = ports.getServingConfig();
     return identifyCaller(roster, databases.get(database) ?? {}, key);
   }
 
   /** What holds for the next transaction or statement: routes and keys may have changed. */
-  private findContext(): FoundContext {
+  private findContext(): ContextResult {
     const { ports, database: name, groups, id, nextId } = this.options;
-    const database = ports.scene().databases.get(name);
+    const database = ports.getServingConfig().databases.get(name);
     const group = database === undefined ? undefined : groups.find(database.group);
     if (database === undefined || group === undefined) {
       return { type: "refused", reply: this.failUnknownDatabase() };
@@ -288,8 +288,8 @@
       team: identity.type === "team" ? identity.team : undefined,
       group,
       values: this.values,
-      written: this.written.get(group.name),
-      gone: this.gone.signal,
+      lastCommit: this.lastCommits.get(group.name),
+      disconnectSignal: this.disconnect.signal,
       trace: new StatementTrace(),
       nextId,
     };
@@ -306,9 +306,9 @@
     const { transaction } = this;
     if (transaction?.body.state !== "transaction") return;
     const { ports, id } = this.options;
-    this.stopRest = watchRest({
-      limitMs: ports.scene().transactionIdleMs,
-      isWanted: () => transaction.body.isWanted,
+    this.stopIdleWatch = watchTransactionIdle({
+      limitMs: ports.getServingConfig().transactionIdleMs,
+      hasWaiters: () => transaction.body.hasWaiters,
       end: (restedMs) => {
         ports.logger.write(directEvents.transactionIdle, { session: id, restedMs });
         transaction.body.rollback(transaction.context);
@@ -317,8 +317,8 @@
   }
 
   private stopIdleTimer(): void {
-    this.stopRest?.();
-    this.stopRest = undefined;
+    this.stopIdleWatch?.();
+    this.stopIdleWatch = undefined;
   }
 }
 
--- a/src/direct/share.ts
+++ b/src/direct/share.ts
@@ -1,7 +1,7 @@
-import type { AnnouncedTarget } from "./scene.js";
+import type { AnnouncedTarget } from "./serving-config.js";
 
 /** What a proxy holds of the connections to the targets of one data centre. */
-export type Holding =
+export type ShareRule =
   /** Nothing: others hold them. */
   | { readonly type: "none" }
   /** As many as each of so many proxies. */
@@ -14,20 +14,20 @@
   /** Connections at any time. */
   readonly base: number;
   /** Connections while statements wait, and the target takes them. */
-  readonly most: number;
+  readonly max: number;
   /** Statements and transactions at once. */
   readonly slots: number;
 }
 
 /** For a target of which nothing is known: one connection, for what has to be done. */
-export const leastShare: ConnectionShare = { base: 1, most: 1, slots: 1 };
+export const minShare: ConnectionShare = { base: 1, max: 1, slots: 1 };
 
 /** Connections of each target that no proxy plans with: changes of primary and a newcomer use them. */
 const spareConnections = 1;
 /** Connections that a proxy may open beyond its base: more would ask a target for slots that it lacks. */
-const extraShare = 1;
+const burstConnections = 1;
 /** More at once from one of many proxies than this gains nothing at targets with a few slots. */
-const maxShare = 8;
+const maxEqualShare = 8;
 /**
  * The most of the proxy that is asked first. It has a group's transactions all to itself, which rest
  * between their statements and hold a connection meanwhile: with an equal share it refuses what its target
@@ -46,43 +46,43 @@
  * gets the callers of others that are cut off refuses them with a full queue before its few connections,
  * while its target has slots free.
  */
-export function countShare(
+export function computeShare(
   connections: number,
   target: Pick<AnnouncedTarget, "slots" | "announcedRole">,
-  holding: Holding,
+  rule: ShareRule,
 ): ConnectionShare {
   const free = connections - spareConnections;
-  switch (holding.type) {
+  switch (rule.type) {
     case "none":
-      return leastShare;
+      return minShare;
     case "equal":
-      return divideEqually(free, holding.proxies);
+      return divideEqually(free, rule.proxies);
     case "chosen":
-      return holding.isFirst
-        ? countFirst(free, holding.proxies, target)
-        : divideEqually(free / 2, holding.proxies);
+      return rule.isFirst
+        ? computeFirstShare(free, rule.proxies, target)
+        : divideEqually(free / 2, rule.proxies);
   }
 }
 
 function divideEqually(free: number, proxies: number): ConnectionShare {
-  const base = limitShare(free / (2 * Math.max(1, proxies)), maxShare);
-  const all = limitShare(free / Math.max(1, proxies), maxShare);
-  const most = Math.max(base, Math.min(all, base + extraShare));
-  return { base, most, slots: most };
+  const base = clampShare(free / (2 * Math.max(1, proxies)), maxEqualShare);
+  const all = clampShare(free / Math.max(1, proxies), maxEqualShare);
+  const max = Math.max(base, Math.min(all, base + burstConnections));
+  return { base, max: max, slots: max };
 }
 
 /** What half of the limit leaves beside the others, who take over when this one fails. */
-function countFirst(
+function computeFirstShare(
   free: number,
   proxies: number,
   { slots, announcedRole }: Pick<AnnouncedTarget, "slots" | "announcedRole">,
 ): ConnectionShare {
   const others = Math.max(0, proxies - 1) * divideEqually(free / 2, proxies).base;
-  const base = limitShare(free / 2 - others, maxFirstShare);
+  const base = clampShare(free / 2 - others, maxFirstShare);
   const limit = announcedRole === "primary" ? base : Math.min(base, readsPerSlot * slots);
-  return { base, most: base, slots: Math.max(1, limit) };
+  return { base, max: base, slots: Math.max(1, limit) };
 }
 
-function limitShare(share: number, most: number): number {
-  return Math.max(1, Math.min(most, Math.floor(share)));
+function clampShare(share: number, max: number): number {
+  return Math.max(1, Math.min(max, Math.floor(share)));
 }
--- a/src/direct/trace.ts
+++ b/src/direct/trace.ts
@@ -1,9 +1,9 @@
 import type { Mark } from "../model/index.js";
 import type { LogFields } from "../log/index.js";
-import type { Place } from "./place.js";
+import type { PlacedConnection } from "./placement.js";
 
 /** What a gateway told of a statement that it ran for this process. */
-export interface HopTrace {
+export interface GatewayTrace {
   readonly gateway: string;
   /** Empty where the statement reached no target. */
   readonly target: string;
@@ -14,37 +14,37 @@
 
 /** What decided one statement, gathered on its way for the line that tells its outcome. */
 export class StatementTrace {
-  private place: Place | undefined;
+  private placement: PlacedConnection | undefined;
   private atLeast: Mark | undefined;
-  private tries = 0;
+  private attempts = 0;
   private reason: string | undefined;
-  private hop: HopTrace | undefined;
+  private gatewayTrace: GatewayTrace | undefined;
 
   /** The role of the target that answered last; none when the statement reached no target. */
   get role(): "primary" | "replica" | "none" {
-    return this.hop?.role ?? this.place?.role ?? "none";
+    return this.gatewayTrace?.role ?? this.placement?.role ?? "none";
   }
 
   /** The target that answered last; empty when the statement reached none. */
   get target(): string {
-    return this.hop?.target ?? this.place?.target ?? "";
+    return this.gatewayTrace?.target ?? this.placement?.target ?? "";
   }
 
   /** Tries at targets. */
-  get tryCount(): number {
-    return this.hop?.tries ?? this.tries;
+  get attemptCount(): number {
+    return this.gatewayTrace?.tries ?? this.attempts;
   }
 
   /** Notes a try at a target, and the mark that it had to hold. */
-  noteTry(place: Place, atLeast?: Mark): void {
-    this.place = place;
+  noteAttempt(place: PlacedConnection, atLeast?: Mark): void {
+    this.placement = place;
     this.atLeast = atLeast;
-    this.tries += 1;
+    this.attempts += 1;
   }
 
   /** Notes what a gateway told of the statement. */
-  noteHop(hop: HopTrace): void {
-    this.hop = hop;
+  noteGateway(hop: GatewayTrace): void {
+    this.gatewayTrace = hop;
   }
 
   /** Notes why a try, or the statement, failed. */
@@ -53,7 +53,7 @@
   }
 
   describe(): LogFields {
-    const { hop, target, role, atLeast, tryCount: tries, reason } = this;
+    const { gatewayTrace: hop, target, role, atLeast, attemptCount: tries, reason } = this;
     return {
       tries,
       ...(hop === undefined ? {} : { gateway: hop.gateway }),
--- a/src/direct/prelude.ts
+++ b/src/direct/tracked-link.ts
@@ -1,19 +1,19 @@
 import type { Prepared, TargetCommand, TargetLink } from "../statement/index.js";
 
 /** The values and prepared statements that a connection or a session has. */
-export interface LinkSetup {
+export interface LinkState {
   readonly values: ReadonlyMap<string, string>;
   readonly prepared: ReadonlySet<string>;
 }
 
 /** What a statement needs of its connection. */
-export interface LinkNeeds {
+export interface LinkRequirements {
   readonly values: ReadonlyMap<string, string>;
   readonly prepared: Prepared | undefined;
 }
 
 /** More statements than this on one connection are cleared away, to bound the target's memory. */
-const maxPrepared = 256;
+const maxPreparedStatements = 256;
 
 /** The key of a prepared statement on a connection; callers' own names would collide. */
 export function formatPreparedKey({ effect, shape }: Prepared): string {
@@ -25,22 +25,25 @@
  * value left by another would change what this caller's statement does, so what differs is set, and
  * what the session lacks can only go by clearing all.
  */
-export function planPrelude(has: LinkSetup, needs: LinkNeeds): readonly TargetCommand[] {
-  const isForeign = [...has.values.keys()].some((name) => !needs.values.has(name));
-  const mustReset = isForeign || has.prepared.size > maxPrepared;
-  const commands: TargetCommand[] = mustReset ? [{ type: "reset" }] : [];
-  for (const [name, value] of needs.values) {
-    if (mustReset || has.values.get(name) !== value) commands.push({ type: "set", name, value });
+export function planLinkSetup(
+  state: LinkState,
+  requirements: LinkRequirements,
+): readonly TargetCommand[] {
+  const hasForeignValue = [...state.values.keys()].some((name) => !requirements.values.has(name));
+  const needsReset = hasForeignValue || state.prepared.size > maxPreparedStatements;
+  const commands: TargetCommand[] = needsReset ? [{ type: "reset" }] : [];
+  for (const [name, value] of requirements.values) {
+    if (needsReset || state.values.get(name) !== value) commands.push({ type: "set", name, value });
   }
-  const { prepared } = needs;
-  if (prepared !== undefined && (mustReset || !has.prepared.has(formatPreparedKey(prepared)))) {
+  const { prepared } = requirements;
+  if (prepared !== undefined && (needsReset || !state.prepared.has(formatPreparedKey(prepared)))) {
     commands.push({ type: "prepare", prepared });
   }
   return commands;
 }
 
 /** A connection with what has been set on it. */
-export class PreparedLink {
+export class TrackedLink {
   private readonly values = new Map<string, string>();
   private readonly prepared = new Set<string>();
 
@@ -55,14 +58,14 @@
   }
 
   /** Makes it fit for a session. False, and closed, when that did not go through. */
-  async prepare(needs: LinkNeeds, timeoutMs: number): Promise<boolean> {
-    for (const command of planPrelude(this.setup, needs)) {
+  async prepare(requirements: LinkRequirements, timeoutMs: number): Promise<boolean> {
+    for (const command of planLinkSetup(this.state, requirements)) {
       const result = await this.link.run(command, timeoutMs);
       if (result.type === "broken" || result.reply.end.type === "error") {
         this.close();
         return false;
       }
-      this.note(command);
+      this.recordCommand(command);
     }
     return true;
   }
@@ -71,15 +74,15 @@
   async check(timeoutMs: number): Promise<boolean> {
     const reset: TargetCommand = { type: "reset" };
     const result = await this.link.run(reset, timeoutMs);
-    this.note(reset);
+    this.recordCommand(reset);
     return result.type === "answered" && result.reply.state === "idle";
   }
 
-  get setup(): LinkSetup {
+  get state(): LinkState {
     return { values: this.values, prepared: this.prepared };
   }
 
-  private note(command: TargetCommand): void {
+  private recordCommand(command: TargetCommand): void {
     if (command.type === "reset") {
       this.values.clear();
       this.prepared.clear();
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -10,24 +10,24 @@
   type Work,
 } from "../statement/index.js";
 import { directEvents } from "../log/events/direct.js";
-import { isStillLeading, placeAttempt, sendCommand, supersededReason } from "./attempt.js";
-import { findReadNeed, type SessionContext } from "./context.js";
+import { isStillPrimary, placeAttempt, sendCommand, supersededReason } from "./attempt.js";
+import { findReadRequirement, type SessionContext } from "./context.js";
 import { describeRefusal, pauseBeforeRetry } from "./pause.js";
-import type { Place, Refused } from "./place.js";
+import type { PlacedConnection, RefusedPlacement } from "./placement.js";
 import type { OpenTransaction } from "./runner.js";
-import { lapsedReason, prepareLink, type StatementEnd } from "./single.js";
+import { rateClaimLapsedReason, prepareLink, type StatementResult } from "./autocommit.js";
 import type { RateClaim } from "../rates/index.js";
 
 /** Tries to begin; nothing has run before the first statement's answer, so each may be repeated. */
-const maxBeginTries = 64;
-const leastTryMs = 5;
+const maxBeginAttempts = 64;
+const minAttemptMs = 5;
 /** Tries of a later statement that the target had no slot for; the pauses end them by time. */
-const maxBusyTries = 64;
+const maxBusyAttempts = 64;
 /** A rollback takes no slot; without an answer in this time the connection is closed instead. */
 const rollbackTimeoutMs = 1000;
 
 /** What beginning on one connection needs. */
-interface Beginning {
+interface BeginOptions {
   readonly work: Work | undefined;
   readonly atLeast: Mark | undefined;
   readonly deadlineAt: number;
@@ -36,7 +36,7 @@
 
 type Phase =
   | { readonly type: "pending" }
-  | { readonly type: "open"; readonly place: Place }
+  | { readonly type: "open"; readonly place: PlacedConnection }
   | { readonly type: "failed"; readonly reason: string };
 
 /**
@@ -47,7 +47,7 @@
 export class Transaction implements OpenTransaction {
   private phase: Phase = { type: "pending" };
   private hasWritten = false;
-  private isBusy = false;
+  private isStatementRunning = false;
 
   constructor(private readonly isReadOnly: boolean) {}
 
@@ -57,12 +57,12 @@
 
   /** Runs a statement in it. */
   async run(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
-    return this.withBusy(async () => {
+    return this.trackRunning(async () => {
       switch (this.phase.type) {
         case "pending":
           return this.begin(context, work, arrivedAt);
         case "open":
-          return this.proceed(context, this.phase.place, work, arrivedAt);
+          return this.runOnConnection(context, this.phase.place, work, arrivedAt);
         case "failed":
           return failLocally("malformed", "the transaction has failed; roll it back", "failed");
       }
@@ -75,8 +75,8 @@
     id: string,
     text: string,
     arrivedAt: number,
-  ): Promise<StatementEnd> {
-    return this.withBusy(async () => {
+  ): Promise<StatementResult> {
+    return this.trackRunning(async () => {
       if (this.phase.type === "pending") {
         const failure = await this.open(context, undefined, arrivedAt);
         if (failure !== undefined) return { reply: { ...failure, state: "idle" } };
@@ -94,24 +94,26 @@
   rollback(context: SessionContext): void {
     const { phase } = this;
     this.phase = { type: "failed", reason: "rolled back" };
-    if (phase.type === "open") void this.releaseRolledBack(context, phase.place);
+    if (phase.type === "open") void this.rollbackAndRelease(context, phase.place);
   }
 
-  get isWanted(): boolean {
-    return this.phase.type === "open" && this.phase.place.group.isWanted(this.phase.place.target);
+  get hasWaiters(): boolean {
+    return (
+      this.phase.type === "open" && this.phase.place.group.hasWaitersFor(this.phase.place.target)
+    );
   }
 
   /** Whether a statement of it is on its way. */
   get isRunning(): boolean {
-    return this.isBusy;
+    return this.isStatementRunning;
   }
 
-  private async withBusy<T>(run: () => Promise<T>): Promise<T> {
-    this.isBusy = true;
+  private async trackRunning<T>(run: () => Promise<T>): Promise<T> {
+    this.isStatementRunning = true;
     try {
       return await run();
     } finally {
-      this.isBusy = false;
+      this.isStatementRunning = false;
     }
   }
 
@@ -119,11 +121,11 @@
     const failure = await this.open(context, work, arrivedAt);
     if (failure !== undefined) return failure;
     if (this.phase.type !== "open") throw new Error("an opened transaction has a place");
-    if (context.gone.aborted) {
+    if (context.disconnectSignal.aborted) {
       this.rollback(context);
       return failLocally("aborted", "rolled back: the caller has gone", "failed");
     }
-    return this.proceed(context, this.phase.place, work, arrivedAt);
+    return this.runOnConnection(context, this.phase.place, work, arrivedAt);
   }
 
   /**
@@ -136,17 +138,21 @@
     arrivedAt: number,
   ): Promise<Reply | undefined> {
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    const reserved = await context.ports.rates.reserve(context.team, deadlineAt, context.gone);
+    const reserved = await context.ports.rates.reserve(
+      context.team,
+      deadlineAt,
+      context.disconnectSignal,
+    );
     if (reserved.type === "refused") return this.refuse(context, { ...reserved, waitedFor: [] });
     const { claim } = reserved;
     try {
-      return await this.openWithin(context, work, arrivedAt, claim);
+      return await this.openWithClaim(context, work, arrivedAt, claim);
     } finally {
       claim.end();
     }
   }
 
-  private async openWithin(
+  private async openWithClaim(
     context: SessionContext,
     work: Work | undefined,
     arrivedAt: number,
@@ -156,10 +162,10 @@
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
     const excluded = new Set<string>();
     let reason = "out of time";
-    for (let tries = 1; tries <= maxBeginTries; tries += 1) {
-      if (clock.now() + leastTryMs >= deadlineAt) break;
+    for (let tries = 1; tries <= maxBeginAttempts; tries += 1) {
+      if (clock.now() + minAttemptMs >= deadlineAt) break;
       const need = this.isReadOnly
-        ? findReadNeed(context, arrivedAt)
+        ? findReadRequirement(context, arrivedAt)
         : ({ type: "primary" } as const);
       const placed = await placeAttempt(context, need, { excluded, deadlineAt });
       if (placed.type === "refused") {
@@ -174,10 +180,15 @@
       const { place } = placed;
       const atLeast =
         need.type === "replica" && place.role === "replica" ? need.atLeast : undefined;
-      const begun = await this.beginOn(context, place, { work, atLeast, deadlineAt, claim });
+      const begun = await this.beginOnConnection(context, place, {
+        work,
+        atLeast,
+        deadlineAt,
+        claim,
+      });
       if (begun === undefined) return undefined;
       reason = begun;
-      if (begun === lapsedReason) break;
+      if (begun === rateClaimLapsedReason) break;
       if (place.role === "replica") excluded.add(place.target);
       await pauseBeforeRetry(context.ports, tries, deadlineAt);
     }
@@ -185,20 +196,20 @@
   }
 
   /** Begins on a connection; gives why it failed, with the connection given back or closed. */
-  private async beginOn(
+  private async beginOnConnection(
     context: SessionContext,
-    place: Place,
-    { work, atLeast, deadlineAt, claim }: Beginning,
+    place: PlacedConnection,
+    { work, atLeast, deadlineAt, claim }: BeginOptions,
   ): Promise<string | undefined> {
     const prepared = findPrepared(work);
     if (!(await prepareLink(context, place, prepared, deadlineAt))) return "the connection broke";
-    if (!isStillLeading(context, place)) {
+    if (!isStillPrimary(context, place)) {
       place.release();
       return supersededReason;
     }
     if (!claim.use()) {
       place.release();
-      return lapsedReason;
+      return rateClaimLapsedReason;
     }
     const mark = atLeast === undefined ? {} : { atLeast };
     const command = { type: "begin", isReadOnly: this.isReadOnly, ...mark } as const;
@@ -211,21 +222,21 @@
       return undefined;
     }
     if (isNotRun(end.code)) claim.noteNotRun();
-    if (end.code === "lagging") place.group.noteBehind(place.target);
-    await this.releaseRolledBack(context, place);
+    if (end.code === "lagging") place.group.noteLagging(place.target);
+    await this.rollbackAndRelease(context, place);
     return end.code;
   }
 
   /** Sends a statement on the transaction's own connection. */
-  private async proceed(
+  private async runOnConnection(
     context: SessionContext,
-    place: Place,
+    place: PlacedConnection,
     work: Work,
     arrivedAt: number,
   ): Promise<Reply> {
     const { clock } = context.ports;
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    context.trace.noteTry(place);
+    context.trace.noteAttempt(place);
     for (let tries = 1; ; tries += 1) {
       if (!(await prepareLink(context, place, findPrepared(work), deadlineAt))) {
         return this.abort(context, work.id, "the connection broke");
@@ -237,7 +248,7 @@
         if (findEffect(work) === "write") this.hasWritten = true;
         return reply;
       }
-      const canWait = clock.now() + leastTryMs < deadlineAt && tries < maxBusyTries;
+      const canWait = clock.now() + minAttemptMs < deadlineAt && tries < maxBusyAttempts;
       if (reply.end.code === "busy" && reply.state === "transaction" && canWait) {
         await pauseBeforeRetry(context.ports, tries, deadlineAt);
         continue;
@@ -248,7 +259,7 @@
 
   private send(
     context: SessionContext,
-    place: Place,
+    place: PlacedConnection,
     work: Work,
     leftMs: number,
   ): Promise<CommandResult> {
@@ -256,10 +267,10 @@
   }
 
   /** A statement's error fails the whole transaction, which is rolled back at once. */
-  private failWith(context: SessionContext, place: Place, reply: Reply): Reply {
+  private failWith(context: SessionContext, place: PlacedConnection, reply: Reply): Reply {
     if (reply.end.type !== "error") return reply;
     this.phase = { type: "failed", reason: reply.end.code };
-    void this.releaseRolledBack(context, place);
+    void this.rollbackAndRelease(context, place);
     const { code, text } = reply.end;
     if (isNotRun(code)) return { ...reply, state: "failed" };
     // It ran, but what it did was rolled back with the rest: nothing is kept.
@@ -278,12 +289,16 @@
    * Rolls back in place of a commit at a target that leads no more. One that nobody could make step
    * back would still take the commit: its caller would be told of a write that the new primary lacks.
    */
-  private abandon(context: SessionContext, place: Place, id: string): Reply {
-    void this.releaseRolledBack(context, place);
+  private rollbackInsteadOfCommit(
+    context: SessionContext,
+    place: PlacedConnection,
+    id: string,
+  ): Reply {
+    void this.rollbackAndRelease(context, place);
     return { ...this.abort(context, id, supersededReason), state: "idle" };
   }
 
-  private refuse(context: SessionContext, refused: Omit<Refused, "type">): Reply {
+  private refuse(context: SessionContext, refused: Omit<RefusedPlacement, "type">): Reply {
     const { logger } = context.ports;
     const { reason, retryAfterMs, waitedFor } = refused;
     const fields = { session: context.session, reason, retryAfterMs, waitedFor };
@@ -295,17 +310,17 @@
 
   private async sendCommit(
     context: SessionContext,
-    place: Place,
+    place: PlacedConnection,
     id: string,
     text: string,
     arrivedAt: number,
-  ): Promise<StatementEnd> {
+  ): Promise<StatementResult> {
     const { clock, logger } = context.ports;
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    context.trace.noteTry(place);
+    context.trace.noteAttempt(place);
     for (let tries = 1; ; tries += 1) {
-      if (this.hasWritten && !isStillLeading(context, place)) {
-        return { reply: this.abandon(context, place, id) };
+      if (this.hasWritten && !isStillPrimary(context, place)) {
+        return { reply: this.rollbackInsteadOfCommit(context, place, id) };
       }
       const command = { type: "commit", id, text } as const;
       const leftMs = Math.max(1, deadlineAt - clock.now());
@@ -313,11 +328,11 @@
       if (result.type === "broken") {
         logger.write(directEvents.commitUnanswered, { id, reason: result.reason });
         this.phase = { type: "failed", reason: result.reason };
-        return { reply: this.describeLostCommit(result.reason) };
+        return { reply: this.makeLostCommitReply(result.reason) };
       }
       const { reply } = result;
       const isBusy = reply.end.type === "error" && reply.end.code === "busy";
-      const canWait = clock.now() + leastTryMs < deadlineAt && tries < maxBusyTries;
+      const canWait = clock.now() + minAttemptMs < deadlineAt && tries < maxBusyAttempts;
       if (isBusy && reply.state === "transaction" && canWait) {
         await pauseBeforeRetry(context.ports, tries, deadlineAt);
         continue;
@@ -327,24 +342,31 @@
     }
   }
 
-  private finishCommit(context: SessionContext, place: Place, reply: Reply): StatementEnd {
+  private finishCommit(
+    context: SessionContext,
+    place: PlacedConnection,
+    reply: Reply,
+  ): StatementResult {
     if (reply.state === "idle") place.release();
-    else void this.releaseRolledBack(context, place);
+    else void this.rollbackAndRelease(context, place);
     const ended = { ...reply, state: "idle" } as const;
     const isWritten = this.hasWritten && reply.end.type === "complete";
     return isWritten && reply.mark !== undefined
-      ? { reply: ended, written: reply.mark }
+      ? { reply: ended, commitMark: reply.mark }
       : { reply: ended };
   }
 
   /** A transaction that wrote nothing leaves nothing behind, whether its commit ran or not. */
-  private describeLostCommit(reason: string): Reply {
+  private makeLostCommitReply(reason: string): Reply {
     return this.hasWritten
       ? failLocally("inDoubt", `the commit may have run: ${reason}`, "idle")
       : failLocally("aborted", `nothing was written: ${reason}`, "idle");
   }
 
-  private async releaseRolledBack(context: SessionContext, place: Place): Promise<void> {
+  private async rollbackAndRelease(
+    context: SessionContext,
+    place: PlacedConnection,
+  ): Promise<void> {
     const result = await sendCommand(context, place, { type: "rollback" }, rollbackTimeoutMs);
     if (result.type === "answered" && result.reply.state === "idle") place.release();
     else place.drop();
--- a/src/feed/state.ts
+++ b/src/feed/state.ts
@@ -1,5 +1,5 @@
-import type { AnnouncedTarget, Scene } from "../direct/index.js";
-import { emptyScene } from "../direct/index.js";
+import type { AnnouncedTarget, ServingConfig } from "../direct/index.js";
+import { emptyServingConfig } from "../direct/index.js";
 import type { ListedTarget, RefusedEntry, RouteTable, TargetListing } from "./feed.js";
 
 /** What a proxy knows of the platform's store. Times are on its clock, in milliseconds. */
@@ -73,8 +73,8 @@
 }
 
 /** The scene that follows from what is known. */
-export function makeScene({ routes, targets }: FeedState): Scene {
-  if (routes === undefined) return emptyScene;
+export function makeScene({ routes, targets }: FeedState): ServingConfig {
+  if (routes === undefined) return emptyServingConfig;
   const groups = new Map<string, AnnouncedTarget[]>();
   for (const name of routes.connections.keys()) groups.set(name, []);
   for (const { group, target } of targets.values()) groups.get(group)?.push(target);
--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -1,4 +1,4 @@
-import { describeRefusal, type SessionContext, type StatementEnd } from "../direct/index.js";
+import { describeRefusal, type SessionContext, type StatementResult } from "../direct/index.js";
 import { gatewayEvents } from "../log/events/gateway.js";
 import { failLocally, type Reply } from "../statement/index.js";
 import type { GatewayAnswer } from "./codec.js";
@@ -7,8 +7,8 @@
 const noGatewayRetryMs = 500;
 
 /** What a gateway's answer means to the session. */
-export function toEnd({ reply, isWritten }: GatewayAnswer): StatementEnd {
-  return isWritten && reply.mark !== undefined ? { reply, written: reply.mark } : { reply };
+export function toEnd({ reply, isWritten }: GatewayAnswer): StatementResult {
+  return isWritten && reply.mark !== undefined ? { reply, commitMark: reply.mark } : { reply };
 }
 
 /** The answer where no gateway took a statement. Nothing has run. */
--- a/src/gateway/codec.ts
+++ b/src/gateway/codec.ts
@@ -40,7 +40,7 @@
   readonly session: string;
   readonly database: Database;
   readonly values: ReadonlyMap<string, string>;
-  readonly written: Mark | undefined;
+  readonly lastCommit: Mark | undefined;
   /** The name of its team; absent where it is nobody's in particular. */
   readonly teamName: string | undefined;
 }
@@ -116,7 +116,7 @@
     session,
     database: { name, group, action },
     values: new Map(Object.entries(values)),
-    written: written === undefined ? undefined : decodeMark(written),
+    lastCommit: written === undefined ? undefined : decodeMark(written),
     teamName: team,
   };
 }
@@ -166,7 +166,7 @@
 }
 
 function encodeSession(context: SessionContext, leftMs: number): SessionPart {
-  const { session, database, values, written, team } = context;
+  const { session, database, values, lastCommit: written, team } = context;
   const { route, priority, maxQueueMs } = database.action;
   const maxAgeMs = route.type === "primary" ? undefined : route.maxAgeMs;
   return create(SessionPartSchema, {
--- a/src/gateway/router.ts
+++ b/src/gateway/router.ts
@@ -1,4 +1,4 @@
-import type { AnnouncedGroup, Holding, PrimaryState } from "../direct/index.js";
+import type { AnnouncedGroup, ShareRule, PrimaryState } from "../direct/index.js";
 import type { Proxy } from "../leadership/index.js";
 import { chooseGateways, isGateway, listGateways, type GatewayPlan } from "./choose.js";
 import { orderGateways } from "./route.js";
@@ -78,7 +78,7 @@
   }
 
   /** What this process holds of the connections to a group's targets in one data centre. */
-  findHolding(group: string, dataCentre: string): Holding {
+  findHolding(group: string, dataCentre: string): ShareRule {
     if (!this.isGateway(group)) return { type: "none" };
     const plan = this.findPlan(group);
     const proxies = Math.max(1, this.listHolders(group).length);
--- a/src/gateway/runner.ts
+++ b/src/gateway/runner.ts
@@ -2,7 +2,7 @@
   directRunner,
   type OpenTransaction,
   type SessionContext,
-  type StatementEnd,
+  type StatementResult,
   type WorkRunner,
 } from "../direct/index.js";
 import type { Effect } from "../model/index.js";
@@ -22,12 +22,16 @@
     private readonly links: GatewayLinks,
   ) {}
 
-  async runSingle(context: SessionContext, work: Work, arrivedAt: number): Promise<StatementEnd> {
+  async runAutocommit(
+    context: SessionContext,
+    work: Work,
+    arrivedAt: number,
+  ): Promise<StatementResult> {
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
     const ways = this.router.openWays(context.group.name, needsPrimary(context, work));
     const end = await tryWays(context, ways, deadlineAt, async (way) =>
       way.type === "here"
-        ? directRunner.runSingle(context, work, arrivedAt)
+        ? directRunner.runAutocommit(context, work, arrivedAt)
         : this.tryAt(way, context, work, deadlineAt),
     );
     return end ?? { reply: refuseUnplaced(context, work.id, "idle") };
@@ -43,10 +47,11 @@
     context: SessionContext,
     work: Work,
     deadlineAt: number,
-  ): Promise<StatementEnd | undefined> {
+  ): Promise<StatementResult | undefined> {
     const leftMs = countLeftMs(context, deadlineAt);
     const link = this.links.open(gateway);
-    if (link === undefined || leftMs < leastTripMs || context.gone.aborted) return undefined;
+    if (link === undefined || leftMs < leastTripMs || context.disconnectSignal.aborted)
+      return undefined;
     const step = encodeRun(context, work, leftMs, noTransaction);
     const result = await makeTrip(this.links, link, gateway.vm, context, step, leftMs);
     return judgeTrip(result, findEffect(work));
@@ -62,7 +67,7 @@
  * What follows from a trip; nothing where another gateway may be asked. A write that left and was not
  * answered may have run, and must never be sent again; a read has no effect to repeat.
  */
-export function judgeTrip(result: TripResult, effect: Effect): StatementEnd | undefined {
+export function judgeTrip(result: TripResult, effect: Effect): StatementResult | undefined {
   switch (result.type) {
     case "answered":
       return toEnd(result.answer);
--- a/src/gateway/served.ts
+++ b/src/gateway/served.ts
@@ -4,12 +4,12 @@
 import {
   directRunner,
   StatementTrace,
-  watchRest,
+  watchTransactionIdle,
   type DirectPorts,
   type GroupDirectory,
   type OpenTransaction,
   type SessionContext,
-  type StatementEnd,
+  type StatementResult,
 } from "../direct/index.js";
 import { directEvents } from "../log/events/direct.js";
 import { gatewayEvents } from "../log/events/gateway.js";
@@ -142,7 +142,7 @@
     if (context === undefined) return;
     if (step.transaction === 0) {
       await this.answer(call, context, () =>
-        directRunner.runSingle(context, work, context.ports.clock.now()),
+        directRunner.runAutocommit(context, work, context.ports.clock.now()),
       );
       return;
     }
@@ -204,7 +204,7 @@
     this.calls.set(call, abort);
     const { direct: ports, nextId } = this.ports;
     const trace = new StatementTrace();
-    return { ...session, team, ports, group, gone: abort.signal, trace, nextId };
+    return { ...session, team, ports, group, disconnectSignal: abort.signal, trace, nextId };
   }
 
   /**
@@ -213,7 +213,7 @@
    */
   private findTeam(name: string | undefined): Team | "unknown" | undefined {
     if (name === undefined) return undefined;
-    return this.ports.direct.scene().roster?.findByName(name) ?? "unknown";
+    return this.ports.direct.getServingConfig().roster?.findByName(name) ?? "unknown";
   }
 
   private findTransaction(
@@ -233,11 +233,11 @@
   private async answer(
     call: number,
     { trace }: SessionContext,
-    run: () => Promise<StatementEnd>,
+    run: () => Promise<StatementResult>,
   ): Promise<void> {
     try {
-      const { reply, written } = await run();
-      const { target, role, tryCount: tries } = trace;
+      const { reply, commitMark: written } = await run();
+      const { target, role, attemptCount: tries } = trace;
       const answer = { reply, isWritten: written !== undefined, target, role, tries };
       this.send(call, { case: "reply", value: encodeAnswer(answer) });
     } finally {
@@ -260,10 +260,10 @@
       this.endTransaction(id);
       return;
     }
-    const limitMs = this.ports.direct.scene().transactionIdleMs + idleMarginMs;
-    held.stopRest = watchRest({
+    const limitMs = this.ports.direct.getServingConfig().transactionIdleMs + idleMarginMs;
+    held.stopRest = watchTransactionIdle({
       limitMs,
-      isWanted: () => held.body.isWanted,
+      hasWaiters: () => held.body.hasWaiters,
       end: (restedMs) => {
         const { session } = held.context;
         this.ports.direct.logger.write(directEvents.transactionIdle, { session, restedMs });
--- a/src/gateway/transaction.ts
+++ b/src/gateway/transaction.ts
@@ -2,7 +2,7 @@
   directRunner,
   type OpenTransaction,
   type SessionContext,
-  type StatementEnd,
+  type StatementResult,
 } from "../direct/index.js";
 import { directEvents } from "../log/events/direct.js";
 import {
@@ -61,8 +61,8 @@
   }
 
   /** What is held at a gateway is that gateway's to end. */
-  get isWanted(): boolean {
-    return this.place.type === "here" && this.place.body.isWanted;
+  get hasWaiters(): boolean {
+    return this.place.type === "here" && this.place.body.hasWaiters;
   }
 
   async run(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
@@ -79,7 +79,7 @@
     id: string,
     text: string,
     arrivedAt: number,
-  ): Promise<StatementEnd> {
+  ): Promise<StatementResult> {
     this.isBusy = true;
     try {
       const end = await this.commitNow(context, id, text, arrivedAt);
@@ -130,7 +130,7 @@
     id: string,
     text: string,
     arrivedAt: number,
-  ): Promise<StatementEnd> {
+  ): Promise<StatementResult> {
     if (this.place.type === "over") {
       const reply = failLocally("aborted", "the transaction failed and was rolled back", "idle");
       return { reply };
@@ -147,7 +147,11 @@
   }
 
   /** A transaction that wrote nothing leaves nothing behind, whether its commit ran or not. */
-  private takeCommitResult(context: SessionContext, id: string, result: TripResult): StatementEnd {
+  private takeCommitResult(
+    context: SessionContext,
+    id: string,
+    result: TripResult,
+  ): StatementResult {
     if (result.type === "answered") return toEnd(result.answer);
     const reason = describeFailure(result);
     const maySent = result.type === "broken" && result.sent && this.hasWritten;
@@ -206,7 +210,8 @@
   ): Promise<TripResult | undefined> {
     const leftMs = countLeftMs(context, deadlineAt);
     const link = this.links.open(gateway);
-    if (link === undefined || leftMs < leastTripMs || context.gone.aborted) return undefined;
+    if (link === undefined || leftMs < leastTripMs || context.disconnectSignal.aborted)
+      return undefined;
     const transaction = link.takeTransactionId();
     const { vm } = gateway;
     this.place = { type: "gateway", vm, link, id: transaction };
--- a/src/gateway/trip.ts
+++ b/src/gateway/trip.ts
@@ -31,11 +31,11 @@
   step: RequestStep,
   leftMs: number,
 ): Promise<TripResult> {
-  const result = await link.call(step, leftMs + answerMarginMs, context.gone);
+  const result = await link.call(step, leftMs + answerMarginMs, context.disconnectSignal);
   switch (result.type) {
     case "answered":
       links.noteAnswer(vm);
-      context.trace.noteHop(toHop(vm, result.answer));
+      context.trace.noteGateway(toHop(vm, result.answer));
       break;
     case "turnedAway":
       links.noteFailure(vm, result.reason);
@@ -62,7 +62,7 @@
  * look at the store, 0.1 s later; where the one before it leaves meanwhile, every caller was refused.
  */
 export async function tryWays<T>(
-  { ports: { clock }, gone }: SessionContext,
+  { ports: { clock }, disconnectSignal: gone }: SessionContext,
   { listWays, onNobody }: WaySource,
   deadlineAt: number,
   tryWay: (way: Way) => Promise<T | undefined>,
--- a/src/leadership/keeper.ts
+++ b/src/leadership/keeper.ts
@@ -132,7 +132,8 @@
       this.ports.logger.write(event, { version: this.current.version });
     }
     if (isNow) this.permitLostAt = undefined;
-    if (!isNow) return { type: "changing", backInMs: this.estimatePermitMs(), reason: unpermitted };
+    if (!isNow)
+      return { type: "changing", readyInMs: this.estimatePermitMs(), reason: unpermitted };
     return this.findLeader(group);
   }
 
@@ -142,12 +143,12 @@
     if (entry === undefined) return this.findAnnounced(group);
     const target = entry.type === "serving" ? entry.target : this.findMade(group, entry);
     if (target === undefined) {
-      return { type: "changing", backInMs: this.estimateBackMs(group), reason: beingMade };
+      return { type: "changing", readyInMs: this.estimateBackMs(group), reason: beingMade };
     }
     const isListed = this.ports.listTargets(group).some((t) => t.name === target);
     if (isListed && !this.hasLostLog(group, target)) return { type: "serving", target };
     const reason = isListed ? lostLog : "the primary's entry is missing";
-    return { type: "changing", backInMs: usualChangeMs, reason };
+    return { type: "changing", readyInMs: usualChangeMs, reason };
   }
 
   /** The primary of a group by what is held, listed or not. */
@@ -235,11 +236,11 @@
     const leaders = this.ports.listTargets(group).filter((t) => t.announcedRole === "primary");
     const [leader] = leaders;
     if (leader === undefined) {
-      return { type: "changing", backInMs: usualChangeMs, reason: "no target says that it leads" };
+      return { type: "changing", readyInMs: usualChangeMs, reason: "no target says that it leads" };
     }
     if (leaders.length > 1) return { type: "unknown", reason: "two targets claim to be primary" };
     if (this.hasLostLog(group, leader.name)) {
-      return { type: "changing", backInMs: usualChangeMs, reason: lostLog };
+      return { type: "changing", readyInMs: usualChangeMs, reason: lostLog };
     }
     return { type: "serving", target: leader.name };
   }
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -1,4 +1,4 @@
-import type { Scene } from "../direct/index.js";
+import type { ServingConfig } from "../direct/index.js";
 import type { DirectPeerClient } from "../directpeer/index.js";
 import type { RouteTable } from "../feed/index.js";
 import { countMemberQuota } from "../gateway/index.js";
@@ -35,7 +35,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly onScene: (scene: Scene) => void;
+  readonly onScene: (scene: ServingConfig) => void;
   /** After each look, whatever it brought. */
   readonly onLook: () => void;
 }
@@ -72,7 +72,7 @@
     this.confirmer = new PeerConfirmer({ vm, peers, keeper, members: this.members, clock });
   }
 
-  get scene(): Scene {
+  get scene(): ServingConfig {
     return this.keptScene.scene;
   }
 
--- a/src/node/forwarding.ts
+++ b/src/node/forwarding.ts
@@ -1,7 +1,7 @@
 import type {
   DirectPorts,
   GroupDirectory,
-  Holding,
+  ShareRule,
   PrimaryState,
   WorkRunner,
 } from "../direct/index.js";
@@ -89,7 +89,7 @@
   }
 
   /** What this node holds of the connections to a group's targets in one data centre. */
-  findHolding(group: string, dataCentre: string): Holding {
+  findHolding(group: string, dataCentre: string): ShareRule {
     if (this.isOn) return this.router.findHolding(group, dataCentre);
     return { type: "equal", proxies: Math.max(1, this.ports.listProxies().length) };
   }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -1,8 +1,8 @@
 import {
-  Callers,
+  CallerRegistry,
   GroupDirectory,
   type DirectPorts,
-  type Scene,
+  type ServingConfig,
   type StatementSample,
 } from "../direct/index.js";
 import { DirectPeerClient, DirectPeerServer } from "../directpeer/index.js";
@@ -67,7 +67,7 @@
   private readonly follower: StoreFollower;
   private readonly directPorts: DirectPorts;
   private readonly groups: GroupDirectory;
-  private readonly callers: Callers;
+  private readonly callers: CallerRegistry;
   private readonly forwarding: Forwarding;
   private readonly watch: ProxyWatch;
   private readonly rates: NodeRates;
@@ -175,7 +175,7 @@
     );
     this.directPorts = this.createDirectPorts();
     this.groups = this.owned.add(new GroupDirectory(this.directPorts));
-    this.callers = new Callers(
+    this.callers = new CallerRegistry(
       adapter.callerCodec,
       this.directPorts,
       this.groups,
@@ -197,7 +197,7 @@
       onAnnounce: () => this.changer.stop(),
       onRefuseNew: () => {
         this.server.refuseNew();
-        this.callers.closeIdle();
+        this.callers.drain();
       },
     });
   }
@@ -247,8 +247,8 @@
       clock,
       random,
       logger,
-      scene: () => this.follower.scene,
-      findHolding: (group, dataCentre) => this.forwarding.findHolding(group, dataCentre),
+      getServingConfig: () => this.follower.scene,
+      findShareRule: (group, dataCentre) => this.forwarding.findHolding(group, dataCentre),
       rates: this.rates.gate,
       onStatement: (sample) => this.recordStatement(sample),
     };
@@ -337,10 +337,10 @@
   private planMove(isReady: boolean): void {
     clearTimeout(this.moveTimer);
     if (isReady) return;
-    this.moveTimer = setTimeout(() => this.callers.moveIdle(), passedByMs).unref();
+    this.moveTimer = setTimeout(() => this.callers.closeIdleNow(), passedByMs).unref();
   }
 
-  private noteScene(scene: Scene): void {
+  private noteScene(scene: ServingConfig): void {
     this.groups.update(scene);
     this.rates.look();
     this.callers.endRevoked();
--- a/src/node/rates.ts
+++ b/src/node/rates.ts
@@ -1,4 +1,4 @@
-import type { Scene, TeamRoster } from "../direct/index.js";
+import type { ServingConfig, TeamRoster } from "../direct/index.js";
 import type { DirectPeerClient } from "../directpeer/index.js";
 import type { LeadershipKeeper, Proxy } from "../leadership/index.js";
 import type { Logger } from "../log/index.js";
@@ -32,7 +32,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly scene: () => Scene;
+  readonly scene: () => ServingConfig;
 }
 
 /** A node's part in keeping teams to their rates: its share of them, and tokens to and from its peers. */
--- a/src/node/scene.ts
+++ b/src/node/scene.ts
@@ -1,4 +1,4 @@
-import { emptyScene, type Scene } from "../direct/index.js";
+import { emptyServingConfig, type ServingConfig } from "../direct/index.js";
 import {
   applyRoutes,
   applyTargets,
@@ -27,7 +27,7 @@
   readonly store: Pick<PlatformFeed, "readRecords" | "writeRecord">;
   readonly clock: Pick<Clock, "now">;
   readonly logger: Logger;
-  readonly onScene: (scene: Scene) => void;
+  readonly onScene: (scene: ServingConfig) => void;
 }
 
 /** Faulty teams that a log line names. */
@@ -36,7 +36,7 @@
 /** What a node knows of the configuration and the targets, from whomever it has it. */
 export class SceneKeeper {
   private feed: FeedState = firstFeedState;
-  private current: Scene = emptyScene;
+  private current: ServingConfig = emptyServingConfig;
   /** By entry: the field for which it names no target. */
   private refusedEntries: ReadonlyMap<string, string> = new Map();
   private readonly recorder: TargetRecorder;
@@ -47,7 +47,7 @@
     this.recorder = new TargetRecorder(ports);
   }
 
-  get scene(): Scene {
+  get scene(): ServingConfig {
     return this.current;
   }
 
--- a/test/direct/fairness.test.ts
+++ b/test/direct/fairness.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, expect, test } from "@jest/globals";
 import { TeamRoster } from "../../src/direct/index.js";
-import { answered, read, Stage } from "./stage.js";
+import { answered, read, ProxyFixture } from "./fixture.js";
 
-let stage: Stage;
+let stage: ProxyFixture;
 
 afterEach(() => stage.dispose());
 
@@ -13,7 +13,7 @@
     { name: "hot", plan: "paying", keys: ["h"] },
     { name: "calm", plan: "paying", keys: ["c"] },
   ]);
-  stage = new Stage({ targets: ["p"], slots: 1, proxies: 8, roster });
+  stage = new ProxyFixture({ targets: ["p"], slots: 1, proxies: 8, roster });
   const hot = Array.from({ length: 12 }, (_, i) =>
     stage.open("primary", { key: "h" }).run(read(`h${i}`)),
   );
--- a/test/direct/stage.ts
+++ b/test/direct/fixture.ts
@@ -2,8 +2,8 @@
   GroupDirectory,
   type Database,
   type DirectPorts,
-  type Holding,
-  type Scene,
+  type ShareRule,
+  type ServingConfig,
   type TeamRoster,
 } from "../../src/direct/index.js";
 import { directRunner } from "../../src/direct/direct.js";
@@ -23,13 +23,13 @@
 import { FakeClock, makeRandom, settle } from "../fleet/fakes.js";
 
 /** A command that a stage's target has got; answered by the test. */
-export interface Sent {
+export interface SentCommand {
   readonly target: string;
   readonly command: TargetCommand;
   readonly answer: (result?: CommandResult) => void;
 }
 
-export interface StageOptions {
+export interface FixtureOptions {
   readonly targets?: readonly string[];
   readonly proxies?: number;
   readonly connections?: number;
@@ -46,48 +46,48 @@
 });
 
 /** One proxy's way from a statement to its targets, without a network and with time that stands still. */
-export class Stage {
+export class ProxyFixture {
   readonly clock = new FakeClock();
-  readonly sent: Sent[] = [];
+  readonly sent: SentCommand[] = [];
   /** Primaries that were told to be silent. */
-  readonly silent: string[] = [];
+  readonly silentPrimaries: string[] = [];
   /** Whether the test answers what begins a transaction too. */
-  isHoldingBegins = false;
+  isBeginHeld = false;
   /** Targets of connections that were closed. */
-  readonly closed: string[] = [];
+  readonly closedConnections: string[] = [];
   /** Primaries that were told to have lost their log. */
-  readonly emptied: string[] = [];
+  readonly lostLogPrimaries: string[] = [];
   /** What the proxy holds of the targets' connections. */
-  holding: Holding;
+  shareRule: ShareRule;
   primary: PrimaryState = { type: "serving", target: "p" };
   readonly groups: GroupDirectory;
   readonly ports: DirectPorts;
   private next = 1;
-  private readonly scene: Scene;
+  private readonly scene: ServingConfig;
 
-  constructor(options: StageOptions = {}) {
+  constructor(options: FixtureOptions = {}) {
     const scene = makeScene(options);
-    this.holding = { type: "equal", proxies: options.proxies ?? 1 };
+    this.shareRule = { type: "equal", proxies: options.proxies ?? 1 };
     this.ports = {
       dialer: {
         open: (_group, target) => Promise.resolve(this.makeLink(target.name)),
-        isTooMany: () => false,
+        isTooManyConnections: () => false,
       },
       dataCentre: "a",
       primaries: {
         find: () => this.primary,
         noteContact: () => undefined,
         noteLostLog: (_group, target) => {
-          this.emptied.push(target);
-          this.primary = { type: "changing", backInMs: 900, reason: "lost" };
+          this.lostLogPrimaries.push(target);
+          this.primary = { type: "changing", readyInMs: 900, reason: "lost" };
         },
-        noteSilence: (_group, target) => this.silent.push(target),
+        noteSilence: (_group, target) => this.silentPrimaries.push(target),
       },
       clock: this.clock,
       random: makeRandom(1),
       logger: silentLogger,
-      scene: () => scene,
-      findHolding: () => this.holding,
+      getServingConfig: () => scene,
+      findShareRule: () => this.shareRule,
       rates: openGate,
       onStatement: () => undefined,
     };
@@ -97,8 +97,8 @@
   }
 
   /** Changes what the proxy holds, as a change of the listed proxies does. */
-  hold(holding: Holding): void {
-    this.holding = holding;
+  setShareRule(holding: ShareRule): void {
+    this.shareRule = holding;
     this.groups.update(this.scene);
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** The commands of one kind that a target has got. */
-  list(target: string, type: TargetCommand["type"]): readonly Sent[] {
+  list(target: string, type: TargetCommand["type"]): readonly SentCommand[] {
     return this.sent.filter((s) => s.target === target && s.command.type === type);
   }
 
@@ -143,7 +143,7 @@
         if (!isUsable || isInUse) {
           return Promise.resolve({ type: "broken", sent: false, reason: "closed or in use" });
         }
-        const isHeld = command.type === "begin" && this.isHoldingBegins;
+        const isHeld = command.type === "begin" && this.isBeginHeld;
         if (!isHeld && (command.type === "begin" || command.type === "rollback")) {
           this.sent.push({ target, command, answer: () => undefined });
           const state = command.type === "begin" ? "transaction" : "idle";
@@ -159,7 +159,7 @@
         });
       },
       close: () => {
-        if (isUsable) this.closed.push(target);
+        if (isUsable) this.closedConnections.push(target);
         isUsable = false;
       },
     };
@@ -179,7 +179,7 @@
   text: "WRITE cello taken",
 });
 
-function makeScene(options: StageOptions): Scene {
+function makeScene(options: FixtureOptions): ServingConfig {
   const names = options.targets ?? ["p", "q"];
   const targets = names.map((name, i) => ({
     name,
--- a/test/direct/superseded.test.ts
+++ b/test/direct/superseded.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, test } from "@jest/globals";
-import { answered, group, read, Stage, write } from "./stage.js";
+import { answered, group, read, ProxyFixture, write } from "./fixture.js";
 
-let stage: Stage;
+let stage: ProxyFixture;
 
 afterEach(() => stage.dispose());
 
@@ -9,7 +9,7 @@
 // primary is replaced. Sent to the old one, the read would be answered by what is a replica by now, and
 // its caller would miss commits that the new primary has acknowledged.
 test("a read that waited while the primary was replaced goes to the new one", async () => {
-  stage = new Stage({ proxies: 16 });
+  stage = new ProxyFixture({ proxies: 16 });
   const first = stage.open("primary").run(read("1"));
   await stage.advance(1);
   const second = stage.open("primary").run(read("2"));
@@ -26,7 +26,7 @@
 // The primary goes dark: the statement that has its only connection gets no answer, and another waits
 // behind it. The primary is replaced; the second goes to the new one without waiting for the first.
 test("what waits for a primary that was replaced does not wait for its silent statements", async () => {
-  stage = new Stage({ proxies: 16 });
+  stage = new ProxyFixture({ proxies: 16 });
   const first = stage.open("primary").run(read("1"));
   await stage.advance(1);
   const second = stage.open("primary").run(read("2"));
@@ -44,14 +44,14 @@
 // to step back. It would take the commit, which the new primary lacks. It is rolled back instead, and
 // the caller hears that nothing is kept.
 test("a transaction does not commit at a primary that was replaced", async () => {
-  stage = new Stage();
+  stage = new ProxyFixture();
   const session = stage.open("primary");
   await session.run({ type: "begin", id: "1", isReadOnly: false });
   const written = session.run(write("2"));
   await stage.advance(1);
   stage.list("p", "work")[0]?.answer(answered("transaction"));
   expect((await written).end.type).toBe("complete");
-  stage.primary = { type: "changing", backInMs: 500, reason: "made anew" };
+  stage.primary = { type: "changing", readyInMs: 500, reason: "made anew" };
   const end = await session.run({ type: "commit", id: "3", text: "COMMIT" });
   expect(end).toMatchObject({ end: { type: "error", code: "aborted" }, state: "idle" });
   expect(stage.list("p", "commit")).toHaveLength(0);
@@ -61,14 +61,14 @@
 // A proxy's place among those that hold a group's connections goes to another. Kept open, its connections
 // would stand beside the other's for good, and the target would refuse some of them.
 test("a proxy that holds a group's connections no more closes them, and may open one", async () => {
-  stage = new Stage();
+  stage = new ProxyFixture();
   const first = stage.open("primary").run(read("1"));
   await stage.advance(1);
   stage.list("p", "work")[0]?.answer(answered());
   await first;
-  stage.hold({ type: "none" });
+  stage.setShareRule({ type: "none" });
   await stage.advance(1);
-  expect(stage.closed).toContain("p");
+  expect(stage.closedConnections).toContain("p");
   const second = stage.open("primary").run(read("2"));
   await stage.advance(1);
   stage.list("p", "work")[1]?.answer(answered());
--- a/test/direct/transaction.test.ts
+++ b/test/direct/transaction.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, test } from "@jest/globals";
-import { answered, Stage, write } from "./stage.js";
+import { answered, ProxyFixture, write } from "./fixture.js";
 
-let stage: Stage;
+let stage: ProxyFixture;
 
 afterEach(() => stage.dispose());
 
@@ -12,7 +12,7 @@
 // Its connection answers each time. Taken as silent for the age of its grant, it was closed after 10 s
 // and the caller's commit was answered with an error.
 test("a long transaction keeps its connection as long as it answers", async () => {
-  stage = new Stage();
+  stage = new ProxyFixture();
   const session = stage.open("primary");
   await session.run({ type: "begin", id: "0", isReadOnly: false });
   for (let i = 1; i <= 8; i += 1) {
--- a/test/gateway/hop.test.ts
+++ b/test/gateway/hop.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, expect, test } from "@jest/globals";
 import type { DirectSession } from "../../src/direct/session.js";
 import type { Mark } from "../../src/model/index.js";
-import { answered } from "../direct/stage.js";
+import { answered } from "../direct/fixture.js";
 import { waitUntil } from "../node/cluster.js";
 import {
   begin,
@@ -217,8 +217,8 @@
 // connection and its slot for good, and the statement need not run any more.
 test("a transaction that was ended while it began gives its connection back", async () => {
   const gateway = await startOne();
-  gateway.stage.hold({ type: "equal", proxies: 16 });
-  gateway.stage.isHoldingBegins = true;
+  gateway.stage.setShareRule({ type: "equal", proxies: 16 });
+  gateway.stage.isBeginHeld = true;
   const leaving = hop.open("primary");
   await leaving.run(begin("1"));
   void leaving.run(makeWrite("2"));
@@ -246,14 +246,14 @@
   await waitUntil(() => gateway.server.countBusy() === 1);
   gateway.stage.list("p", "work")[0]?.answer(answered("transaction"));
   await waitForSent(gateway, "rollback");
-  expect(gateway.stage.closed).toEqual([]);
+  expect(gateway.stage.closedConnections).toEqual([]);
 });
 
 // A caller begins, writes and stays away. Its transaction has the only connection to the primary, and
 // another caller's statement waits for it: that one is served, though the first might rest for 3 s.
 test("a transaction that rests gives its connection to who waits for it", async () => {
   const gateway = await startOne();
-  gateway.stage.hold({ type: "equal", proxies: 16 });
+  gateway.stage.setShareRule({ type: "equal", proxies: 16 });
   const away = hop.open("primary");
   await openWritten(away, gateway);
   const waiting = hop.open("primary").run(makeWrite("3"));
--- a/test/gateway/hop.ts
+++ b/test/gateway/hop.ts
@@ -11,13 +11,13 @@
 import { DisposableStore, type Address } from "../../src/model/index.js";
 import type { Reply, Statement } from "../../src/statement/index.js";
 import { createSystemClock } from "../../src/system/index.js";
-import { group, Stage } from "../direct/stage.js";
+import { group, ProxyFixture } from "../direct/fixture.js";
 import { findAddress, waitUntil } from "../node/cluster.js";
 
 /** One gateway of a hop: what it sends to its targets, and the link to it. */
 export interface HopGateway {
   readonly vm: string;
-  readonly stage: Stage;
+  readonly stage: ProxyFixture;
   readonly link: FaultyLink;
   readonly address: Address;
   readonly server: GatewayServer;
@@ -28,7 +28,7 @@
 /** A node that holds no connections, and gateways that do, with links between that can fail. */
 export class Hop {
   readonly gateways: HopGateway[] = [];
-  readonly node = new Stage();
+  readonly node = new ProxyFixture();
   private readonly owned = new DisposableStore();
   private readonly links: GatewayLinks;
   private readonly runner: RoutedRunner;
@@ -44,7 +44,7 @@
       vm: "vm-entry",
       dataCentre: "a",
       listProxies: () => this.proxies,
-      findGroup: (name) => this.node.ports.scene().groups.get(name),
+      findGroup: (name) => this.node.ports.getServingConfig().groups.get(name),
       findLeader: () => ({ type: "serving", target: "p" }),
       isListed: () => false,
       onNobody: () => (this.unplaced += 1),
@@ -105,7 +105,7 @@
   }
 
   private async addGateway(vm: string): Promise<void> {
-    const stage = new Stage();
+    const stage = new ProxyFixture();
     const address = await findAddress();
     const link = new FaultyLink(() => address);
     const advertised = await link.start();
