--- a/src/direct/attempt.ts
+++ b/src/direct/attempt.ts
@@ -9,16 +9,16 @@
 } from "./placement.js";
 
 /**
- * From this time without an answer on a primary counts as silent and is looked after, in milliseconds:
- * longer than most statements take, 14 to 55 ms on average. Statements run out of their time one after the
- * other on few connections: a dark primary would be suspected seconds later.
+ * A primary that has not answered for this long is reported as silent, in milliseconds. This is longer than
+ * most statements take, 14 to 55 ms on average. Waiting for statements to time out instead would delay the
+ * suspicion of an unreachable primary by seconds, as they time out one after the other on few connections.
  */
 const silenceThresholdMs = 150;
 
-/** Finds a target for one try of a session's statement or transaction, and takes a connection to it. */
+/** Finds a target for one attempt at a statement or transaction, and acquires a connection to it. */
 export function placeAttempt(
-  { ports, group, database, team, nextId, disconnectSignal: gone }: SessionContext,
-  need: ReadRequirement,
+  { ports, group, database, team, nextId, disconnectSignal }: SessionContext,
+  requirement: ReadRequirement,
   limits: Pick<PlacementRequest, "excluded" | "deadlineAt">,
 ): Promise<PlacementResult> {
   return placeStatement(ports, group, {
@@ -26,61 +26,71 @@
     id: nextId(),
     database,
     team: team?.name ?? "",
-    needsPrimary: need.type === "primary",
-    hasRequiredMark: need.type === "replica",
+    needsPrimary: requirement.type === "primary",
+    hasRequiredMark: requirement.type === "replica",
     isBackground: database.action.priority === "browsing",
-    signal: gone,
+    signal: disconnectSignal,
   });
 }
 
-/** Tells when the target has left what was sent to it without an answer for too long. */
-export function startSilenceTimer(context: SessionContext, place: PlacedConnection): () => void {
-  if (place.role !== "primary") return () => undefined;
+/**
+ * Starts a timer that reports the primary as silent unless the returned function is called in time. Does
+ * nothing for replicas.
+ */
+export function startSilenceTimer(
+  context: SessionContext,
+  placement: PlacedConnection,
+): () => void {
+  if (placement.role !== "primary") return () => undefined;
   const { clock, primaries } = context.ports;
-  const since = clock.now();
+  const sentAt = clock.now();
   const timer = setTimeout(() => {
-    primaries.noteSilence(place.group.name, place.target, since);
+    primaries.noteSilence(placement.group.name, placement.target, sentAt);
   }, silenceThresholdMs);
   return () => clearTimeout(timer);
 }
 
 /**
- * Sends one command on a held connection and takes in what the answer tells of the target. A
- * connection that broke is closed for good.
+ * Sends one command on a held connection and updates the target's health, log position and contact state
+ * from the result. A broken connection is dropped.
  */
 export async function sendCommand(
   context: SessionContext,
-  place: PlacedConnection,
+  placement: PlacedConnection,
   command: TargetCommand,
   timeoutMs: number,
 ): Promise<CommandResult> {
   const { clock, primaries } = context.ports;
   const askedAt = clock.now();
-  const stopWatch = startSilenceTimer(context, place);
-  const result = await place.link.link.run(command, timeoutMs);
-  stopWatch();
+  const stopTimer = startSilenceTimer(context, placement);
+  const result = await placement.link.link.run(command, timeoutMs);
+  stopTimer();
   const isAnswered = result.type === "answered";
-  if (place.role === "primary") {
-    primaries.noteContact(place.group.name, place.target, isAnswered && !hasRefusedWrites(result));
+  if (placement.role === "primary") {
+    primaries.noteContact(
+      placement.group.name,
+      placement.target,
+      isAnswered && !hasRefusedWrites(result),
+    );
   }
   if (!isAnswered) {
-    place.group.noteFailure(place.target);
-    place.drop();
+    placement.group.noteFailure(placement.target);
+    placement.drop();
     return result;
   }
-  place.noteProgress();
-  place.group.noteAnswer(place.target);
-  if (hasReportedBusy(result)) place.group.noteSaturated(place.target);
-  notePosition(context, place, result.reply.mark, askedAt);
+  placement.noteProgress();
+  placement.group.noteAnswer(placement.target);
+  if (hasReportedBusy(result)) placement.group.noteSaturated(placement.target);
+  notePosition(context, placement, result.reply.mark, askedAt);
   return result;
 }
 
-/** A primary that takes no writes any more has lost the lead to another. */
+/** Whether the target rejected a write as read-only: it is no longer the primary. */
 function hasRefusedWrites(result: CommandResult): boolean {
   return hasFailedWith(result, "readOnly");
 }
 
-/** All slots of the target were taken. */
+/** Whether all slots of the target were taken. */
 function hasReportedBusy(result: CommandResult): boolean {
   return hasFailedWith(result, "busy");
 }
@@ -92,32 +102,32 @@
 }
 
 /**
- * Whether a target still is what it was chosen as. Asked right before a statement is sent to a
- * primary: for up to its whole time it has waited for a slot and a connection, and a primary that was
- * replaced meanwhile answers a plain read as the replica that it is by now. Its caller would miss what
- * the new one acknowledged. Whoever replaces a primary waits until every proxy knows, or its
- * permission has lapsed, so that what is sent after this question is never late.
+ * Whether a target that was chosen as primary still is the primary. Checked right before a statement is
+ * sent, because waiting for a slot and a connection may have taken up to the statement's whole time. A
+ * primary that was replaced meanwhile answers plain reads as a replica, and the caller would miss commits
+ * that the new primary acknowledged. The check suffices because a change of primary waits until every
+ * proxy has learnt of it or its permission to use the old primary has expired.
  */
-export function isStillPrimary(context: SessionContext, place: PlacedConnection): boolean {
-  if (place.role !== "primary") return true;
-  const primary = context.ports.primaries.find(place.group.name);
-  return primary.type === "serving" && primary.target === place.target;
+export function isStillPrimary(context: SessionContext, placement: PlacedConnection): boolean {
+  if (placement.role !== "primary") return true;
+  const primary = context.ports.primaries.find(placement.group.name);
+  return primary.type === "serving" && primary.target === placement.target;
 }
 
-/** Why a statement was not sent to a target that leads no more. */
-export const supersededReason = "the target leads no more";
+/** Why a statement was not sent to a target that was replaced as primary. */
+export const supersededReason = "the target is no longer the primary";
 
 /**
- * Notes where the primary's log ended. Asked whether it is still the primary after its answer came:
- * the mark of one that was superseded meanwhile would make old data look young.
+ * Records where the primary's log ended. Checks after the answer that the target is still the primary: the
+ * mark of a replaced primary would make stale data count as fresh.
  */
 function notePosition(
   context: SessionContext,
-  place: PlacedConnection,
+  placement: PlacedConnection,
   mark: Mark | undefined,
   askedAt: number,
 ): void {
-  if (mark === undefined || place.role !== "primary") return;
-  if (!isStillPrimary(context, place)) return;
-  place.group.notePrimaryMark(place.target, mark, askedAt);
+  if (mark === undefined || placement.role !== "primary") return;
+  if (!isStillPrimary(context, placement)) return;
+  placement.group.notePrimaryMark(placement.target, mark, askedAt);
 }
--- a/src/direct/autocommit.ts
+++ b/src/direct/autocommit.ts
@@ -20,39 +20,41 @@
 import { classifyResult } from "./result-class.js";
 import { describeRefusal, pauseBeforeRetry } from "./pause.js";
 
-/** The answer to a statement, and the commit that it made, where it made one. */
+/** The answer to a statement, and the mark of its commit if it committed a write. */
 export interface StatementResult {
   readonly reply: Reply;
   readonly commitMark?: Mark;
 }
 
 /**
- * The part of a statement's time after which a read without an answer is asked again elsewhere: its
- * connection may have gone silent for good, and the other half is left for the second try.
+ * The fraction of a statement's deadline that one attempt at a read may take before it is retried elsewhere,
+ * as its connection may be dead. It leaves enough time for a second attempt.
  */
 const readAttemptFraction = 0.4;
-/** Tries of one statement; with pauses of 2 to 25 ms they end by time on any route. */
+/** Attempts at one statement; with pauses of 2 to 25 ms the deadline ends them first on any route. */
 const maxAttempts = 64;
-/** Below this no answer can come: two network passes and the shortest work. */
+/** With less time left no answer can arrive: it needs a network round trip and the shortest run time. */
 const minAttemptMs = 5;
 
-/** Why a statement is refused that its team's rate has no room for any more. */
-export const rateClaimLapsedReason =
-  "it waited for longer than its team's rate was set aside for it";
+/** Why a statement is refused whose reservation from its team's rate limit has expired. */
+export const rateClaimLapsedReason = "its reservation from the team's rate limit expired";
 
-/** Told after the last try: a slot is likely to be free by then. */
+/** The retry hint after the last attempt: a slot is likely to be free by then. */
 const outOfTimeRetryMs = 50;
 
 interface AttemptState {
   readonly deadlineAt: number;
-  /** What the statement may run on, within its team's rate. */
+  /** The statement's reservation from its team's rate limit. */
   readonly claim: RateClaim;
   readonly excluded: Set<string>;
   attempts: number;
   lastReason: string;
 }
 
-/** Runs one statement outside a transaction, with as many tries as its time and promises allow. */
+/**
+ * Runs one statement outside a transaction. Retries it until its deadline, unless an attempt may have taken
+ * effect.
+ */
 export async function runAutocommit(
   context: SessionContext,
   work: Work,
@@ -66,7 +68,7 @@
   );
   if (reserved.type === "refused") return refuse(context, work, { ...reserved, waitedFor: [] });
   const { claim } = reserved;
-  const progress: AttemptState = {
+  const state: AttemptState = {
     deadlineAt,
     claim,
     excluded: new Set(),
@@ -74,7 +76,7 @@
     lastReason: "",
   };
   try {
-    return await retryUntilDone(context, work, arrivedAt, progress);
+    return await retryUntilDone(context, work, arrivedAt, state);
   } finally {
     claim.end();
   }
@@ -84,39 +86,39 @@
   context: SessionContext,
   work: Work,
   arrivedAt: number,
-  progress: AttemptState,
+  state: AttemptState,
 ): Promise<StatementResult> {
   const { clock } = context.ports;
-  const { deadlineAt } = progress;
-  while (progress.attempts < maxAttempts && clock.now() + minAttemptMs < deadlineAt) {
-    progress.attempts += 1;
-    const end = await attemptOnce(context, work, arrivedAt, progress);
+  const { deadlineAt } = state;
+  while (state.attempts < maxAttempts && clock.now() + minAttemptMs < deadlineAt) {
+    state.attempts += 1;
+    const end = await attemptOnce(context, work, arrivedAt, state);
     if (end !== undefined) return end;
   }
-  return giveUp(context, work, progress);
+  return giveUp(context, work, state);
 }
 
-/** One try; gives the answer, or nothing when another try may follow. */
+/** Makes one attempt. Returns the answer, or undefined if another attempt may follow. */
 async function attemptOnce(
   context: SessionContext,
   work: Work,
   arrivedAt: number,
-  progress: AttemptState,
+  state: AttemptState,
 ): Promise<StatementResult | undefined> {
-  const { deadlineAt, excluded } = progress;
-  const need = findRequirement(context, work, arrivedAt);
-  const placed = await placeAttempt(context, need, { excluded, deadlineAt });
+  const { deadlineAt, excluded } = state;
+  const requirement = findRequirement(context, work, arrivedAt);
+  const placed = await placeAttempt(context, requirement, { excluded, deadlineAt });
   switch (placed.type) {
     case "refused":
       return refuse(context, work, placed);
     case "unreachable":
       excluded.add(placed.target);
-      progress.lastReason = placed.reason;
+      state.lastReason = placed.reason;
       context.trace.noteReason(`${placed.target}: ${placed.reason}`);
-      await pauseBeforeRetry(context.ports, progress.attempts, deadlineAt);
+      await pauseBeforeRetry(context.ports, state.attempts, deadlineAt);
       return undefined;
     case "placed":
-      return runOnConnection(context, work, placed.place, need, progress);
+      return runOnConnection(context, work, placed.placement, requirement, state);
   }
 }
 
@@ -138,45 +140,48 @@
   return { reply: failLocally("busy", describeRefusal(reason, retryAfterMs), "idle") };
 }
 
-/** Runs the statement on a connection and judges what came of it. */
+/** Runs the statement on a connection. Returns undefined if another attempt may follow. */
 async function runOnConnection(
   context: SessionContext,
   work: Work,
-  place: PlacedConnection,
-  need: ReadRequirement,
-  progress: AttemptState,
+  placement: PlacedConnection,
+  requirement: ReadRequirement,
+  state: AttemptState,
 ): Promise<StatementResult | undefined> {
-  const { deadlineAt, excluded } = progress;
+  const { deadlineAt, excluded } = state;
   const prepared = work.type === "execute" ? work.prepared : undefined;
-  if (!(await prepareLink(context, place, prepared, deadlineAt))) {
-    progress.lastReason = "the connection broke while it was prepared";
-    excluded.add(place.target);
+  if (!(await prepareLink(context, placement, prepared, deadlineAt))) {
+    state.lastReason = "the connection broke while its session state was being set";
+    excluded.add(placement.target);
     return undefined;
   }
-  if (!isStillPrimary(context, place)) {
-    place.release();
-    progress.lastReason = supersededReason;
+  if (!isStillPrimary(context, placement)) {
+    placement.release();
+    state.lastReason = supersededReason;
     return undefined;
   }
-  if (!progress.claim.use()) {
-    place.release();
+  if (!state.claim.use()) {
+    placement.release();
     return refuse(context, work, { reason: rateClaimLapsedReason, retryAfterMs: 0, waitedFor: [] });
   }
-  const atLeast = need.type === "replica" && place.role === "replica" ? need.atLeast : undefined;
-  context.trace.noteAttempt(place, atLeast);
+  const atLeast =
+    requirement.type === "replica" && placement.role === "replica"
+      ? requirement.atLeast
+      : undefined;
+  context.trace.noteAttempt(placement, atLeast);
   const command = { type: "work", work, ...(atLeast === undefined ? {} : { atLeast }) } as const;
   const timeoutMs = findAttemptTimeout(work, deadlineAt - context.ports.clock.now(), context);
-  const result = await sendCommand(context, place, command, timeoutMs);
-  place.release();
-  const verdict = classifyResult(result, findEffect(work));
-  switch (verdict.type) {
+  const result = await sendCommand(context, placement, command, timeoutMs);
+  placement.release();
+  const outcome = classifyResult(result, findEffect(work));
+  switch (outcome.type) {
     case "done":
-      return finish(work, result.type === "answered" ? result.reply : undefined, place.role);
+      return finish(work, result.type === "answered" ? result.reply : undefined, placement.role);
     case "inDoubt":
-      return { reply: failLocally("inDoubt", `may have run: ${verdict.reason}`, "idle") };
-    case "again":
-      if (verdict.isNotRun) progress.claim.noteNotRun();
-      await handleFailedAttempt(context, place, verdict.reason, progress);
+      return { reply: failLocally("inDoubt", `may have run: ${outcome.reason}`, "idle") };
+    case "retry":
+      if (outcome.isNotRun) state.claim.noteNotRun();
+      await handleFailedAttempt(context, placement, outcome.reason, state);
       return undefined;
   }
 }
@@ -186,7 +191,7 @@
   reply: Reply | undefined,
   role: PlacedConnection["role"],
 ): StatementResult {
-  if (reply === undefined) throw new Error("a statement that is done has a reply");
+  if (reply === undefined) throw new Error("a completed statement must have a reply");
   const isWritten = findEffect(work) === "write" && reply.end.type === "complete";
   const { mark } = reply;
   return isWritten && role === "primary" && mark !== undefined
@@ -194,42 +199,42 @@
     : { reply };
 }
 
-/** Makes the connection fit for the session and what it runs next. Closed when that fails. */
+/** Sets the session's state and the prepared statement on the connection. Drops it and returns false on failure. */
 export async function prepareLink(
   context: SessionContext,
-  place: PlacedConnection,
+  placement: PlacedConnection,
   prepared: Prepared | undefined,
   deadlineAt: number,
 ): Promise<boolean> {
   const leftMs = deadlineAt - context.ports.clock.now();
-  const stopWatch = startSilenceTimer(context, place);
-  const isFit = await place.link.prepare({ values: context.values, prepared }, leftMs);
-  stopWatch();
+  const stopTimer = startSilenceTimer(context, placement);
+  const isFit = await placement.link.prepare({ values: context.values, prepared }, leftMs);
+  stopTimer();
   if (!isFit) {
-    place.group.noteFailure(place.target);
-    place.drop();
+    placement.group.noteFailure(placement.target);
+    placement.drop();
   }
   return isFit;
 }
 
-/** Takes in why a try failed: the next goes elsewhere, or comes a little later. */
+/** Records why an attempt failed, so that the next one goes to another target or follows after a pause. */
 async function handleFailedAttempt(
   context: SessionContext,
-  place: PlacedConnection,
+  placement: PlacedConnection,
   reason: string,
-  progress: AttemptState,
+  state: AttemptState,
 ): Promise<void> {
-  const { excluded } = progress;
-  progress.lastReason = reason;
+  const { excluded } = state;
+  state.lastReason = reason;
   context.trace.noteReason(reason);
-  if (place.role === "replica") excluded.add(place.target);
+  if (placement.role === "replica") excluded.add(placement.target);
   if (reason === "lagging") {
-    place.group.noteLagging(place.target);
+    placement.group.noteLagging(placement.target);
     return;
   }
-  if (reason === "busy" && place.role === "replica" && progress.attempts === 1) return;
+  if (reason === "busy" && placement.role === "replica" && state.attempts === 1) return;
   if (reason === "busy") excluded.clear();
-  await pauseBeforeRetry(context.ports, progress.attempts, progress.deadlineAt);
+  await pauseBeforeRetry(context.ports, state.attempts, state.deadlineAt);
 }
 
 function findAttemptTimeout(work: Work, leftMs: number, context: SessionContext): number {
@@ -237,11 +242,11 @@
   return Math.min(leftMs, context.database.action.deadlineMs * readAttemptFraction);
 }
 
-/** Out of time. A write whose tries were all refused has not run; a read has no effect to lose. */
-function giveUp(context: SessionContext, work: Work, progress: AttemptState): StatementResult {
+/** Refuses a statement that ran out of time or attempts. Writes were refused each time; reads have no effect. */
+function giveUp(context: SessionContext, work: Work, state: AttemptState): StatementResult {
   const { logger } = context.ports;
-  const { attempts: tries, lastReason } = progress;
+  const { attempts: tries, lastReason } = state;
   logger.write(directEvents.givenUp, { id: work.id, session: context.session, tries, lastReason });
-  const reason = `out of time after ${tries} tries, the last: ${lastReason}`;
+  const reason = `no result after ${tries} attempts; last failure: ${lastReason}`;
   return { reply: failLocally("busy", describeRefusal(reason, outOfTimeRetryMs), "idle") };
 }
--- a/src/direct/callers.ts
+++ b/src/direct/callers.ts
@@ -8,37 +8,37 @@
 import { digestKey } from "./digest.js";
 import { deniedReason, DirectSession } from "./session.js";
 
-/** What a caller's line says. */
+/** A parsed line of a caller. */
 export type CallerMessage =
   | { readonly type: "start"; readonly database: string; readonly key: string }
   | { readonly type: "statement"; readonly statement: Statement }
   | { readonly type: "end" }
-  /** A statement that can't be read: it is answered, and the session goes on. */
+  /** A malformed statement: it is answered with an error, and the session continues. */
   | { readonly type: "badStatement"; readonly reason: string }
   | { readonly type: "unreadable"; readonly reason: string };
 
-/** How callers' lines are read and answers written. */
+/** Parses callers' lines and encodes the answers. */
 export interface CallerCodec {
   parse(line: string): CallerMessage;
   encodeReady(state: SessionState): string;
-  /** An error with nothing after it: the connection is closed. */
+  /** Encodes an error after which the connection is closed. */
   encodeFatalError(reply: Reply): string;
   encodeReply(reply: Reply): string;
 }
 
 /**
- * How long a caller that opens a session waits for the first configuration, in milliseconds: callers
- * give up after 2 s. After a loss of power while the store is away all wait for its return; refused after
- * 0.5 s they had used up their tries before it.
+ * How long a caller that opens a session waits for the first configuration, in milliseconds. Callers give up
+ * after 2 s. After a power loss while the store is unavailable all callers wait for the store; when refused
+ * after 0.5 s, they use up their attempts before it returns.
  */
 const configWaitMs = 1500;
 const configPollMs = 20;
-/** Told when none has come by then: the store is away, and looked for every 250 ms. */
+/** The retry hint if no configuration has arrived by then. An unavailable store is polled every 250 ms. */
 const configRetryMs = 500;
-/** Lines of one caller that wait for their turn; beyond it the caller breaks the protocol. */
+/** The largest number of queued lines of one caller; more are a protocol violation. */
 const maxQueuedLines = 64;
 
-/** The callers of this proxy: one handler and one session for each connection. */
+/** Accepts the connections of callers. Each has its own handler and session. */
 export class CallerRegistry {
   private readonly connections = new Set<CallerConnection>();
   private nextSession = 1;
@@ -56,7 +56,7 @@
     return this.connections.size;
   }
 
-  /** Callers whose connection can't be closed without cutting something off. */
+  /** Counts the callers with a statement or transaction in progress. */
   countBusy(): number {
     return [...this.connections].filter((c) => !c.isIdle).length;
   }
@@ -77,26 +77,26 @@
     return caller;
   }
 
-  /** From now on sessions are closed between two operations. */
+  /** Closes idle sessions now, and the others as soon as they become idle. */
   drain(): void {
     this.isDraining = true;
     for (const caller of this.connections) caller.closeIfIdle();
   }
 
-  /** Closes the sessions that are idle now; those that come later stay. */
+  /** Closes the sessions that are idle now; later sessions are not affected. */
   closeIdleNow(): void {
     for (const caller of this.connections) caller.closeIfIdle();
   }
 
   /**
-   * Ends what a new configuration no longer allows: sessions whose key was taken away, between two
-   * operations, and the transactions that they have open.
+   * Applies the revocation of keys by a new configuration: rolls back the open transactions of affected
+   * sessions, and closes sessions that are no longer allowed once they are idle.
    */
   endRevoked(): void {
     for (const caller of this.connections) caller.endIfRevoked();
   }
 
-  /** Ends open transactions, which have had their time. */
+  /** Rolls back open idle transactions when the time for draining is over. */
   endTransactions(): void {
     for (const caller of this.connections) caller.endTransaction();
   }
@@ -131,7 +131,9 @@
   handleLine(line: string): void {
     if (this.isEnded) return;
     if (this.queuedLines.length >= maxQueuedLines) {
-      this.rejectAndClose(failLocally("malformed", "too many lines at once", "idle"));
+      this.rejectAndClose(
+        failLocally("malformed", `more than ${maxQueuedLines} lines are queued`, "idle"),
+      );
       return;
     }
     this.queuedLines.push(line);
@@ -141,13 +143,13 @@
   handleUnreadable(reason: "tooLong" | "strayBreak"): void {
     const reply =
       reason === "tooLong"
-        ? failLocally("tooLarge", "a line is longer than allowed", "idle")
+        ? failLocally("tooLarge", "a line exceeds the length limit", "idle")
         : failLocally("malformed", "a line break is not CR LF", "idle");
     this.rejectAndClose(reply);
   }
 
   handleStall(): void {
-    this.rejectAndClose(failLocally("malformed", "half a line came and nothing after it", "idle"));
+    this.rejectAndClose(failLocally("malformed", "a line was not completed in time", "idle"));
   }
 
   handleClose(): void {
@@ -204,7 +206,7 @@
   private async start(database: string, key: string): Promise<void> {
     const { codec, ports, groups, runner, session: id, nextId } = this.options;
     if (this.session !== undefined) {
-      this.rejectAndClose(failLocally("malformed", "the session has begun already", "idle"));
+      this.rejectAndClose(failLocally("malformed", "the session has already started", "idle"));
       return;
     }
     if (!(await this.waitForConfig())) {
@@ -228,20 +230,20 @@
     this.connection.write(codec.encodeReady("idle"));
   }
 
-  /** Right after a start a database is unknown only because no configuration has come yet. */
+  /** Waits for the first configuration, without which every database would be unknown right after a start. */
   private async waitForConfig(): Promise<boolean> {
-    const { getServingConfig: scene, clock } = this.options.ports;
+    const { getServingConfig, clock } = this.options.ports;
     const until = clock.now() + configWaitMs;
-    while (scene().revision === 0 && clock.now() < until && !this.isEnded) {
+    while (getServingConfig().revision === 0 && clock.now() < until && !this.isEnded) {
       await clock.sleep(configPollMs);
     }
-    return scene().revision > 0;
+    return getServingConfig().revision > 0;
   }
 
   private async runStatement(statement: Statement): Promise<void> {
     const { codec } = this.options;
     if (this.session === undefined) {
-      this.rejectAndClose(failLocally("malformed", "the session has not begun", "idle"));
+      this.rejectAndClose(failLocally("malformed", "the session has not started", "idle"));
       return;
     }
     const reply = await this.session.run(statement);
--- a/src/direct/candidates.ts
+++ b/src/direct/candidates.ts
@@ -1,46 +1,47 @@
 import type { TargetHealth } from "./health.js";
 import type { PrimaryState } from "./primary.js";
 
-/** A target as the choice sees it. */
+/** The state of a target that the choice of one depends on. */
 export interface CandidateTarget {
   readonly name: string;
   readonly isLeaving: boolean;
-  /** In this proxy's own data centre. */
+  /** Whether it is in this proxy's data centre. */
   readonly isLocal: boolean;
   readonly health: TargetHealth;
-  /** Statements of this proxy that it works on now. */
+  /** Statements and transactions of this proxy that hold a connection to it. */
   readonly running: number;
-  /** Whether a connection to it that serves the statement's team is free. */
+  /** Whether an idle connection to it serves the statement's team. */
   readonly hasIdle: boolean;
+  /** This proxy's slots at the target. */
   readonly slots: number;
-  /** Of these, taken by what works there or waits for a connection. */
+  /** Slots taken by statements that run there or wait for a connection. */
   readonly occupiedSlots: number;
 }
 
-/** What a statement asks of its target. */
+/** The constraints of a statement on its target. */
 export interface PlacementConstraints {
   readonly needsPrimary: boolean;
-  /** Whether a replica must prove that it holds a mark. */
+  /** Whether a replica's log must contain a given mark. */
   readonly hasRequiredMark: boolean;
-  /** It must not take what more important work may need. */
+  /** Whether it must leave capacity for more important statements. */
   readonly isBackground: boolean;
-  /** Targets that have refused this statement already. */
+  /** Targets that have already refused this statement. */
   readonly excluded: ReadonlySet<string>;
 }
 
 /**
- * Failures after which a primary gets one statement at a time. One more than a replica: there is no other
- * to go to, and one lost answer should hold up nobody.
+ * Consecutive failures after which a primary gets one statement at a time. It is one more than for a replica:
+ * statements have no other primary to go to, and a single lost answer should not delay them.
  */
 const primaryProbeFailures = 2;
-/** What waits for that one looks again after this: about a new connection's time of 12 ms, and its work. */
+/** The wait for that one statement: about the 12 ms of opening a connection plus its run time. */
 const probeRetryMs = 50;
-/** What opening a connection is to a target, in statements. */
+/** The load of opening a connection, in running statements. */
 const connectionOpeningLoad = 0.5;
-/** Why a statement waits, or is refused after it has waited. */
-const primaryFailingReason = "the primary has left statements without an answer just now";
+/** Why a statement waits, or is refused after waiting. */
+const primaryFailingReason = "the primary has not answered recent statements";
 
-/** Where a statement may go. */
+/** The targets that may take a statement, or why there is none. */
 export type CandidateChoice =
   | {
       readonly type: "targets";
@@ -51,9 +52,9 @@
   | { readonly type: "nowhere"; readonly reason: string };
 
 /**
- * Chooses the targets that may take a statement. Reads go to replicas: the primary's slots are what
- * writes cannot do without. They fall back on it when no replica is fit, and go to it at once where it
- * is near and idle.
+ * Chooses the targets that may take a statement. Reads prefer replicas, since writes need the primary's
+ * slots. They use the primary when no replica is eligible, or when it is idle and in this data centre while
+ * no local replica is idle.
  */
 export function chooseCandidates(
   constraints: PlacementConstraints,
@@ -86,8 +87,8 @@
 }
 
 /**
- * The primary, unless it left statements without an answer just now: whoever comes meanwhile would wait
- * in vain for a connection, and be told only when its time is over that nothing ran.
+ * Chooses the primary unless it has just failed to answer. Statements sent to it then would wait in vain for
+ * a connection and be refused only at their deadline.
  */
 function choosePrimary(
   primary: PrimaryState,
@@ -112,10 +113,10 @@
 }
 
 /**
- * Whether a read may go to the primary though replicas are fit: where it is in this data centre, works
- * on nothing of this proxy's and has turned nobody away lately. Each proxy keeps at most one such read
- * on it, so that writes find a slot; background work keeps away from it altogether. Without it
- * reads leave their data centre past an idle primary, and pay for the way.
+ * Whether a read may go to the primary although replicas are eligible: the primary is in this data centre,
+ * runs nothing of this proxy and has not been saturated recently. Each proxy has at most one such read on it,
+ * so that writes find a slot; background statements are excluded. Without this rule reads would pay for
+ * traffic to another data centre while a local primary is idle.
  */
 function canReadFromLocalPrimary(
   candidate: CandidateTarget,
@@ -130,12 +131,12 @@
 }
 
 /**
- * A target that fails gets one statement at a time, to find out whether it is back; the others go
- * elsewhere. Each that is sent to one that went dark waits up to 0.4 s for a connection, longer than its
- * callers' aim, and those that queue behind it are refused.
+ * Whether a failing target already has the one statement that probes for its recovery; others then go
+ * elsewhere. Each statement sent to an unreachable target waits up to 0.4 s for a connection, longer than
+ * callers' latency target, and statements queued behind it are refused.
  */
-function isBeingProbed({ health, occupiedSlots: held }: CandidateTarget): boolean {
-  return health.failures > 0 && held > 0;
+function isBeingProbed({ health, occupiedSlots }: CandidateTarget): boolean {
+  return health.failures > 0 && occupiedSlots > 0;
 }
 
 function isEligible(
@@ -150,15 +151,18 @@
 }
 
 /**
- * The least busy target alone while one has a free slot, else all, for whichever frees one first.
- * A target to which a connection has to be opened first counts as busier by a part of a statement: that
- * takes about 12 ms and one of its slots. Ties go to this data centre, whose links cost nothing, and are drawn
- * otherwise: were they broken by name, every idle proxy would send to the same target.
+ * The running statements plus the load of opening a connection if none is idle, which takes about 12 ms
+ * and one of the target's slots.
  */
 function measureLoad({ running, hasIdle }: CandidateTarget): number {
   return running + (hasIdle ? 0 : connectionOpeningLoad);
 }
 
+/**
+ * Picks the least loaded target with a free slot, or all targets if none has one, so that the first to free a
+ * slot takes the statement. Ties prefer this data centre, where traffic is free, and are otherwise broken at
+ * random: broken by name, they would make every idle proxy send to the same target.
+ */
 function pickLeastLoaded(
   candidates: readonly CandidateTarget[],
   random: () => number,
--- a/src/direct/context.ts
+++ b/src/direct/context.ts
@@ -4,36 +4,36 @@
 import type { Database } from "./serving-config.js";
 import type { StatementTrace } from "./trace.js";
 
-/** What a statement's run knows of its session. */
+/** The session state and dependencies that running one statement needs. */
 export interface SessionContext {
   readonly ports: DirectPorts;
   readonly session: string;
   readonly database: Database;
-  /** Whose statement it is; absent where it is nobody's in particular. */
+  /** The team that the statement runs for; absent for anonymous callers. */
   readonly team: Team | undefined;
   readonly group: DirectGroup;
   readonly values: ReadonlyMap<string, string>;
-  /** The newest commit that the session was told of; absent when it has written nothing. */
+  /** The latest commit acknowledged to this session in this group; absent before its first write. */
   readonly lastCommit: Mark | undefined;
-  /** Aborts when the caller has gone: what has not begun need not begin. */
+  /** Aborts when the caller disconnects, so that queued work is not started. */
   readonly disconnectSignal: AbortSignal;
-  /** What decided the statement that runs now. */
+  /** Records how the current statement was routed and retried, for its log line. */
   readonly trace: StatementTrace;
-  /** Makes ids that no other try of this process has. */
+  /** Generates an id for an attempt that is unique within this process. */
   readonly nextId: () => string;
 }
 
-/** How much fresher than asked the required mark is, for the way back to the caller's clock. */
+/** Tightens the staleness limit to allow for the time that the answer takes to reach the caller. */
 const ageMarginMs = 100;
 
-/** What a read needs of its target: the primary itself, or a mark that a replica must hold. */
+/** What a read requires of its target: that it is the primary, or that its log contains a mark. */
 export type ReadRequirement =
   { readonly type: "primary" } | { readonly type: "replica"; readonly atLeast: Mark };
 
 /**
- * What makes a read that arrived at `arrivedAt` fresh enough. A replica's data counts as young
- * enough only if it holds a mark at which the primary was seen within the allowed age. Without such
- * a sighting the primary answers, which brings one.
+ * Determines which target is fresh enough for a read that arrived at `arrivedAt`. A replica qualifies
+ * only if its log contains a mark that the primary reported within the allowed age. If no such mark is
+ * known, the read goes to the primary, whose answer provides one.
  */
 export function findReadRequirement(context: SessionContext, arrivedAt: number): ReadRequirement {
   const { route } = context.database.action;
--- a/src/direct/directory.ts
+++ b/src/direct/directory.ts
@@ -3,7 +3,7 @@
 import type { DirectPorts } from "./ports.js";
 import type { ServingConfig } from "./serving-config.js";
 
-/** The groups that this proxy uses, kept in step with the scene. */
+/** The groups that this proxy uses, updated from each new serving configuration. */
 export class GroupDirectory implements Disposable {
   private readonly groups = new Map<string, DirectGroup>();
 
@@ -13,19 +13,22 @@
     return this.groups.get(name);
   }
 
-  /** Follows a new scene. A group that is listed no more keeps what runs, and gets nothing new. */
-  update(scene: ServingConfig): void {
-    for (const group of scene.groups.values()) {
+  /**
+   * Applies a new configuration. In a group that is no longer listed running statements finish, but no new
+   * ones are placed.
+   */
+  update(config: ServingConfig): void {
+    for (const group of config.groups.values()) {
       const known = this.groups.get(group.name);
       if (known === undefined) this.groups.set(group.name, new DirectGroup(group, this.ports));
       else known.update(group);
     }
     for (const [name, group] of this.groups) {
-      if (!scene.groups.has(name)) group.update({ name, connections: 1, targets: [] });
+      if (!config.groups.has(name)) group.update({ name, connections: 1, targets: [] });
     }
   }
 
-  /** Forgets every position: the process stood still for a time that no clock shows. */
+  /** Discards all known log positions. Called when the process was suspended for an unknown time. */
   forgetMarks(): void {
     for (const group of this.groups.values()) group.forgetMarks();
   }
--- a/src/direct/group.ts
+++ b/src/direct/group.ts
@@ -31,40 +31,40 @@
 import type { AnnouncedGroup, AnnouncedTarget } from "./serving-config.js";
 import { computeShare, minShare, type ConnectionShare } from "./share.js";
 
-/** A connection in use by one statement or transaction. */
+/** The result of acquiring a connection for one statement or transaction. */
 export type ConnectionResult = ConnectionTaken<TrackedLink>;
 
-/** How long a connection is waited for. Times are on the proxy's clock, in milliseconds. */
+/** Limits of the wait for a connection. Times are on the proxy's clock, in milliseconds. */
 export interface ConnectionWaitLimits {
   readonly deadlineAt: number;
   readonly signal: AbortSignal;
 }
 
-/** Opening takes about 12 ms and one of the target's slots; beyond this the target is not there. */
+/** Opening takes about 12 ms and one of the target's slots; after this time the target is unreachable. */
 const openTimeoutMs = 400;
-/** The first pause after a connection that could not be opened, about two tries to connect. */
+/** The first pause after a connection could not be opened: about the time of two attempts. */
 const firstBackoffMs = 50;
 /**
- * The longest such pause. With the usual 5 s, proxies that had been cut off from a replica refuse what needs
- * it for seconds after the cut has healed and the replica was made the primary.
+ * The longest such pause. With the usual 5 s, a proxy that was partitioned from a replica would refuse
+ * statements for seconds after the partition has healed and the replica has become the primary.
  */
 const longestBackoffMs = 400;
-/** Silence on a check after which a connection counts as lost; a round trip takes 1 to 3 ms. */
+/** A connection that does not answer a check in this time counts as lost; a round trip takes 1 to 3 ms. */
 const checkTimeoutMs = 150;
-/** Connections idle for longer are checked before use: they may have gone silent meanwhile. */
+/** Connections that have been idle for longer are checked before use, since they may be dead. */
 const checkAfterIdleMs = 5000;
-/** Between two looks at the connections; the usual 50 ms would wake an idle process all the time. */
+/** The interval of the pool's checks; the usual 50 ms would keep waking an idle process. */
 const poolCheckIntervalMs = 200;
-/** Statements are ended by their own timeouts; a connection silent for longer is closed anyway. */
+/** A connection without progress for longer is closed. Statements normally time out before. */
 const progressTimeoutMs = 10_000;
-/** A statement that has waited for so long shows that the base does not do: several times the usual work. */
+/** Once a statement has waited this long, the pool grows beyond its base: several times a usual run time. */
 const growAfterMs = 60;
-/** How long a target counts the connections of processes that lost their power, and a margin. */
+/** How long a target may count the connections of processes that lost power, plus a margin. */
 const staleConnectionMs = 4000;
-/** An idle connection beyond the base is closed after this: others may need its place. */
+/** An idle connection beyond the base is closed after this time, as other proxies may need it. */
 const surplusIdleMs = 1000;
 
-/** A group's targets as this proxy uses them: their slots, connections, health and positions. */
+/** This proxy's slots, connections, health records and log positions for a group's targets. */
 export class DirectGroup implements Disposable {
   readonly slots: SlotQueue;
   private readonly disposables = new DisposableStore();
@@ -73,7 +73,7 @@
   private readonly runningCounts = new Map<string, number>();
   private targets = new Map<string, AnnouncedTarget>();
   private history: PositionHistory = emptyHistory;
-  /** The newest end of its log that the primary has shown since it leads. */
+  /** The newest end of its log that the current primary has reported. */
   private reportedEnd: ReportedEnd | undefined;
   private readonly shares = new Map<string, ConnectionShare>();
 
@@ -89,7 +89,7 @@
     return this.group.name;
   }
 
-  /** Takes the platform's latest list of the group's targets. */
+  /** Applies the platform's latest list of the group's targets. */
   update(group: AnnouncedGroup): void {
     this.group = group;
     const before = this.targets;
@@ -101,7 +101,7 @@
     for (const name of before.keys()) if (!this.targets.has(name)) this.removeTarget(name);
   }
 
-  /** The targets as the choice of one for a team's statement sees them. */
+  /** Lists the targets for the placement of a team's statement. */
   listCandidates(team: string): readonly CandidateTarget[] {
     return [...this.targets.values()].map((target) => ({
       name: target.name,
@@ -115,26 +115,27 @@
     }));
   }
 
-  /** Waits for a slot; the caller counts what runs by `noteStart` and `noteEnd`. */
+  /** Waits for a slot. The holder counts what it runs with `noteStart` and `noteEnd`. */
   acquire(request: AdmissionRequest, signal: AbortSignal): Promise<SlotResult> {
     return this.slots.acquire(request, signal);
   }
 
   /**
-   * Lets what waits for a primary that was replaced be placed anew. The slots of one that went dark come
-   * free only as its statements run out of their time, 0.8 s; what waited behind them was refused unsent.
+   * Refuses statements that wait for a replaced primary, so that they are placed again. The slots of an
+   * unreachable primary are freed only as its statements time out after 0.8 s; statements queued behind them
+   * would be refused without having been sent.
    */
   evict(target: string): void {
     this.reportedEnd = undefined;
     this.slots.evict(target);
   }
 
-  /** Whether something waits for a target alone. */
+  /** Whether any statement waits for this target alone. */
   hasWaitersFor(target: string): boolean {
     return this.slots.countWaitingFor(target) > 0;
   }
 
-  /** Waits for a connection to a target that serves one team, or those of no team by the empty name. */
+  /** Waits for a connection that serves the team; the empty name stands for anonymous callers. */
   takeConnection(
     target: string,
     team: string,
@@ -161,7 +162,7 @@
     this.health.set(target, noteAnswer(this.findHealth(target)));
   }
 
-  /** Notes that a target had no slot free. */
+  /** Records that a target had no free slot. */
   noteSaturated(target: string): void {
     this.pools.get(target)?.noteFull();
     this.health.set(target, noteSaturated(this.findHealth(target), this.ports.clock.now()));
@@ -175,21 +176,24 @@
     this.health.set(target, noteLagging(this.findHealth(target), this.ports.clock.now()));
   }
 
-  /** Notes where the primary's log ended in an answer to what was sent at `askedAt`. */
+  /** Records the end of the primary's log as reported in the answer to a command sent at `askedAt`. */
   notePrimaryMark(target: string, mark: Mark, askedAt: number): void {
-    const shown = this.findReportedEnd(target);
-    this.reportedEnd = { target, mark: shown === undefined ? mark : pickLaterMark(shown, mark) };
+    const reported = this.findReportedEnd(target);
+    this.reportedEnd = {
+      target,
+      mark: reported === undefined ? mark : pickLaterMark(reported, mark),
+    };
     const newest = findNewestMark(this.history);
     if (newest !== undefined && compareTerms(mark.term, newest.term) < 0) return;
     this.history = observePrimary(this.history, { status: { mark }, askedAt });
   }
 
-  /** The mark that holds all that was acknowledged before `time`; absent when not known. */
+  /** Finds a mark that covers every commit acknowledged before `time`; undefined if none is known. */
   findMarkSince(time: number): Mark | undefined {
     return findMarkSince(this.history, time);
   }
 
-  /** Forgets what was known of the log: the process stood still for a time that no clock shows. */
+  /** Discards the known log positions. Called when the process was suspended for an unknown time. */
   forgetMarks(): void {
     this.history = emptyHistory;
   }
@@ -219,7 +223,7 @@
     this.slots.resize(target.name, target.announcedRole, share.slots);
   }
 
-  /** Gives back the connections to a target; one that is asked for anew opens another pool. */
+  /** Drains and removes a target's pool; the next request for a connection creates a new one. */
   private closePool(target: string): void {
     this.pools.get(target)?.drain();
     this.pools.delete(target);
@@ -232,11 +236,11 @@
       check: (link: TrackedLink) => link.check(checkTimeoutMs),
       isTooMany: (error: unknown) => dialer.isTooManyConnections(error),
     };
-    const { base, max: most } = this.findShare(target.name);
+    const { base, max } = this.findShare(target.name);
     const settings = {
-      // The base may be opened from the start.
-      limit: base + most,
-      largestShare: most,
+      // The base may be opened immediately.
+      limit: base + max,
+      largestShare: max,
       growAfterMs,
       growNotBefore: clock.now() + staleConnectionMs,
       idleCloseMs: surplusIdleMs,
@@ -255,14 +259,14 @@
     );
   }
 
-  /** Opens a connection. One that fails tells of the target, unless the target itself refused it. */
+  /** Opens a connection. A failure counts against the target's health unless its connection limit was reached. */
   private async openLink(target: Target, timeoutMs: number, team: string): Promise<TrackedLink> {
     const { dialer, primaries, clock } = this.ports;
     const askedAt = clock.now();
-    const shown = this.findReportedEnd(target.name);
+    const reported = this.findReportedEnd(target.name);
     try {
       const link = await dialer.open(this.name, target, timeoutMs, team || undefined);
-      if (this.isPrimary(target)) this.checkOpenedLog(target, link, shown, askedAt);
+      if (this.isPrimary(target)) this.checkOpenedLog(target, link, reported, askedAt);
       return new TrackedLink(link);
     } catch (error) {
       if (!dialer.isTooManyConnections(error)) {
@@ -274,31 +278,30 @@
   }
 
   /**
-   * Takes in where the primary's log ended when a connection to it was opened: that tells as much as an
-   * answer, so that right after a start reads need not all go to the primary first. `shown` was its newest
-   * end when the opening began.
+   * Records the end of the primary's log that it reported when a connection was opened. It is as good as an
+   * answer, so that reads right after a start need not all go to the primary first. `reported` is the newest
+   * end that the primary had reported when the opening began.
    *
-   * A primary that started again under its name may hold nothing of what it had acknowledged. It would
-   * answer plain reads as before, and callers would miss their own commits. Connections to the process
-   * before are gone, so that each statement for the new one needs an opening, which shows it. Only what
-   * this primary has shown itself counts: one that was just promoted may begin before the end of the one
-   * before it, by commits that had reached no replica. Held against it, that would make a second change of
-   * primary follow the first.
+   * A primary that restarted under the same name may have lost commits that it had acknowledged. It would
+   * still answer plain reads, and callers would miss their own commits. Checking each new connection suffices,
+   * because the connections to the previous process are closed. The check uses only positions reported by this
+   * primary itself: a newly promoted one may begin before the end of its predecessor's log, without commits
+   * that reached no replica. Comparing these would cause a second change of primary right after the first.
    */
   private checkOpenedLog(
     { name }: Target,
     link: TargetLink,
-    shown: Mark | undefined,
+    reported: Mark | undefined,
     askedAt: number,
   ): void {
     const { openedAt } = link;
-    if (hasLostLog(shown, openedAt)) {
+    if (hasLostLog(reported, openedAt)) {
       this.ports.primaries.noteLostLog(this.name, name);
       if (!this.isPrimary({ name })) {
         link.close();
-        throw new LostLogError(`${name} lacks commits that it had acknowledged`);
+        throw new LostLogError(`target ${name} lacks commits that it had acknowledged`);
       }
-      // It leads all the same, since no other target runs: its log begins anew here.
+      // It stays the primary because no other target runs, so its log is tracked from this position.
       this.history = emptyHistory;
       this.reportedEnd = undefined;
     }
@@ -321,8 +324,9 @@
   }
 
   /**
-   * Forgets what was known of the process behind a target. What still runs there holds its slot until
-   * its connection ends. Marks stay: a replica proves with each read that it holds the one asked for.
+   * Discards the pool and health of a target whose process has been replaced or that was removed. Running
+   * statements keep their slots until their connections end. Marks are kept, because a replica checks with each
+   * read that its log contains the required one.
    */
   private forgetTarget(name: string): void {
     this.closePool(name);
@@ -330,25 +334,25 @@
   }
 }
 
-/** Where a primary's log ended when it last told. */
+/** The newest end of its log that a primary has reported. */
 interface ReportedEnd {
   readonly target: string;
   readonly mark: Mark;
 }
 
-/** A primary that may not be read from until it is settled who leads. */
+/** The primary lost acknowledged commits and must not be read until the primary has been determined again. */
 class LostLogError extends Error {
   override readonly name = "LostLogError";
 }
 
-/** Whether another process than before answers under a target's name. */
+/** Whether a target's process has been replaced by another one under the same name. */
 function hasRestarted(before: AnnouncedTarget | undefined, now: AnnouncedTarget): boolean {
   const known = before?.startedAt;
   return known !== undefined && now.startedAt !== undefined && known !== now.startedAt;
 }
 
-/** Whether a primary's log ends before the end that the primary had shown. */
-function hasLostLog(shown: Mark | undefined, openedAt: Mark | undefined): boolean {
-  if (shown === undefined) return false;
-  return openedAt === undefined || orderMarks(openedAt, shown) < 0;
+/** Whether a primary's log ends before the end that it had reported earlier. */
+function hasLostLog(reported: Mark | undefined, openedAt: Mark | undefined): boolean {
+  if (reported === undefined) return false;
+  return openedAt === undefined || orderMarks(openedAt, reported) < 0;
 }
--- a/src/direct/health.ts
+++ b/src/direct/health.ts
@@ -1,15 +1,16 @@
-/** What a proxy has seen of one target lately. Times are on its own clock, in milliseconds. */
+/** One target's recent behaviour as this proxy has seen it. Times are on the proxy's clock, in milliseconds. */
 export interface TargetHealth {
+  /** Consecutive failures, reset by an answer. */
   readonly failures: number;
-  /** Until then other targets go first. */
+  /** Until then other targets are preferred. */
   readonly avoidUntil: number;
-  /** Marks that its log lacks are not asked of it until then. */
+  /** The replica lacked a required mark; until then no reads that require one are sent to it. */
   readonly laggingUntil: number;
-  /** All its slots were taken; until then nothing goes there that can go elsewhere. */
+  /** All its slots were taken; until then statements go elsewhere if they can. */
   readonly saturatedUntil: number;
 }
 
-/** A target of which nothing bad is known. */
+/** The health of a target without known problems. */
 export const healthyTarget: TargetHealth = {
   failures: 0,
   avoidUntil: 0,
@@ -17,18 +18,18 @@
   saturatedUntil: 0,
 };
 
-/** The first pause after a failure: about the time of two tries to connect within a data centre. */
+/** The pause after the first failure: about the time of two connection attempts within a data centre. */
 const minAvoidMs = 50;
-/** The longest pause: a target that came back is found again within it. */
+/** The longest pause, which bounds how late a recovered target is used again. */
 const maxAvoidMs = 400;
-/** A replica that lacked a mark gets it after about its usual lag, 60 to 150 ms. */
+/** A replica usually receives a missing mark after its replication lag, 60 to 150 ms. */
 const laggingPauseMs = 80;
-/** Several times the usual work of 14 to 30 ms: by then a burst that filled the slots is over. */
+/** Several times a statement's usual 14 to 30 ms, so that a burst that filled the slots is over. */
 const saturatedPauseMs = 250;
 
 /**
- * Notes that a target could not be reached or left a statement without an answer. Several statements
- * that fail with one connection or cut are one failure.
+ * Records that a target could not be reached or did not answer. Failures during the pause after a failure
+ * are not counted: statements that fail by one broken connection or network partition count once.
  */
 export function noteFailure(health: TargetHealth, now: number): TargetHealth {
   if (now < health.avoidUntil) return health;
@@ -37,17 +38,17 @@
   return { ...health, failures, avoidUntil: now + pause };
 }
 
-/** Notes an answer, whatever it said. */
+/** Records an answer of any kind, including an error. */
 export function noteAnswer(health: TargetHealth): TargetHealth {
   return health.failures === 0 ? health : { ...health, failures: 0, avoidUntil: 0 };
 }
 
-/** Notes that a target had no slot free. */
+/** Records that a target had no free slot. */
 export function noteSaturated(health: TargetHealth, now: number): TargetHealth {
   return { ...health, saturatedUntil: now + saturatedPauseMs };
 }
 
-/** Notes that a replica lacked a mark. */
+/** Records that a replica lacked a required mark. */
 export function noteLagging(health: TargetHealth, now: number): TargetHealth {
   return { ...health, laggingUntil: now + laggingPauseMs };
 }
--- a/src/direct/idle.ts
+++ b/src/direct/idle.ts
@@ -1,27 +1,27 @@
 /**
- * How long a transaction may rest while others wait for its target, in milliseconds: about as long as a
- * statement may queue, half of its time. Callers that begin, write and stay away would keep connections
- * until their limit, while others are refused for want of one.
+ * The idle limit of a transaction while others wait for its target, in milliseconds. It is about the time
+ * that a statement may queue, half of its deadline. Without it callers that begin, write and then stay idle
+ * keep connections until the normal limit, while others are refused for lack of one.
  */
 const contendedIdleMs = 400;
-/** Between two looks whether somebody waits, in milliseconds. */
+/** The interval between checks for waiting statements, in milliseconds. */
 const checkIntervalMs = 100;
 
-/** How long a transaction may rest between two statements, and what ends it. */
+/** The idle limit of a transaction between two statements, and the action when it is reached. */
 export interface IdleWatchOptions {
-  /** In any case, in milliseconds. */
+  /** The limit when nobody waits, in milliseconds. */
   readonly limitMs: number;
-  /** Whether others wait for what it holds. */
+  /** Whether other statements wait for the transaction's target. */
   readonly hasWaiters: () => boolean;
-  readonly end: (restedMs: number) => void;
+  readonly end: (idleMs: number) => void;
 }
 
-/** Whether a transaction that has rested for `restedMs` is ended. */
+/** Whether a transaction that has been idle for `idleMs` must be ended. */
 export function isIdleLimitReached(idleMs: number, limitMs: number, hasWaiters: boolean): boolean {
   return idleMs >= limitMs || (hasWaiters && idleMs >= contendedIdleMs);
 }
 
-/** Watches a transaction that rests; answers with what stops the watch. */
+/** Watches an idle transaction and calls `end` at its limit. Returns a function that stops the watch. */
 export function watchTransactionIdle({
   limitMs,
   hasWaiters: isWanted,
--- a/src/direct/placement.ts
+++ b/src/direct/placement.ts
@@ -6,53 +6,53 @@
 import type { TrackedLink } from "./tracked-link.js";
 import type { Database } from "./serving-config.js";
 
-/** One statement's or transaction's wish for a connection. Times are on the proxy's clock. */
+/** A request for a connection for one statement or transaction. Times are in milliseconds on the proxy's clock. */
 export interface PlacementRequest extends PlacementConstraints {
   readonly id: string;
   readonly database: Database;
-  /** Whose connection it must be; the empty name where it is nobody's in particular. */
+  /** The team that the connection must serve; empty for anonymous callers. */
   readonly team: string;
   readonly deadlineAt: number;
   readonly signal: AbortSignal;
 }
 
-/** A connection to a target, held until `release` or `drop`. */
+/** A connection and a slot at a target, held until `release` or `drop`. */
 export interface PlacedConnection {
   readonly group: DirectGroup;
   readonly target: string;
   readonly role: "primary" | "replica";
   readonly link: TrackedLink;
-  /** Notes an answer: the connection lives, however long its transaction goes on. */
+  /** Records an answer, so that a long transaction's connection does not count as silent. */
   noteProgress(): void;
-  /** Gives the connection back: nothing is in flight and no transaction is open on it. */
+  /** Returns the connection to its pool. Nothing may be in flight, and no transaction open on it. */
   release(): void;
-  /** Closes the connection: what is on its way must reach nobody. */
+  /** Closes the connection, so that pending answers are discarded. */
   drop(): void;
 }
 
-/** What came of a wish for a connection. */
+/** The result of a placement request. */
 export type PlacementResult =
-  | { readonly type: "placed"; readonly place: PlacedConnection }
+  | { readonly type: "placed"; readonly placement: PlacedConnection }
   | {
       readonly type: "refused";
       readonly reason: string;
       readonly retryAfterMs: number;
-      /** The targets that it waited for; none when it was refused before. */
+      /** The targets that it waited for; empty if it was refused without waiting for a slot. */
       readonly waitedFor: readonly string[];
     }
-  /** The target can't be reached now; another may be. */
+  /** No connection to the target could be acquired; another target may be reachable. */
   | { readonly type: "unreachable"; readonly target: string; readonly reason: string };
 
-/** A wish that was refused. */
+/** A placement request that was refused. */
 export type RefusedPlacement = Extract<PlacementResult, { type: "refused" }>;
 
-/** A primary that is expected back later than this is not waited for, in milliseconds. */
+/** The longest wait for a usable primary, in milliseconds. */
 const maxPrimaryWaitMs = 600;
 const primaryPollMs = 20;
-/** Told where nothing is known of when a group will serve again: a change of primary's usual time. */
+/** The retry hint when it is unknown when a group will serve again: the usual time of a change of primary. */
 const unknownPrimaryRetryMs = 1000;
 
-/** Finds a target for a statement, waits for a slot there and takes a connection. */
+/** Finds a target for a statement, waits for a slot there and acquires a connection. */
 export async function placeStatement(
   ports: DirectPorts,
   group: DirectGroup,
@@ -63,7 +63,7 @@
   const admitted = await group.acquire(makeAdmissionRequest(request, choice.names), request.signal);
   if (admitted.type === "refused") {
     const { reason } = admitted;
-    // The primary that it waited for was replaced: the next try finds the new one.
+    // The primary that it waited for was replaced; the next attempt finds the new one.
     if (reason === "noPrimary")
       return { type: "unreachable", target: choice.names[0] ?? "", reason };
     const { retryAfterMs } = admitted;
@@ -77,7 +77,7 @@
   }
   return {
     type: "placed",
-    place: makePlacedConnection(group, slot, choice.role, taken.connection),
+    placement: makePlacedConnection(group, slot, choice.role, taken.connection),
   };
 }
 
@@ -89,7 +89,10 @@
     }
   | RefusedPlacement;
 
-/** Waits for a change of primary only as long as it is expected to end in time. */
+/**
+ * Chooses candidates, and waits for a usable primary while one is expected before the deadline and within
+ * `maxPrimaryWaitMs`.
+ */
 async function waitForCandidates(
   ports: DirectPorts,
   group: DirectGroup,
@@ -128,7 +131,7 @@
 ): AdmissionRequest {
   const { id, database, deadlineAt } = request;
   const { priority, maxQueueMs } = database.action;
-  // Turns are by team, so that one that sends many times its usual waits behind itself.
+  // Admission takes turns by team, so that a team with a burst of statements delays only itself.
   const team = request.team || database.name;
   return { id, team, plan: "paying", priority, candidates, deadlineAt, maxQueueMs };
 }
--- a/src/direct/ports.ts
+++ b/src/direct/ports.ts
@@ -7,8 +7,9 @@
 import type { ServingConfig } from "./serving-config.js";
 
 /**
- * Opens connections to targets. `team` is told to the target, and the connection serves no other; absent for
- * control and for callers of no team. Rejects with a `LinkError` when none could be opened in time.
+ * Opens connections to targets. `team` is announced to the target, and the connection serves only that
+ * team; it is absent for control connections and anonymous callers. Rejects with a `LinkError` when the
+ * connection is not open within `timeoutMs`.
  */
 export interface TargetDialer {
   open(
@@ -17,11 +18,11 @@
     timeoutMs: number,
     team: string | undefined,
   ): Promise<TargetLink>;
-  /** Whether an error says that the target accepts no more connections. */
+  /** Whether the target refused the connection because its connection limit is reached. */
   isTooManyConnections(error: unknown): boolean;
 }
 
-/** How one statement or transaction's piece ended, for metrics. */
+/** The outcome of one statement, inside or outside a transaction, for metrics. */
 export interface StatementSample {
   readonly outcome: "answered" | "notRun" | "mayHaveRun";
   readonly effect: "read" | "write" | "commit";
@@ -30,20 +31,20 @@
   readonly ms: number;
 }
 
-/** What direct serving needs of the world. */
+/** The external dependencies of direct serving. */
 export interface DirectPorts {
   readonly dialer: TargetDialer;
-  /** Where this proxy runs. */
+  /** The data centre that this proxy runs in. */
   readonly dataCentre: string;
   readonly primaries: PrimarySource;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The scene in force. */
+  /** Returns the configuration in force. */
   readonly getServingConfig: () => ServingConfig;
-  /** What this proxy holds of the connections to a group's targets in one data centre. */
+  /** Finds the rule for this proxy's share of connections to a group's targets in one data centre. */
   readonly findShareRule: (group: string, dataCentre: string) => ShareRule;
-  /** Keeps teams to their rates. */
+  /** Enforces the teams' rate limits. */
   readonly rates: RateGate;
   readonly onStatement: (sample: StatementSample) => void;
 }
--- a/src/direct/primary.ts
+++ b/src/direct/primary.ts
@@ -1,18 +1,21 @@
-/** Who leads a group, as far as this proxy may act on it. */
+/** Which target is a group's primary, as far as this proxy may rely on it. */
 export type PrimaryState =
   | { readonly type: "serving"; readonly target: string }
-  /** None may be used now, for a reason that passes; expected to be over in `backInMs`. */
+  /** Temporarily no primary may be used; one is expected after `readyInMs`. */
   | { readonly type: "changing"; readonly readyInMs: number; readonly reason: string }
-  /** Nobody is known to lead, or this proxy may not rely on what it knows. */
+  /** No primary is known, or this proxy may not rely on the one that it knows. */
   | { readonly type: "unknown"; readonly reason: string };
 
-/** Tells who leads; asked at each use, since the permission to rely on it lapses with time. */
+/** Finds the primaries of groups. Query it at each use: the permission to rely on the result expires. */
 export interface PrimarySource {
   find(group: string): PrimaryState;
-  /** A statement went through to the primary, or did not. */
+  /** Records whether a statement was answered by the target as primary. */
   noteContact(group: string, target: string, isReached: boolean): void;
-  /** The primary has started again without commits that it had acknowledged. */
+  /** Reports that the primary restarted without commits that it had acknowledged. */
   noteLostLog(group: string, target: string): void;
-  /** What was sent to the primary at `since` has had no answer for a while, and nothing else has. */
+  /**
+   * Reports that a command sent to the primary at `since` is still unanswered. Ignored if the primary has
+   * answered another statement since.
+   */
   noteSilence(group: string, target: string, since: number): void;
 }
--- a/src/direct/roster.ts
+++ b/src/direct/roster.ts
@@ -1,10 +1,10 @@
 import type { Team } from "../model/index.js";
 
-/** The teams of one configuration, found by their keys and names. Built once a revision. */
+/** The teams of one configuration, indexed by key and by name. Built once per revision. */
 export class TeamRoster {
   private readonly byKey = new Map<string, Team>();
   private readonly byName = new Map<string, Team>();
-  /** Whether any team has a rate. */
+  /** Whether any team has a rate limit. */
   readonly hasRates: boolean;
 
   constructor(readonly teams: readonly Team[]) {
@@ -24,20 +24,20 @@
   }
 }
 
-/** Whom a caller's word stands for. */
+/** Whom a caller's key identifies. */
 export type CallerIdentity =
   | { readonly type: "team"; readonly team: Team }
-  /** Nobody in particular, who may run statements all the same. */
+  /** No team, but the caller may run statements. */
   | { readonly type: "anonymous" }
-  /** No team holds the key, and the database is not open to all. */
+  /** No team holds the key, and the database is not public. */
   | { readonly type: "unknown" };
 
 const anonymous: CallerIdentity = { type: "anonymous" };
 const unknown: CallerIdentity = { type: "unknown" };
 
 /**
- * Tells whose caller it is. Where the configuration keeps no roster its word means nothing. On a database
- * that is open to all a key that a team holds still names it: its connections and its rate are its own.
+ * Identifies a caller by its key. Without a roster the key is ignored. On a public database a key that a
+ * team holds still identifies the team, which then uses its own connections and rate limit.
  */
 export function identifyCaller(
   roster: TeamRoster | undefined,
--- a/src/direct/runner.ts
+++ b/src/direct/runner.ts
@@ -2,31 +2,30 @@
 import type { SessionContext } from "./context.js";
 import type { StatementResult } from "./autocommit.js";
 
-/** One transaction of a session, from its beginning to its end, wherever its connection is held. */
+/** An open transaction of a session. Its connection is held by this process or by a gateway. */
 export interface OpenTransaction {
-  /** `transaction` until it fails or ends. */
+  /** `transaction`, or `failed` once it has failed or ended. */
   readonly state: SessionState;
-  /** Whether a statement of it is on its way. */
+  /** Whether one of its statements is running. */
   readonly isRunning: boolean;
-  /** Whether others wait for the connection that it holds in this process. */
+  /** Whether other statements wait for the target of the connection that it holds in this process. */
   readonly hasWaiters: boolean;
-  /** Runs a statement in it. Never rejects. */
+  /** Runs a statement in the transaction. Never rejects. */
   run(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply>;
-  /** Commits it. The session is idle afterwards, whatever came of it. */
+  /** Commits the transaction. The session is idle afterwards, whatever the result. */
   commit(
     context: SessionContext,
     id: string,
     text: string,
     arrivedAt: number,
   ): Promise<StatementResult>;
-  /** Rolls it back without waiting. */
+  /** Rolls the transaction back without waiting for the result. */
   rollback(context: SessionContext): void;
 }
 
 /**
- * Runs what sessions send to their groups. Sessions don't know whether their work reaches a target over
- * this process's own connections or over a gateway's. `arrivedAt` is when the statement came, in
- * milliseconds on the process's clock.
+ * Runs the statements of sessions, over this process's own connections or through a gateway; sessions don't
+ * know which. `arrivedAt` is when the statement arrived, in milliseconds on the process's clock.
  */
 export interface WorkRunner {
   runAutocommit(context: SessionContext, work: Work, arrivedAt: number): Promise<StatementResult>;
--- a/src/direct/serving-config.ts
+++ b/src/direct/serving-config.ts
@@ -1,7 +1,7 @@
 import type { ServeAction, Target } from "../model/index.js";
 import type { TeamRoster } from "./roster.js";
 
-/** A database that callers may open, and how its statements are served. */
+/** A database that callers may open, and the policy that its statements are served by. */
 export interface Database {
   readonly name: string;
   readonly group: string;
@@ -10,36 +10,36 @@
   readonly isPublic?: boolean;
 }
 
-/** A target with the role that it last announced for itself. */
+/** A target with the role that it last announced. */
 export interface AnnouncedTarget extends Target {
   readonly announcedRole: "primary" | "replica";
-  /** When its process was started, by its own time of day; absent where it does not say. */
+  /** When its process started, by the target's wall clock; absent if the target does not announce it. */
   readonly startedAt?: number;
 }
 
 /** A group and its targets as the platform lists them. */
 export interface AnnouncedGroup {
   readonly name: string;
-  /** Connections that each target accepts from all proxies together. */
+  /** The connection limit of each target, shared by all proxies. */
   readonly connections: number;
   readonly targets: readonly AnnouncedTarget[];
 }
 
-/** What a proxy serves: its databases and the groups behind them. */
+/** The configuration that a proxy serves by: databases, the groups behind them, teams and limits. */
 export interface ServingConfig {
-  /** Of the configuration in force; 0 before any is known. Never goes back. */
+  /** The revision of the configuration; 0 before any is known. Never decreases. */
   readonly revision: number;
   readonly databases: ReadonlyMap<string, Database>;
   readonly groups: ReadonlyMap<string, AnnouncedGroup>;
-  /** Absent where the configuration keeps no teams: callers are told apart by nothing then. */
+  /** Absent where the configuration has no teams; all callers are then anonymous. */
   readonly roster?: TeamRoster;
-  /** How long a transaction may rest between two statements, in milliseconds. */
+  /** The time that a transaction may stay idle between two statements, in milliseconds. */
   readonly transactionIdleMs: number;
-  /** How long a line may take from its first byte to its end, in milliseconds. */
+  /** The time that a line may take from its first byte to its end, in milliseconds. */
   readonly lineTimeoutMs: number;
 }
 
-/** Before any configuration is known. The times hold until one brings its own. */
+/** The configuration before the first one arrives, with default time limits. */
 export const emptyServingConfig: ServingConfig = {
   revision: 0,
   databases: new Map(),
--- a/src/direct/session.ts
+++ b/src/direct/session.ts
@@ -19,11 +19,11 @@
 import type { StatementResult } from "./autocommit.js";
 import { StatementTrace } from "./trace.js";
 
-/** What a session is opened with. */
+/** The parameters and dependencies of a session. */
 export interface SessionOptions {
   readonly id: string;
   readonly database: string;
-  /** The word that the caller gave of itself. */
+  /** The key that the caller identified itself with. */
   readonly key: string;
   readonly ports: DirectPorts;
   readonly groups: GroupDirectory;
@@ -31,49 +31,49 @@
   readonly nextId: () => string;
 }
 
-/** Told to a caller whose key no team holds. */
+/** The error text for a caller whose key no team holds. */
 export const deniedReason = "no team holds this key";
 
-/** What a statement's run knows of its session, or why nothing may run. */
+/** The context for running a statement, or the refusal if none may run. */
 type ContextResult =
   | { readonly type: "found"; readonly context: SessionContext }
   | { readonly type: "refused"; readonly reply: Reply };
 
-/** Values and prepared statements of one session, each; beyond it a caller is refused. */
+/** The largest number of values, and of prepared statements, in one session. */
 const maxSessionEntries = 1000;
 
 /**
- * One caller's session: its values, its prepared statements and its transaction. Statements come one
- * after the other; `run` answers each.
+ * One caller's session: its values, prepared statements and transaction. Statements run one at a time;
+ * don't call `run` before the previous call has finished.
  */
 export class DirectSession {
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, Prepared>();
-  /** The newest commit by group: a route may move the database to another. */
+  /** The latest acknowledged commit by group, as a route may move the database to another group. */
   private readonly lastCommits = new Map<string, Mark>();
   private readonly disconnect = new AbortController();
   private transaction:
-    { readonly body: OpenTransaction; readonly context: SessionContext } | undefined;
+    { readonly handle: OpenTransaction; readonly context: SessionContext } | undefined;
   private stopIdleWatch: (() => void) | undefined;
   private isRunning = false;
 
   constructor(private readonly options: SessionOptions) {}
 
   get state(): SessionState {
-    return this.transaction?.body.state ?? "idle";
+    return this.transaction?.handle.state ?? "idle";
   }
 
-  /** Whether it is between two operations: closing it cuts nothing off. */
+  /** Whether no statement or transaction is in progress, so that closing it interrupts nothing. */
   get isIdle(): boolean {
     return !this.isRunning && this.transaction === undefined;
   }
 
-  /** Whether the caller's key is held by a team, or its database is open to all. */
+  /** Whether the caller's key is held by a team, or the configuration allows anonymous callers. */
   get isAllowed(): boolean {
     return this.identify().type !== "unknown";
   }
 
-  /** Runs one statement to its final answer. Never rejects. */
+  /** Runs one statement and returns its final answer. Never rejects. */
   async run(statement: Statement): Promise<Reply> {
     this.isRunning = true;
     this.stopIdleTimer();
@@ -88,33 +88,34 @@
   }
 
   /**
-   * Rolls back an open transaction whose team the caller's key stands for no more. Its connection was
-   * opened for that team: going on, a caller whose key was taken away would write for it until it ends.
+   * Rolls back an open transaction if the caller's key no longer identifies its team. Its connection was
+   * opened for that team, so a caller whose key was revoked could otherwise write for the team until the
+   * transaction ends.
    */
   rollbackIfRevoked(): void {
     const { transaction } = this;
-    if (transaction?.body.state !== "transaction" || transaction.body.isRunning) return;
+    if (transaction?.handle.state !== "transaction" || transaction.handle.isRunning) return;
     const identity = this.identify();
     const team = identity.type === "team" ? identity.team.name : undefined;
     if (identity.type !== "unknown" && team === transaction.context.team?.name) return;
     const { ports, id } = this.options;
     ports.logger.write(directEvents.transactionRevoked, { session: id });
-    transaction.body.rollback(transaction.context);
+    transaction.handle.rollback(transaction.context);
   }
 
-  /** Rolls back an open transaction because its time to end is over; the session stays. */
+  /** Rolls back an open idle transaction when the time for draining is over; the session stays open. */
   endTransaction(): void {
     if (this.isRunning) return;
-    this.transaction?.body.rollback(this.transaction.context);
+    this.transaction?.handle.rollback(this.transaction.context);
   }
 
-  /** The caller has gone: what waits gives up, an open transaction is rolled back. */
+  /** Handles the caller's disconnection: cancels waiting statements and rolls back an open transaction. */
   close(): void {
     this.disconnect.abort();
     this.stopIdleTimer();
     const { transaction } = this;
     if (transaction === undefined) return;
-    if (!transaction.body.isRunning) transaction.body.rollback(transaction.context);
+    if (!transaction.handle.isRunning) transaction.handle.rollback(transaction.context);
   }
 
   private async dispatch(statement: Statement): Promise<Reply> {
@@ -143,7 +144,11 @@
 
   private setValue(name: string, value: string): Reply {
     if (!this.values.has(name) && this.values.size >= maxSessionEntries) {
-      return failLocally("tooLarge", "the session has too many values", this.state);
+      return failLocally(
+        "tooLarge",
+        `the session has more than ${maxSessionEntries} values`,
+        this.state,
+      );
     }
     this.values.set(name, value);
     return completeLocally(this.state);
@@ -151,7 +156,11 @@
 
   private prepareStatement(name: string, prepared: Prepared): Reply {
     if (!this.prepared.has(name) && this.prepared.size >= maxSessionEntries) {
-      return failLocally("tooLarge", "the session has too many prepared statements", this.state);
+      return failLocally(
+        "tooLarge",
+        `the session has more than ${maxSessionEntries} prepared statements`,
+        this.state,
+      );
     }
     this.prepared.set(name, prepared);
     return completeLocally(this.state);
@@ -163,17 +172,17 @@
   }
 
   private failUnknownName(name: string): Reply {
-    return failLocally("unknownStatement", `nothing is prepared as ${name}`, this.state);
+    return failLocally("unknownStatement", `prepared statement ${name} does not exist`, this.state);
   }
 
   private begin(isReadOnly: boolean): Reply {
     if (this.transaction !== undefined) {
-      return failLocally("malformed", "a transaction is open already", this.state);
+      return failLocally("malformed", "a transaction is already open", this.state);
     }
-    const found = this.findContext();
-    if (found.type === "refused") return found.reply;
-    const { context } = found;
-    this.transaction = { body: this.options.runner.openTransaction(isReadOnly), context };
+    const contextResult = this.findContext();
+    if (contextResult.type === "refused") return contextResult.reply;
+    const { context } = contextResult;
+    this.transaction = { handle: this.options.runner.openTransaction(isReadOnly), context };
     return completeLocally("transaction");
   }
 
@@ -182,7 +191,7 @@
     if (transaction === undefined)
       return failLocally("malformed", "no transaction is open", "idle");
     this.transaction = undefined;
-    transaction.body.rollback(transaction.context);
+    transaction.handle.rollback(transaction.context);
     return completeLocally("idle");
   }
 
@@ -190,9 +199,9 @@
     const { transaction } = this;
     if (transaction === undefined)
       return failLocally("malformed", "no transaction is open", "idle");
-    const { body, context } = transaction;
+    const { handle, context } = transaction;
     const end = await this.observe(context, id, "commit", (traced, at) =>
-      body.commit(traced, id, text, at),
+      handle.commit(traced, id, text, at),
     );
     this.transaction = undefined;
     this.recordCommit(context, end);
@@ -209,16 +218,16 @@
   private async runWork(work: Work): Promise<Reply> {
     const { transaction } = this;
     if (transaction !== undefined) {
-      const { body, context } = transaction;
+      const { handle, context } = transaction;
       const end = await this.observe(context, work.id, findEffect(work), async (traced, at) => ({
-        reply: await body.run(traced, work, at),
+        reply: await handle.run(traced, work, at),
       }));
-      if (this.disconnect.signal.aborted) body.rollback(context);
+      if (this.disconnect.signal.aborted) handle.rollback(context);
       return end.reply;
     }
-    const found = this.findContext();
-    if (found.type === "refused") return found.reply;
-    const { context } = found;
+    const contextResult = this.findContext();
+    if (contextResult.type === "refused") return contextResult.reply;
+    const { context } = contextResult;
     const end = await this.observe(context, work.id, findEffect(work), (traced, at) =>
       this.options.runner.runAutocommit(traced, work, at),
     );
@@ -226,7 +235,7 @@
     return end.reply;
   }
 
-  /** Runs a statement and notes how it ended, in the log and for the metrics. */
+  /** Runs a statement and records its outcome in the log and the metrics. */
   private async observe(
     context: SessionContext,
     id: string,
@@ -269,7 +278,7 @@
     return identifyCaller(roster, databases.get(database) ?? {}, key);
   }
 
-  /** What holds for the next transaction or statement: routes and keys may have changed. */
+  /** Determines the context anew for each statement or transaction, as routes and keys may have changed. */
   private findContext(): ContextResult {
     const { ports, database: name, groups, id, nextId } = this.options;
     const database = ports.getServingConfig().databases.get(name);
@@ -301,17 +310,17 @@
     return failLocally("unknownDatabase", text, this.state);
   }
 
-  /** A caller that rests inside a transaction holds a connection that others need. */
+  /** Limits the idle time inside a transaction, which holds a connection that others may need. */
   private startIdleTimer(): void {
     const { transaction } = this;
-    if (transaction?.body.state !== "transaction") return;
+    if (transaction?.handle.state !== "transaction") return;
     const { ports, id } = this.options;
     this.stopIdleWatch = watchTransactionIdle({
       limitMs: ports.getServingConfig().transactionIdleMs,
-      hasWaiters: () => transaction.body.hasWaiters,
+      hasWaiters: () => transaction.handle.hasWaiters,
       end: (restedMs) => {
         ports.logger.write(directEvents.transactionIdle, { session: id, restedMs });
-        transaction.body.rollback(transaction.context);
+        transaction.handle.rollback(transaction.context);
       },
     });
   }
--- a/src/direct/share.ts
+++ b/src/direct/share.ts
@@ -1,50 +1,50 @@
 import type { AnnouncedTarget } from "./serving-config.js";
 
-/** What a proxy holds of the connections to the targets of one data centre. */
+/** The rule for a proxy's share of the connections to the targets of one data centre. */
 export type ShareRule =
-  /** Nothing: others hold them. */
+  /** Other proxies hold the connections; this one uses the minimum only when it has to. */
   | { readonly type: "none" }
-  /** As many as each of so many proxies. */
+  /** An equal share among `proxies` proxies. */
   | { readonly type: "equal"; readonly proxies: number }
-  /** Of the few that were chosen, it is the one that is asked first there, or another. */
+  /** It is one of `proxies` chosen gateways. `isFirst` marks the one that proxies in that data centre prefer. */
   | { readonly type: "chosen"; readonly proxies: number; readonly isFirst: boolean };
 
-/** What one proxy may open to a target, and have under way there. */
+/** The connections that one proxy may open to a target, and the statements that it may run there. */
 export interface ConnectionShare {
-  /** Connections at any time. */
+  /** Connections that it may open at any time and keep idle. */
   readonly base: number;
-  /** Connections while statements wait, and the target takes them. */
+  /** The upper bound while statements wait and the target accepts more connections. */
   readonly max: number;
-  /** Statements and transactions at once. */
+  /** Concurrent statements and transactions. */
   readonly slots: number;
 }
 
-/** For a target of which nothing is known: one connection, for what has to be done. */
+/** The minimum share, also for a target of which nothing is known. */
 export const minShare: ConnectionShare = { base: 1, max: 1, slots: 1 };
 
-/** Connections of each target that no proxy plans with: changes of primary and a newcomer use them. */
+/** Connections of each target that are not shared out, for changes of primary and for a new proxy. */
 const spareConnections = 1;
-/** Connections that a proxy may open beyond its base: more would ask a target for slots that it lacks. */
+/** Connections that a proxy may open beyond its base. More would exceed the slots of the target. */
 const burstConnections = 1;
-/** More at once from one of many proxies than this gains nothing at targets with a few slots. */
+/** The largest equal share. One of many proxies gains nothing from more at targets with few slots. */
 const maxEqualShare = 8;
 /**
- * The most of the proxy that is asked first. It has a group's transactions all to itself, which rest
- * between their statements and hold a connection meanwhile: with an equal share it refuses what its target
- * has slots for.
+ * The largest share of the preferred gateway. It runs all of a group's transactions, which hold a connection
+ * while they are idle between statements. With an equal share it would refuse statements although its target
+ * has free slots.
  */
 const maxFirstShare = 12;
-/** Of that, what reads of a replica may take for each of its slots: some rest inside transactions. */
+/** Concurrent reads of that gateway for each slot of a replica: some are idle inside transactions. */
 const readsPerSlot = 2;
 
 /**
- * One proxy's share of a target's connections. The base: twice all proxies' shares stay within its limit. After
- * a loss of power a target counts the connections of the processes before for seconds more; with the
- * whole limit shared out, those that come back are refused every connection meanwhile. So both fit.
+ * Computes one proxy's share of a target's connection limit. Twice the sum of all proxies' bases fits into the
+ * limit. After a power loss a target counts the connections of the previous processes for some seconds. If
+ * the bases used the whole limit, the restarted proxies would be refused every connection during that time.
  *
- * Beyond it a proxy opens more only for what has waited, and closes them soon. With the base alone one that
- * gets the callers of others that are cut off refuses them with a full queue before its few connections,
- * while its target has slots free.
+ * A proxy opens connections beyond its base only for statements that have waited, and closes them soon. With
+ * the base alone a proxy that takes over the callers of proxies that are cut off would refuse them with a
+ * full queue while its target has free slots.
  */
 export function computeShare(
   connections: number,
@@ -68,10 +68,10 @@
   const base = clampShare(free / (2 * Math.max(1, proxies)), maxEqualShare);
   const all = clampShare(free / Math.max(1, proxies), maxEqualShare);
   const max = Math.max(base, Math.min(all, base + burstConnections));
-  return { base, max: max, slots: max };
+  return { base, max, slots: max };
 }
 
-/** What half of the limit leaves beside the others, who take over when this one fails. */
+/** The preferred gateway's share: half of the limit, less the shares of the gateways that replace it if it fails. */
 function computeFirstShare(
   free: number,
   proxies: number,
--- a/src/direct/trace.ts
+++ b/src/direct/trace.ts
@@ -2,17 +2,17 @@
 import type { LogFields } from "../log/index.js";
 import type { PlacedConnection } from "./placement.js";
 
-/** What a gateway told of a statement that it ran for this process. */
+/** What a gateway reported about a statement that it ran for this process. */
 export interface GatewayTrace {
   readonly gateway: string;
-  /** Empty where the statement reached no target. */
+  /** Empty if the statement reached no target. */
   readonly target: string;
   readonly role: "primary" | "replica" | "none";
-  /** Tries at targets, by the gateway. */
+  /** The number of attempts that the gateway made at targets. */
   readonly tries: number;
 }
 
-/** What decided one statement, gathered on its way for the line that tells its outcome. */
+/** Collects how one statement was routed and retried, for the log line of its outcome. */
 export class StatementTrace {
   private placement: PlacedConnection | undefined;
   private atLeast: Mark | undefined;
@@ -20,43 +20,43 @@
   private reason: string | undefined;
   private gatewayTrace: GatewayTrace | undefined;
 
-  /** The role of the target that answered last; none when the statement reached no target. */
+  /** The role of the target of the last attempt; `none` if the statement reached no target. */
   get role(): "primary" | "replica" | "none" {
     return this.gatewayTrace?.role ?? this.placement?.role ?? "none";
   }
 
-  /** The target that answered last; empty when the statement reached none. */
+  /** The target of the last attempt; empty if the statement reached none. */
   get target(): string {
     return this.gatewayTrace?.target ?? this.placement?.target ?? "";
   }
 
-  /** Tries at targets. */
+  /** The number of attempts at targets, by the gateway if one ran the statement. */
   get attemptCount(): number {
     return this.gatewayTrace?.tries ?? this.attempts;
   }
 
-  /** Notes a try at a target, and the mark that it had to hold. */
-  noteAttempt(place: PlacedConnection, atLeast?: Mark): void {
-    this.placement = place;
+  /** Records an attempt at a target, and the mark that its log must contain. */
+  noteAttempt(placement: PlacedConnection, atLeast?: Mark): void {
+    this.placement = placement;
     this.atLeast = atLeast;
     this.attempts += 1;
   }
 
-  /** Notes what a gateway told of the statement. */
-  noteGateway(hop: GatewayTrace): void {
-    this.gatewayTrace = hop;
+  /** Records what a gateway reported about the statement. */
+  noteGateway(gatewayTrace: GatewayTrace): void {
+    this.gatewayTrace = gatewayTrace;
   }
 
-  /** Notes why a try, or the statement, failed. */
+  /** Records why an attempt, or the statement, failed. */
   noteReason(reason: string): void {
     this.reason = reason;
   }
 
   describe(): LogFields {
-    const { gatewayTrace: hop, target, role, atLeast, attemptCount: tries, reason } = this;
+    const { gatewayTrace, target, role, atLeast, attemptCount: tries, reason } = this;
     return {
       tries,
-      ...(hop === undefined ? {} : { gateway: hop.gateway }),
+      ...(gatewayTrace === undefined ? {} : { gateway: gatewayTrace.gateway }),
       ...(target === "" ? {} : { target, role }),
       ...(atLeast === undefined ? {} : { atLeast: `${atLeast.term.round}.${atLeast.offset}` }),
       ...(reason === undefined ? {} : { reason }),
--- a/src/direct/tracked-link.ts
+++ b/src/direct/tracked-link.ts
@@ -1,29 +1,29 @@
 import type { Prepared, TargetCommand, TargetLink } from "../statement/index.js";
 
-/** The values and prepared statements that a connection or a session has. */
+/** The session values and prepared statements that are set on a connection. */
 export interface LinkState {
   readonly values: ReadonlyMap<string, string>;
   readonly prepared: ReadonlySet<string>;
 }
 
-/** What a statement needs of its connection. */
+/** The session values and prepared statement that a statement needs on its connection. */
 export interface LinkRequirements {
   readonly values: ReadonlyMap<string, string>;
   readonly prepared: Prepared | undefined;
 }
 
-/** More statements than this on one connection are cleared away, to bound the target's memory. */
+/** Above this number of prepared statements a connection is reset, to bound the target's memory. */
 const maxPreparedStatements = 256;
 
-/** The key of a prepared statement on a connection; callers' own names would collide. */
+/** The key of a prepared statement on a connection. Names chosen by different callers would collide. */
 export function formatPreparedKey({ effect, shape }: Prepared): string {
   return `${effect}:${shape}`;
 }
 
 /**
- * The commands that make a connection fit for a session. Connections are shared between callers: a
- * value left by another would change what this caller's statement does, so what differs is set, and
- * what the session lacks can only go by clearing all.
+ * Plans the commands that bring a connection into a session's state. Connections are shared between callers,
+ * and a value left by another caller would change what this caller's statement does. Differing values are
+ * set; a value that the session does not have can only be removed by a reset of the whole connection.
  */
 export function planLinkSetup(
   state: LinkState,
@@ -42,7 +42,7 @@
   return commands;
 }
 
-/** A connection with what has been set on it. */
+/** A connection that tracks the session state set on it. */
 export class TrackedLink {
   private readonly values = new Map<string, string>();
   private readonly prepared = new Set<string>();
@@ -57,7 +57,7 @@
     this.link.close();
   }
 
-  /** Makes it fit for a session. False, and closed, when that did not go through. */
+  /** Sets the required session state. On failure it closes the connection and returns false. */
   async prepare(requirements: LinkRequirements, timeoutMs: number): Promise<boolean> {
     for (const command of planLinkSetup(this.state, requirements)) {
       const result = await this.link.run(command, timeoutMs);
@@ -70,7 +70,7 @@
     return true;
   }
 
-  /** Whether the target still answers; clears the connection on the way. */
+  /** Checks by a reset that the target still answers, which also clears the session state. */
   async check(timeoutMs: number): Promise<boolean> {
     const reset: TargetCommand = { type: "reset" };
     const result = await this.link.run(reset, timeoutMs);
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -18,15 +18,16 @@
 import { rateClaimLapsedReason, prepareLink, type StatementResult } from "./autocommit.js";
 import type { RateClaim } from "../rates/index.js";
 
-/** Tries to begin; nothing has run before the first statement's answer, so each may be repeated. */
+/** Attempts to begin. Nothing has run before the first statement's answer, so each may be repeated. */
 const maxBeginAttempts = 64;
+/** With less time left no answer can arrive. */
 const minAttemptMs = 5;
-/** Tries of a later statement that the target had no slot for; the pauses end them by time. */
+/** Attempts at a later statement while the target has no slot; with the pauses the deadline ends them first. */
 const maxBusyAttempts = 64;
-/** A rollback takes no slot; without an answer in this time the connection is closed instead. */
+/** A rollback needs no slot; if it is not answered in this time, the connection is closed instead. */
 const rollbackTimeoutMs = 1000;
 
-/** What beginning on one connection needs. */
+/** The parameters for beginning a transaction on one connection. */
 interface BeginOptions {
   readonly work: Work | undefined;
   readonly atLeast: Mark | undefined;
@@ -36,13 +37,13 @@
 
 type Phase =
   | { readonly type: "pending" }
-  | { readonly type: "open"; readonly place: PlacedConnection }
+  | { readonly type: "open"; readonly placement: PlacedConnection }
   | { readonly type: "failed"; readonly reason: string };
 
 /**
- * One caller's transaction. It takes a connection with its first statement and keeps it to its end:
- * a statement elsewhere would run outside it. Until `commit` is sent nothing of it is kept, whatever
- * happens, so that each failure before is a promise.
+ * One caller's transaction. It acquires a connection at its first statement and keeps it until its end, as a
+ * statement on another connection would run outside the transaction. A failure before `commit` is sent
+ * guarantees that nothing of the transaction is kept.
  */
 export class Transaction implements OpenTransaction {
   private phase: Phase = { type: "pending" };
@@ -55,21 +56,21 @@
     return this.phase.type === "failed" ? "failed" : "transaction";
   }
 
-  /** Runs a statement in it. */
+  /** Runs a statement in the transaction. */
   async run(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
     return this.trackRunning(async () => {
       switch (this.phase.type) {
         case "pending":
           return this.begin(context, work, arrivedAt);
         case "open":
-          return this.runOnConnection(context, this.phase.place, work, arrivedAt);
+          return this.runOnConnection(context, this.phase.placement, work, arrivedAt);
         case "failed":
           return failLocally("malformed", "the transaction has failed; roll it back", "failed");
       }
     });
   }
 
-  /** Commits it. The session is idle afterwards, whatever came of it. */
+  /** Commits the transaction. The session is idle afterwards, whatever the result. */
   async commit(
     context: SessionContext,
     id: string,
@@ -86,24 +87,25 @@
           reply: failLocally("aborted", "the transaction failed and was rolled back", "idle"),
         };
       }
-      return this.sendCommit(context, this.phase.place, id, text, arrivedAt);
+      return this.sendCommit(context, this.phase.placement, id, text, arrivedAt);
     });
   }
 
-  /** Rolls it back without waiting: a rollback can't fail, a closed connection is one too. */
+  /** Rolls the transaction back without waiting. It can't fail: closing the connection has the same effect. */
   rollback(context: SessionContext): void {
     const { phase } = this;
     this.phase = { type: "failed", reason: "rolled back" };
-    if (phase.type === "open") void this.rollbackAndRelease(context, phase.place);
+    if (phase.type === "open") void this.rollbackAndRelease(context, phase.placement);
   }
 
   get hasWaiters(): boolean {
     return (
-      this.phase.type === "open" && this.phase.place.group.hasWaitersFor(this.phase.place.target)
+      this.phase.type === "open" &&
+      this.phase.placement.group.hasWaitersFor(this.phase.placement.target)
     );
   }
 
-  /** Whether a statement of it is on its way. */
+  /** Whether one of its statements is running. */
   get isRunning(): boolean {
     return this.isStatementRunning;
   }
@@ -120,17 +122,17 @@
   private async begin(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
     const failure = await this.open(context, work, arrivedAt);
     if (failure !== undefined) return failure;
-    if (this.phase.type !== "open") throw new Error("an opened transaction has a place");
+    if (this.phase.type !== "open") throw new Error("an open transaction must have a connection");
     if (context.disconnectSignal.aborted) {
       this.rollback(context);
-      return failLocally("aborted", "rolled back: the caller has gone", "failed");
+      return failLocally("aborted", "rolled back: the caller has disconnected", "failed");
     }
-    return this.runOnConnection(context, this.phase.place, work, arrivedAt);
+    return this.runOnConnection(context, this.phase.placement, work, arrivedAt);
   }
 
   /**
-   * Takes a connection and begins on it. Gives the answer to the caller when that fails. The transaction
-   * counts as one operation of its team, whatever it holds.
+   * Acquires a connection and begins the transaction on it. Returns the answer for the caller if that fails.
+   * A transaction counts as one operation against its team's rate limit, whatever the number of its statements.
    */
   private async open(
     context: SessionContext,
@@ -162,118 +164,121 @@
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
     const excluded = new Set<string>();
     let reason = "out of time";
-    for (let tries = 1; tries <= maxBeginAttempts; tries += 1) {
+    for (let attempt = 1; attempt <= maxBeginAttempts; attempt += 1) {
       if (clock.now() + minAttemptMs >= deadlineAt) break;
-      const need = this.isReadOnly
+      const requirement = this.isReadOnly
         ? findReadRequirement(context, arrivedAt)
         : ({ type: "primary" } as const);
-      const placed = await placeAttempt(context, need, { excluded, deadlineAt });
+      const placed = await placeAttempt(context, requirement, { excluded, deadlineAt });
       if (placed.type === "refused") {
         return this.refuse(context, placed);
       }
       if (placed.type === "unreachable") {
         excluded.add(placed.target);
         reason = placed.reason;
-        await pauseBeforeRetry(context.ports, tries, deadlineAt);
+        await pauseBeforeRetry(context.ports, attempt, deadlineAt);
         continue;
       }
-      const { place } = placed;
+      const { placement } = placed;
       const atLeast =
-        need.type === "replica" && place.role === "replica" ? need.atLeast : undefined;
-      const begun = await this.beginOnConnection(context, place, {
+        requirement.type === "replica" && placement.role === "replica"
+          ? requirement.atLeast
+          : undefined;
+      const failure = await this.beginOnConnection(context, placement, {
         work,
         atLeast,
         deadlineAt,
         claim,
       });
-      if (begun === undefined) return undefined;
-      reason = begun;
-      if (begun === rateClaimLapsedReason) break;
-      if (place.role === "replica") excluded.add(place.target);
-      await pauseBeforeRetry(context.ports, tries, deadlineAt);
+      if (failure === undefined) return undefined;
+      reason = failure;
+      if (failure === rateClaimLapsedReason) break;
+      if (placement.role === "replica") excluded.add(placement.target);
+      await pauseBeforeRetry(context.ports, attempt, deadlineAt);
     }
     return this.refuse(context, { reason, retryAfterMs: 0, waitedFor: [] });
   }
 
-  /** Begins on a connection; gives why it failed, with the connection given back or closed. */
+  /** Begins on a connection. On failure it releases or closes the connection and returns the reason. */
   private async beginOnConnection(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
     { work, atLeast, deadlineAt, claim }: BeginOptions,
   ): Promise<string | undefined> {
     const prepared = findPrepared(work);
-    if (!(await prepareLink(context, place, prepared, deadlineAt))) return "the connection broke";
-    if (!isStillPrimary(context, place)) {
-      place.release();
+    if (!(await prepareLink(context, placement, prepared, deadlineAt)))
+      return "the connection broke";
+    if (!isStillPrimary(context, placement)) {
+      placement.release();
       return supersededReason;
     }
     if (!claim.use()) {
-      place.release();
+      placement.release();
       return rateClaimLapsedReason;
     }
     const mark = atLeast === undefined ? {} : { atLeast };
     const command = { type: "begin", isReadOnly: this.isReadOnly, ...mark } as const;
     const leftMs = deadlineAt - context.ports.clock.now();
-    const result = await sendCommand(context, place, command, leftMs);
+    const result = await sendCommand(context, placement, command, leftMs);
     if (result.type === "broken") return result.reason;
     const { end } = result.reply;
     if (end.type === "complete") {
-      this.phase = { type: "open", place };
+      this.phase = { type: "open", placement };
       return undefined;
     }
     if (isNotRun(end.code)) claim.noteNotRun();
-    if (end.code === "lagging") place.group.noteLagging(place.target);
-    await this.rollbackAndRelease(context, place);
+    if (end.code === "lagging") placement.group.noteLagging(placement.target);
+    await this.rollbackAndRelease(context, placement);
     return end.code;
   }
 
-  /** Sends a statement on the transaction's own connection. */
+  /** Runs a statement on the transaction's connection, and retries it while the target is busy. */
   private async runOnConnection(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
     work: Work,
     arrivedAt: number,
   ): Promise<Reply> {
     const { clock } = context.ports;
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    context.trace.noteAttempt(place);
-    for (let tries = 1; ; tries += 1) {
-      if (!(await prepareLink(context, place, findPrepared(work), deadlineAt))) {
+    context.trace.noteAttempt(placement);
+    for (let attempt = 1; ; attempt += 1) {
+      if (!(await prepareLink(context, placement, findPrepared(work), deadlineAt))) {
         return this.abort(context, work.id, "the connection broke");
       }
-      const result = await this.send(context, place, work, deadlineAt - clock.now());
+      const result = await this.send(context, placement, work, deadlineAt - clock.now());
       if (result.type === "broken") return this.abort(context, work.id, result.reason);
       const { reply } = result;
       if (reply.end.type === "complete") {
         if (findEffect(work) === "write") this.hasWritten = true;
         return reply;
       }
-      const canWait = clock.now() + minAttemptMs < deadlineAt && tries < maxBusyAttempts;
+      const canWait = clock.now() + minAttemptMs < deadlineAt && attempt < maxBusyAttempts;
       if (reply.end.code === "busy" && reply.state === "transaction" && canWait) {
-        await pauseBeforeRetry(context.ports, tries, deadlineAt);
+        await pauseBeforeRetry(context.ports, attempt, deadlineAt);
         continue;
       }
-      return this.failWith(context, place, reply);
+      return this.failWith(context, placement, reply);
     }
   }
 
   private send(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
     work: Work,
     leftMs: number,
   ): Promise<CommandResult> {
-    return sendCommand(context, place, { type: "work", work }, Math.max(1, leftMs));
+    return sendCommand(context, placement, { type: "work", work }, Math.max(1, leftMs));
   }
 
-  /** A statement's error fails the whole transaction, which is rolled back at once. */
-  private failWith(context: SessionContext, place: PlacedConnection, reply: Reply): Reply {
+  /** Fails the whole transaction after a statement's error and rolls it back immediately. */
+  private failWith(context: SessionContext, placement: PlacedConnection, reply: Reply): Reply {
     if (reply.end.type !== "error") return reply;
     this.phase = { type: "failed", reason: reply.end.code };
-    void this.rollbackAndRelease(context, place);
+    void this.rollbackAndRelease(context, placement);
     const { code, text } = reply.end;
     if (isNotRun(code)) return { ...reply, state: "failed" };
-    // It ran, but what it did was rolled back with the rest: nothing is kept.
+    // The statement ran, but its effects were rolled back with the transaction.
     return failLocally(code === "failed" ? "failed" : "aborted", text, "failed");
   }
 
@@ -286,15 +291,16 @@
   }
 
   /**
-   * Rolls back in place of a commit at a target that leads no more. One that nobody could make step
-   * back would still take the commit: its caller would be told of a write that the new primary lacks.
+   * Rolls back instead of committing at a target that is no longer the primary. A replaced primary that could
+   * not be demoted would still accept the commit, and the caller would be told of a write that the new primary
+   * does not have.
    */
   private rollbackInsteadOfCommit(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
     id: string,
   ): Reply {
-    void this.rollbackAndRelease(context, place);
+    void this.rollbackAndRelease(context, placement);
     return { ...this.abort(context, id, supersededReason), state: "idle" };
   }
 
@@ -310,21 +316,21 @@
 
   private async sendCommit(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
     id: string,
     text: string,
     arrivedAt: number,
   ): Promise<StatementResult> {
     const { clock, logger } = context.ports;
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    context.trace.noteAttempt(place);
-    for (let tries = 1; ; tries += 1) {
-      if (this.hasWritten && !isStillPrimary(context, place)) {
-        return { reply: this.rollbackInsteadOfCommit(context, place, id) };
+    context.trace.noteAttempt(placement);
+    for (let attempt = 1; ; attempt += 1) {
+      if (this.hasWritten && !isStillPrimary(context, placement)) {
+        return { reply: this.rollbackInsteadOfCommit(context, placement, id) };
       }
       const command = { type: "commit", id, text } as const;
       const leftMs = Math.max(1, deadlineAt - clock.now());
-      const result = await sendCommand(context, place, command, leftMs);
+      const result = await sendCommand(context, placement, command, leftMs);
       if (result.type === "broken") {
         logger.write(directEvents.commitUnanswered, { id, reason: result.reason });
         this.phase = { type: "failed", reason: result.reason };
@@ -332,23 +338,23 @@
       }
       const { reply } = result;
       const isBusy = reply.end.type === "error" && reply.end.code === "busy";
-      const canWait = clock.now() + minAttemptMs < deadlineAt && tries < maxBusyAttempts;
+      const canWait = clock.now() + minAttemptMs < deadlineAt && attempt < maxBusyAttempts;
       if (isBusy && reply.state === "transaction" && canWait) {
-        await pauseBeforeRetry(context.ports, tries, deadlineAt);
+        await pauseBeforeRetry(context.ports, attempt, deadlineAt);
         continue;
       }
       this.phase = { type: "failed", reason: "ended" };
-      return this.finishCommit(context, place, reply);
+      return this.finishCommit(context, placement, reply);
     }
   }
 
   private finishCommit(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
     reply: Reply,
   ): StatementResult {
-    if (reply.state === "idle") place.release();
-    else void this.rollbackAndRelease(context, place);
+    if (reply.state === "idle") placement.release();
+    else void this.rollbackAndRelease(context, placement);
     const ended = { ...reply, state: "idle" } as const;
     const isWritten = this.hasWritten && reply.end.type === "complete";
     return isWritten && reply.mark !== undefined
@@ -356,7 +362,7 @@
       : { reply: ended };
   }
 
-  /** A transaction that wrote nothing leaves nothing behind, whether its commit ran or not. */
+  /** Makes the answer to a commit without a result. Without writes it is irrelevant whether the commit ran. */
   private makeLostCommitReply(reason: string): Reply {
     return this.hasWritten
       ? failLocally("inDoubt", `the commit may have run: ${reason}`, "idle")
@@ -365,11 +371,11 @@
 
   private async rollbackAndRelease(
     context: SessionContext,
-    place: PlacedConnection,
+    placement: PlacedConnection,
   ): Promise<void> {
-    const result = await sendCommand(context, place, { type: "rollback" }, rollbackTimeoutMs);
-    if (result.type === "answered" && result.reply.state === "idle") place.release();
-    else place.drop();
+    const result = await sendCommand(context, placement, { type: "rollback" }, rollbackTimeoutMs);
+    if (result.type === "answered" && result.reply.state === "idle") placement.release();
+    else placement.drop();
   }
 }
 
--- a/test/direct/decisions.test.ts
+++ b/test/direct/decisions.test.ts
@@ -35,7 +35,7 @@
 const choose = (views: readonly CandidateTarget[], demand = read) =>
   chooseCandidates(demand, serving, views, 100, () => 0.5);
 
-test("reads go to the least busy replica, the near one first", () => {
+test("a read goes to the least loaded replica, preferring the local data centre", () => {
   expect(choose([view("p"), view("a"), view("b", { isLocal: true })])).toMatchObject({
     names: ["b"],
   });
@@ -45,19 +45,18 @@
   expect(choose([view("p"), ...full])).toMatchObject({ names: ["a", "b"] });
 });
 
-// A connection serves the team that it was opened for. Where a target has a free one for the statement's
-// team it is preferred to as busy a one that has none; a less busy one is preferred all the same.
-test("reads go where a connection of their team is free, unless that target is busier", () => {
+// A connection serves only the team that it was opened for. Among equally loaded targets one with an idle
+// connection for the statement's team is preferred, but a less loaded target comes first.
+test("a read prefers a target with an idle connection of its team unless that target is busier", () => {
   const unopened = view("a", { hasIdle: false, isLocal: true });
   expect(choose([view("p"), unopened, view("b")])).toMatchObject({ names: ["b"] });
   const busy = view("b", { running: 1 });
   expect(choose([view("p"), unopened, busy])).toMatchObject({ names: ["a"] });
 });
 
-// A read comes where the primary is in the same data centre and no replica is. It goes there while the
-// primary does nothing of this proxy's and has turned nobody away; background work never does, and
-// writes find the primary's other slots free.
-test("a read goes to an idle primary nearby, unless more important work may need it", () => {
+// The primary is in the proxy's data centre and no replica is. Reads use the primary only while it runs
+// nothing of this proxy and is not saturated, and background reads never do, so that writes find a slot.
+test("a read goes to an idle local primary unless more important statements may need it", () => {
   const near = view("p", { isLocal: true });
   const replicas = [view("a"), view("b")];
   expect(choose([near, ...replicas])).toMatchObject({ role: "primary", names: ["p"] });
@@ -73,7 +72,7 @@
   expect(choose([near, idleNear])).toMatchObject({ names: ["a"] });
 });
 
-test("leaving, failing, lagging and excluded replicas are passed over for the primary", () => {
+test("a read goes to the primary if all replicas are leaving, failing, lagging or excluded", () => {
   const unfit = [
     view("a", { isLeaving: true }),
     view("b", { health: noteFailure(healthyTarget, 90) }),
@@ -84,7 +83,7 @@
   expect(choose([view("p"), ...unfit], demand)).toMatchObject({ role: "primary", names: ["p"] });
 });
 
-test("without a primary a statement that needs one waits or is refused, a read goes on", () => {
+test("without a primary a write waits or is refused, and a read goes to a replica", () => {
   const write = { ...read, needsPrimary: true };
   const changing = { type: "changing", readyInMs: 300, reason: "made anew" } as const;
   const draw = () => 0.5;
@@ -100,9 +99,9 @@
   expect(choose([silent], write)).toMatchObject({ type: "wait", readyInMs: 40 });
 });
 
-// A target goes dark, and its entry stands for seconds. Statements that are sent to it wait in vain for a
-// connection. One at a time tries it; the others go elsewhere, or wait a little where there is no other.
-test("a target that fails is tried by one statement at a time", () => {
+// An unreachable target stays listed for seconds, and statements sent to it wait in vain for a connection.
+// Only one statement at a time may probe it. Others go elsewhere, or wait if there is no other target.
+test("a failing target is probed by one statement at a time", () => {
   const failing = noteFailure(healthyTarget, 0);
   const dark = view("a", { isLocal: true, health: failing });
   expect(choose([view("p"), dark, view("b")])).toMatchObject({ names: ["a"] });
@@ -117,14 +116,14 @@
   expect(choose([{ ...twice, occupiedSlots: 0 }], write)).toMatchObject({ names: ["p"] });
 });
 
-test("failures of one moment count once, pauses grow, an answer ends them", () => {
+test("failures during a pause count once, pauses grow, and an answer ends the pause", () => {
   const first = noteFailure(healthyTarget, 0);
   expect(noteFailure(first, 10)).toEqual(first);
   expect(noteFailure(first, 60).avoidUntil).toBe(160);
   expect(noteAnswer(first).avoidUntil).toBe(0);
 });
 
-test("a connection is cleared only of what the session lacks", () => {
+test("a connection is reset only if it has a value that the session does not have", () => {
   const has = { values: new Map([["a", "1"]]), prepared: new Set<string>() };
   const needs = (values: readonly (readonly [string, string])[]) => ({
     values: new Map(values),
@@ -144,76 +143,79 @@
   reply: { rows: [], end: { type: "error", code, text: "" }, state: "idle" },
 });
 
-test("a write that may have run is never sent again; what has not run is", () => {
+test("a write that may have run is not retried, and a statement that did not run is", () => {
   const broken = { type: "broken", sent: true, reason: "x" } as const;
   expect(classifyResult(broken, "write").type).toBe("inDoubt");
-  expect(classifyResult(broken, "read").type).toBe("again");
-  expect(classifyResult({ ...broken, sent: false }, "write").type).toBe("again");
+  expect(classifyResult(broken, "read").type).toBe("retry");
+  expect(classifyResult({ ...broken, sent: false }, "write").type).toBe("retry");
   for (const code of ["busy", "lagging", "readOnly", "wrongTarget"] as const) {
-    expect(classifyResult(failed(code), "write")).toMatchObject({ type: "again", isNotRun: true });
+    expect(classifyResult(failed(code), "write")).toMatchObject({ type: "retry", isNotRun: true });
   }
   for (const code of ["failed", "timeout", "inDoubt"] as const) {
     expect(classifyResult(failed(code), "write").type).toBe("done");
-    expect(classifyResult(failed(code), "read").type).toBe("again");
+    expect(classifyResult(failed(code), "read").type).toBe("retry");
   }
 });
 
-// All machines lose power and come back at once. The targets still count the connections of the
-// processes before, so that those and the new ones have to fit together.
-test("the shares of all proxies fit twice into a target's connections", () => {
+// After a power loss of all machines the targets still count the connections of the previous processes, so
+// that both these and the new connections must fit into the limit.
+test("twice the shares of all proxies fit into a target's connection limit", () => {
   for (let proxies = 1; proxies < 12; proxies += 1) {
-    const { base, max: most } = computeShare(16, shared, { type: "equal", proxies });
+    const { base, max } = computeShare(16, shared, { type: "equal", proxies });
     expect(base === 1 || base * proxies * 2 <= 15).toBe(true);
-    expect(most === 1 || most * proxies <= 15).toBe(true);
+    expect(max === 1 || max * proxies <= 15).toBe(true);
   }
   expect(computeShare(16, shared, { type: "equal", proxies: 7 })).toMatchObject({
     base: 1,
-    most: 2,
+    max: 2,
   });
   expect(computeShare(55, shared, { type: "equal", proxies: 8 })).toMatchObject({
     base: 3,
-    most: 4,
+    max: 4,
   });
 });
 
 const shared = { slots: 3, announcedRole: "primary" } as const;
 
-// A loss of power restarts all gateways, and a target counts their old connections for three seconds more.
-// Had the new ones no room beside them, they would be refused every connection meanwhile.
+// After a power loss restarts all gateways, a target counts their old connections for three more seconds. If
+// the new connections did not fit beside them, the gateways would be refused every connection in that time.
 test.each([
   [37, 6],
   [38, 8],
   [58, 6],
   [16, 6],
-])("gateways' base of %i connections, held by %i, fits twice", (connections, proxies) => {
-  const count = (isFirst: boolean) => {
-    const holding: ShareRule = { type: "chosen", proxies, isFirst };
-    return computeShare(connections, shared, holding);
-  };
-  const base = count(true).base + (proxies - 1) * count(false).base;
-  expect(2 * base).toBeLessThanOrEqual(connections);
-  const most = count(true).max + (proxies - 1) * count(false).max;
-  expect(most).toBeLessThan(connections);
-  expect(count(true).base).toBeGreaterThanOrEqual(count(false).base);
-});
-
-// Reads need a slot each and no more: what is sent to a replica beyond them comes back as busy. A primary's
-// transactions rest between statements and hold connections without a slot.
-test("the first gateway has more under way at a primary than at a replica", () => {
-  const holding: ShareRule = { type: "chosen", proxies: 6, isFirst: true };
-  expect(computeShare(37, shared, holding).slots).toBe(12);
-  expect(computeShare(37, { ...shared, announcedRole: "replica" }, holding).slots).toBe(6);
-});
-
-test("a proxy that holds nothing opens one connection where it has to", () => {
-  expect(computeShare(185, shared, { type: "none" })).toEqual({ base: 1, most: 1, slots: 1 });
-});
-
-test("a transaction may rest to its limit, and for less while others wait", () => {
+])(
+  "twice the gateways' bases fit into a limit of %i connections with %i gateways",
+  (connections, proxies) => {
+    const count = (isFirst: boolean) => {
+      const rule: ShareRule = { type: "chosen", proxies, isFirst };
+      return computeShare(connections, shared, rule);
+    };
+    const base = count(true).base + (proxies - 1) * count(false).base;
+    expect(2 * base).toBeLessThanOrEqual(connections);
+    const max = count(true).max + (proxies - 1) * count(false).max;
+    expect(max).toBeLessThan(connections);
+    expect(count(true).base).toBeGreaterThanOrEqual(count(false).base);
+  },
+);
+
+// Each read needs a slot, and a replica answers reads beyond its slots as busy. Transactions on a primary hold
+// connections without a slot while they are idle between statements.
+test("the preferred gateway may run more statements at a primary than at a replica", () => {
+  const rule: ShareRule = { type: "chosen", proxies: 6, isFirst: true };
+  expect(computeShare(37, shared, rule).slots).toBe(12);
+  expect(computeShare(37, { ...shared, announcedRole: "replica" }, rule).slots).toBe(6);
+});
+
+test("a proxy without a share may open one connection", () => {
+  expect(computeShare(185, shared, { type: "none" })).toEqual({ base: 1, max: 1, slots: 1 });
+});
+
+test("the idle limit of a transaction is shorter while others wait", () => {
   expect(isIdleLimitReached(2999, 3000, false)).toBe(false);
   expect(isIdleLimitReached(3000, 3000, false)).toBe(true);
   expect(isIdleLimitReached(399, 3000, true)).toBe(false);
   expect(isIdleLimitReached(400, 3000, true)).toBe(true);
-  // An operator's limit below that holds.
+  // A shorter configured limit takes precedence.
   expect(isIdleLimitReached(100, 100, false)).toBe(true);
 });
--- a/test/direct/fixture.ts
+++ b/test/direct/fixture.ts
@@ -22,7 +22,7 @@
 } from "../../src/statement/index.js";
 import { FakeClock, makeRandom, settle } from "../fleet/fakes.js";
 
-/** A command that a stage's target has got; answered by the test. */
+/** A command sent to a target of the fixture; the test answers it. */
 export interface SentCommand {
   readonly target: string;
   readonly command: TargetCommand;
@@ -39,34 +39,34 @@
 
 export const group = "ledger";
 
-/** The results of a target that does what it is told. */
+/** The result of a command that succeeded. */
 export const answered = (state: SessionState = "idle", mark?: Mark): CommandResult => ({
   type: "answered",
   reply: { ...completeLocally(state), ...(mark === undefined ? {} : { mark }) },
 });
 
-/** One proxy's way from a statement to its targets, without a network and with time that stands still. */
+/** Direct serving of one proxy with fake targets, without a network and on a fake clock. */
 export class ProxyFixture {
   readonly clock = new FakeClock();
   readonly sent: SentCommand[] = [];
-  /** Primaries that were told to be silent. */
+  /** Primaries that were reported as silent. */
   readonly silentPrimaries: string[] = [];
-  /** Whether the test answers what begins a transaction too. */
+  /** Whether the test answers `begin` commands itself. */
   isBeginHeld = false;
-  /** Targets of connections that were closed. */
+  /** The targets of closed connections. */
   readonly closedConnections: string[] = [];
-  /** Primaries that were told to have lost their log. */
+  /** Primaries that were reported to have lost their log. */
   readonly lostLogPrimaries: string[] = [];
-  /** What the proxy holds of the targets' connections. */
+  /** The rule for the proxy's share of the targets' connections. */
   shareRule: ShareRule;
   primary: PrimaryState = { type: "serving", target: "p" };
   readonly groups: GroupDirectory;
   readonly ports: DirectPorts;
   private next = 1;
-  private readonly scene: ServingConfig;
+  private readonly config: ServingConfig;
 
   constructor(options: FixtureOptions = {}) {
-    const scene = makeScene(options);
+    const config = makeServingConfig(options);
     this.shareRule = { type: "equal", proxies: options.proxies ?? 1 };
     this.ports = {
       dialer: {
@@ -86,20 +86,20 @@
       clock: this.clock,
       random: makeRandom(1),
       logger: silentLogger,
-      getServingConfig: () => scene,
+      getServingConfig: () => config,
       findShareRule: () => this.shareRule,
       rates: openGate,
       onStatement: () => undefined,
     };
     this.groups = new GroupDirectory(this.ports);
-    this.scene = scene;
-    this.groups.update(scene);
+    this.config = config;
+    this.groups.update(config);
   }
 
-  /** Changes what the proxy holds, as a change of the listed proxies does. */
-  setShareRule(holding: ShareRule): void {
-    this.shareRule = holding;
-    this.groups.update(this.scene);
+  /** Changes the proxy's share, as a change of the listed proxies does. */
+  setShareRule(rule: ShareRule): void {
+    this.shareRule = rule;
+    this.groups.update(this.config);
   }
 
   open(database: string, options: { readonly key?: string } = {}): DirectSession {
@@ -115,12 +115,12 @@
     });
   }
 
-  /** The commands of one kind that a target has got. */
+  /** Lists the commands of one type that were sent to a target. */
   list(target: string, type: TargetCommand["type"]): readonly SentCommand[] {
     return this.sent.filter((s) => s.target === target && s.command.type === type);
   }
 
-  /** Lets time pass in steps, so that timers of all kinds of waiting get their turn. */
+  /** Advances the clock and lets pending promises settle. */
   async advance(ms: number): Promise<void> {
     await this.clock.advance(ms);
     await settle();
@@ -179,7 +179,7 @@
   text: "WRITE cello taken",
 });
 
-function makeScene(options: FixtureOptions): ServingConfig {
+function makeServingConfig(options: FixtureOptions): ServingConfig {
   const names = options.targets ?? ["p", "q"];
   const targets = names.map((name, i) => ({
     name,
@@ -197,7 +197,7 @@
     revision: 1,
     databases: new Map(databases.map((d) => [d.name, d])),
     groups: new Map([[group, { name: group, connections: options.connections ?? 16, targets }]]),
-    // So long that nothing is rolled back for having rested.
+    // Long enough that no transaction reaches the idle limit.
     transactionIdleMs: 600_000,
     lineTimeoutMs: 3000,
     ...(options.roster === undefined ? {} : { roster: options.roster }),
--- a/test/direct/superseded.test.ts
+++ b/test/direct/superseded.test.ts
@@ -1,76 +1,76 @@
 import { afterEach, expect, test } from "@jest/globals";
 import { answered, group, read, ProxyFixture, write } from "./fixture.js";
 
-let stage: ProxyFixture;
+let fixture: ProxyFixture;
 
-afterEach(() => stage.dispose());
+afterEach(() => fixture.dispose());
 
-// A read waits for the only connection to the primary, which another statement holds. Meanwhile the
-// primary is replaced. Sent to the old one, the read would be answered by what is a replica by now, and
-// its caller would miss commits that the new primary has acknowledged.
+// A read waits for the only connection to the primary, and the primary is replaced in the meantime. If the
+// read were sent to the old primary, now a replica, its caller would miss commits that the new primary has
+// acknowledged.
 test("a read that waited while the primary was replaced goes to the new one", async () => {
-  stage = new ProxyFixture({ proxies: 16 });
-  const first = stage.open("primary").run(read("1"));
-  await stage.advance(1);
-  const second = stage.open("primary").run(read("2"));
-  await stage.advance(1);
-  stage.primary = { type: "serving", target: "q" };
-  stage.list("p", "work")[0]?.answer(answered());
-  await stage.advance(1);
-  expect(stage.list("p", "work")).toHaveLength(1);
-  stage.list("q", "work")[0]?.answer(answered());
+  fixture = new ProxyFixture({ proxies: 16 });
+  const first = fixture.open("primary").run(read("1"));
+  await fixture.advance(1);
+  const second = fixture.open("primary").run(read("2"));
+  await fixture.advance(1);
+  fixture.primary = { type: "serving", target: "q" };
+  fixture.list("p", "work")[0]?.answer(answered());
+  await fixture.advance(1);
+  expect(fixture.list("p", "work")).toHaveLength(1);
+  fixture.list("q", "work")[0]?.answer(answered());
   expect((await second).end.type).toBe("complete");
   expect((await first).end.type).toBe("complete");
 });
 
-// The primary goes dark: the statement that has its only connection gets no answer, and another waits
-// behind it. The primary is replaced; the second goes to the new one without waiting for the first.
-test("what waits for a primary that was replaced does not wait for its silent statements", async () => {
-  stage = new ProxyFixture({ proxies: 16 });
-  const first = stage.open("primary").run(read("1"));
-  await stage.advance(1);
-  const second = stage.open("primary").run(read("2"));
-  await stage.advance(1);
-  stage.primary = { type: "serving", target: "q" };
-  stage.groups.find(group)?.evict("p");
-  await stage.advance(10);
-  stage.list("q", "work")[0]?.answer(answered());
+// The primary becomes unreachable while a statement holds its only connection and another one waits. When
+// the primary is replaced, the second must go to the new one without waiting for the first to time out.
+test("a statement queued for a replaced primary does not wait for an unanswered one", async () => {
+  fixture = new ProxyFixture({ proxies: 16 });
+  const first = fixture.open("primary").run(read("1"));
+  await fixture.advance(1);
+  const second = fixture.open("primary").run(read("2"));
+  await fixture.advance(1);
+  fixture.primary = { type: "serving", target: "q" };
+  fixture.groups.find(group)?.evict("p");
+  await fixture.advance(10);
+  fixture.list("q", "work")[0]?.answer(answered());
   expect((await second).end.type).toBe("complete");
-  stage.list("p", "work")[0]?.answer(answered());
+  fixture.list("p", "work")[0]?.answer(answered());
   await first;
 });
 
-// A transaction has written at the primary, which is replaced before its commit and could not be made
-// to step back. It would take the commit, which the new primary lacks. It is rolled back instead, and
-// the caller hears that nothing is kept.
+// A transaction has written at a primary that is replaced before the commit but could not be demoted. That
+// primary would accept the commit, which the new primary would not have. The transaction must be rolled
+// back instead, and the caller must be told so.
 test("a transaction does not commit at a primary that was replaced", async () => {
-  stage = new ProxyFixture();
-  const session = stage.open("primary");
+  fixture = new ProxyFixture();
+  const session = fixture.open("primary");
   await session.run({ type: "begin", id: "1", isReadOnly: false });
   const written = session.run(write("2"));
-  await stage.advance(1);
-  stage.list("p", "work")[0]?.answer(answered("transaction"));
+  await fixture.advance(1);
+  fixture.list("p", "work")[0]?.answer(answered("transaction"));
   expect((await written).end.type).toBe("complete");
-  stage.primary = { type: "changing", readyInMs: 500, reason: "made anew" };
+  fixture.primary = { type: "changing", readyInMs: 500, reason: "made anew" };
   const end = await session.run({ type: "commit", id: "3", text: "COMMIT" });
   expect(end).toMatchObject({ end: { type: "error", code: "aborted" }, state: "idle" });
-  expect(stage.list("p", "commit")).toHaveLength(0);
-  expect(stage.list("p", "rollback")).toHaveLength(1);
+  expect(fixture.list("p", "commit")).toHaveLength(0);
+  expect(fixture.list("p", "rollback")).toHaveLength(1);
 });
 
-// A proxy's place among those that hold a group's connections goes to another. Kept open, its connections
-// would stand beside the other's for good, and the target would refuse some of them.
-test("a proxy that holds a group's connections no more closes them, and may open one", async () => {
-  stage = new ProxyFixture();
-  const first = stage.open("primary").run(read("1"));
-  await stage.advance(1);
-  stage.list("p", "work")[0]?.answer(answered());
+// Another proxy takes over this proxy's share of a group's connections. If this proxy kept its connections
+// open, the sum would exceed the target's limit, and the target would refuse some.
+test("a proxy that loses its share closes its connections and may open one", async () => {
+  fixture = new ProxyFixture();
+  const first = fixture.open("primary").run(read("1"));
+  await fixture.advance(1);
+  fixture.list("p", "work")[0]?.answer(answered());
   await first;
-  stage.setShareRule({ type: "none" });
-  await stage.advance(1);
-  expect(stage.closedConnections).toContain("p");
-  const second = stage.open("primary").run(read("2"));
-  await stage.advance(1);
-  stage.list("p", "work")[1]?.answer(answered());
+  fixture.setShareRule({ type: "none" });
+  await fixture.advance(1);
+  expect(fixture.closedConnections).toContain("p");
+  const second = fixture.open("primary").run(read("2"));
+  await fixture.advance(1);
+  fixture.list("p", "work")[1]?.answer(answered());
   expect((await second).end.type).toBe("complete");
 });
--- a/test/direct/transaction.test.ts
+++ b/test/direct/transaction.test.ts
@@ -1,30 +1,30 @@
 import { afterEach, expect, test } from "@jest/globals";
 import { answered, ProxyFixture, write } from "./fixture.js";
 
-let stage: ProxyFixture;
+let fixture: ProxyFixture;
 
-afterEach(() => stage.dispose());
+afterEach(() => fixture.dispose());
 
-/** A little over the time between two looks at the connections. */
-const lookMs = 250;
+/** A little longer than the interval of the pool's checks. */
+const checkIntervalMs = 250;
 
-// A caller's transaction of several statements takes 16 s, resting between them for less than it may.
-// Its connection answers each time. Taken as silent for the age of its grant, it was closed after 10 s
-// and the caller's commit was answered with an error.
+// A transaction takes 16 s, with idle times below the limit, and its connection answers each statement. If
+// progress were measured from the time at which the connection was acquired, the pool would close it as
+// silent after 10 s and the commit would fail.
 test("a long transaction keeps its connection as long as it answers", async () => {
-  stage = new ProxyFixture();
-  const session = stage.open("primary");
+  fixture = new ProxyFixture();
+  const session = fixture.open("primary");
   await session.run({ type: "begin", id: "0", isReadOnly: false });
   for (let i = 1; i <= 8; i += 1) {
     const written = session.run(write(String(i)));
-    await stage.advance(1);
-    stage.list("p", "work")[i - 1]?.answer(answered("transaction"));
+    await fixture.advance(1);
+    fixture.list("p", "work")[i - 1]?.answer(answered("transaction"));
     expect((await written).end.type).toBe("complete");
-    await stage.advance(2000);
+    await fixture.advance(2000);
   }
-  await new Promise((resolve) => setTimeout(resolve, lookMs));
+  await new Promise((resolve) => setTimeout(resolve, checkIntervalMs));
   const committed = session.run({ type: "commit", id: "9", text: "COMMIT" });
-  await stage.advance(1);
-  stage.list("p", "commit")[0]?.answer(answered());
+  await fixture.advance(1);
+  fixture.list("p", "commit")[0]?.answer(answered());
   expect((await committed).end.type).toBe("complete");
 });
