--- a/src/direct/group.ts
+++ b/src/direct/group.ts
@@ -16,72 +16,72 @@
   observePrimary,
   type PositionHistory,
 } from "../policy/index.js";
-import type { CandidateView } from "./candidates.js";
+import type { CandidateTarget } from "./candidates.js";
 import {
   noteAnswer,
-  noteBehind,
+  noteLagging,
   noteFailure,
-  noteFull,
-  soundHealth,
+  noteSaturated,
+  healthyTarget,
   type TargetHealth,
 } from "./health.js";
 import type { DirectPorts } from "./ports.js";
-import { PreparedLink } from "./prelude.js";
+import { TrackedLink } from "./tracked-link.js";
 import type { TargetLink } from "../statement/index.js";
-import type { AnnouncedGroup, AnnouncedTarget } from "./scene.js";
-import { countShare, leastShare, type ConnectionShare } from "./share.js";
+import type { AnnouncedGroup, AnnouncedTarget } from "./serving-config.js";
+import { computeShare, minShare, type ConnectionShare } from "./share.js";
 
-/** A connection in use by one statement or transaction. */
-export type DirectTaken = ConnectionTaken<PreparedLink>;
+/** The result of acquiring a connection for one statement or transaction. */
+export type ConnectionResult = ConnectionTaken<TrackedLink>;
 
-/** How long a connection is waited for. Times are on the proxy's clock, in milliseconds. */
-export interface TakeLimits {
+/** Limits of the wait for a connection. Times are on the proxy's clock, in milliseconds. */
+export interface ConnectionWaitLimits {
   readonly deadlineAt: number;
   readonly signal: AbortSignal;
 }
 
-/** Opening takes about 12 ms and one of the target's slots; beyond this the target is not there. */
+/** Opening takes about 12 ms and one of the target's slots; after this time the target is unreachable. */
 const openTimeoutMs = 400;
-/** The first pause after a connection that could not be opened, about two tries to connect. */
+/** The first pause after a connection could not be opened: about the time of two attempts. */
 const firstBackoffMs = 50;
 /**
- * The longest such pause. With the usual 5 s, proxies that had been cut off from a replica refuse what needs
- * it for seconds after the cut has healed and the replica was made the primary.
+ * The longest such pause. With the usual 5 s, a proxy that was partitioned from a replica would refuse
+ * statements for seconds after the partition has healed and the replica has become the primary.
  */
 const longestBackoffMs = 400;
-/** Silence on a check after which a connection counts as lost; a round trip takes 1 to 3 ms. */
+/** A connection that does not answer a check in this time counts as lost; a round trip takes 1 to 3 ms. */
 const checkTimeoutMs = 150;
-/** Connections idle for longer are checked before use: they may have gone silent meanwhile. */
+/** Connections that have been idle for longer are checked before use, since they may be dead. */
 const checkAfterIdleMs = 5000;
-/** Between two looks at the connections; the usual 50 ms would wake an idle process all the time. */
-const poolTickMs = 200;
-/** Statements are ended by their own timeouts; a connection silent for longer is closed anyway. */
+/** The interval of the pool's checks; the usual 50 ms would keep waking an idle process. */
+const poolCheckIntervalMs = 200;
+/** A connection without progress for longer is closed. Statements normally time out before. */
 const progressTimeoutMs = 10_000;
-/** A statement that has waited for so long shows that the base does not do: several times the usual work. */
+/** Once a statement has waited this long, the pool grows beyond its base: several times a usual run time. */
 const growAfterMs = 60;
-/** How long a target counts the connections of processes that lost their power, and a margin. */
-const lingerMs = 4000;
-/** An idle connection beyond the base is closed after this: others may need its place. */
-const surplusMs = 1000;
+/** How long a target may count the connections of processes that lost power, plus a margin. */
+const staleConnectionMs = 4000;
+/** An idle connection beyond the base is closed after this time, as other proxies may need it. */
+const surplusIdleMs = 1000;
 
-/** A group's targets as this proxy uses them: their slots, connections, health and positions. */
+/** This proxy's slots, connections, health records and log positions for a group's targets. */
 export class DirectGroup implements Disposable {
   readonly slots: SlotQueue;
-  private readonly owned = new DisposableStore();
-  private readonly pools = new Map<string, TargetPool<PreparedLink>>();
+  private readonly disposables = new DisposableStore();
+  private readonly pools = new Map<string, TargetPool<TrackedLink>>();
   private readonly health = new Map<string, TargetHealth>();
-  private readonly running = new Map<string, number>();
+  private readonly runningCounts = new Map<string, number>();
   private targets = new Map<string, AnnouncedTarget>();
   private history: PositionHistory = emptyHistory;
-  /** The newest end of its log that the primary has shown since it leads. */
-  private shownEnd: ShownEnd | undefined;
+  /** The newest end of its log that the current primary has reported. */
+  private reportedEnd: ReportedEnd | undefined;
   private readonly shares = new Map<string, ConnectionShare>();
 
   constructor(
     private group: AnnouncedGroup,
     private readonly ports: DirectPorts,
   ) {
-    this.slots = this.owned.add(new SlotQueue(ports.clock));
+    this.slots = this.disposables.add(new SlotQueue(ports.clock));
     this.update(group);
   }
 
@@ -89,7 +89,7 @@
     return this.group.name;
   }
 
-  /** Takes the platform's latest list of the group's targets. */
+  /** Applies the platform's latest list of the group's targets. */
   update(group: AnnouncedGroup): void {
     this.group = group;
     const before = this.targets;
@@ -101,41 +101,46 @@
     for (const name of before.keys()) if (!this.targets.has(name)) this.removeTarget(name);
   }
 
-  /** The targets as the choice of one for a team's statement sees them. */
-  listViews(team: string): readonly CandidateView[] {
+  /** Lists the targets for the placement of a team's statement. */
+  listCandidates(team: string): readonly CandidateTarget[] {
     return [...this.targets.values()].map((target) => ({
       name: target.name,
       isLeaving: target.isLeaving === true,
       isLocal: target.dataCentre === this.ports.dataCentre,
       health: this.findHealth(target.name),
-      running: this.running.get(target.name) ?? 0,
+      running: this.runningCounts.get(target.name) ?? 0,
       hasIdle: this.pools.get(target.name)?.hasIdle(team) === true,
       slots: this.findShare(target.name).slots,
-      held: this.findShare(target.name).slots - this.slots.countFree(target.name),
+      occupiedSlots: this.findShare(target.name).slots - this.slots.countFree(target.name),
     }));
   }
 
-  /** Waits for a slot; the caller counts what runs by `noteStart` and `noteEnd`. */
+  /** Waits for a slot. The holder counts what it runs with `noteStart` and `noteEnd`. */
   acquire(request: AdmissionRequest, signal: AbortSignal): Promise<SlotResult> {
     return this.slots.acquire(request, signal);
   }
 
   /**
-   * Lets what waits for a primary that was replaced be placed anew. The slots of one that went dark come
-   * free only as its statements run out of their time, 0.8 s; what waited behind them was refused unsent.
+   * Refuses statements that wait for a replaced primary, so that they are placed again. The slots of an
+   * unreachable primary are freed only as its statements time out after 0.8 s; statements queued behind them
+   * would be refused without having been sent.
    */
   evict(target: string): void {
-    this.shownEnd = undefined;
+    this.reportedEnd = undefined;
     this.slots.evict(target);
   }
 
-  /** Whether something waits for a target alone. */
-  isWanted(target: string): boolean {
+  /** Whether any statement waits for this target alone. */
+  hasWaitersFor(target: string): boolean {
     return this.slots.countWaitingFor(target) > 0;
   }
 
-  /** Waits for a connection to a target that serves one team, or those of no team by the empty name. */
-  take(target: string, team: string, { deadlineAt, signal }: TakeLimits): Promise<DirectTaken> {
+  /** Waits for a connection that serves the team; the empty name stands for anonymous callers. */
+  takeConnection(
+    target: string,
+    team: string,
+    { deadlineAt, signal }: ConnectionWaitLimits,
+  ): Promise<ConnectionResult> {
     const listed = this.targets.get(target);
     if (listed !== undefined && !this.pools.has(target)) this.addPool(listed);
     const pool = this.pools.get(target);
@@ -146,76 +151,79 @@
   }
 
   noteStart(target: string): void {
-    this.running.set(target, (this.running.get(target) ?? 0) + 1);
+    this.runningCounts.set(target, (this.runningCounts.get(target) ?? 0) + 1);
   }
 
   noteEnd(target: string): void {
-    this.running.set(target, Math.max(0, (this.running.get(target) ?? 0) - 1));
+    this.runningCounts.set(target, Math.max(0, (this.runningCounts.get(target) ?? 0) - 1));
   }
 
   noteAnswer(target: string): void {
     this.health.set(target, noteAnswer(this.findHealth(target)));
   }
 
-  /** Notes that a target had no slot free. */
-  noteFull(target: string): void {
+  /** Records that a target had no free slot. */
+  noteSaturated(target: string): void {
     this.pools.get(target)?.noteFull();
-    this.health.set(target, noteFull(this.findHealth(target), this.ports.clock.now()));
+    this.health.set(target, noteSaturated(this.findHealth(target), this.ports.clock.now()));
   }
 
   noteFailure(target: string): void {
     this.health.set(target, noteFailure(this.findHealth(target), this.ports.clock.now()));
   }
 
-  noteBehind(target: string): void {
-    this.health.set(target, noteBehind(this.findHealth(target), this.ports.clock.now()));
+  noteLagging(target: string): void {
+    this.health.set(target, noteLagging(this.findHealth(target), this.ports.clock.now()));
   }
 
-  /** Notes where the primary's log ended in an answer to what was sent at `askedAt`. */
+  /** Records the end of the primary's log as reported in the answer to a command sent at `askedAt`. */
   notePrimaryMark(target: string, mark: Mark, askedAt: number): void {
-    const shown = this.findShownEnd(target);
-    this.shownEnd = { target, mark: shown === undefined ? mark : pickLaterMark(shown, mark) };
+    const reported = this.findReportedEnd(target);
+    this.reportedEnd = {
+      target,
+      mark: reported === undefined ? mark : pickLaterMark(reported, mark),
+    };
     const newest = findNewestMark(this.history);
     if (newest !== undefined && compareTerms(mark.term, newest.term) < 0) return;
     this.history = observePrimary(this.history, { status: { mark }, askedAt });
   }
 
-  /** The mark that holds all that was acknowledged before `time`; absent when not known. */
+  /** Finds a mark that covers every commit acknowledged before `time`; undefined if none is known. */
   findMarkSince(time: number): Mark | undefined {
     return findMarkSince(this.history, time);
   }
 
-  /** Forgets what was known of the log: the process stood still for a time that no clock shows. */
+  /** Discards the known log positions. Called when the process was suspended for an unknown time. */
   forgetMarks(): void {
     this.history = emptyHistory;
   }
 
   dispose(): Promise<void> {
     for (const pool of this.pools.values()) pool.dispose();
-    return this.owned.dispose();
+    return this.disposables.dispose();
   }
 
   private findHealth(target: string): TargetHealth {
-    return this.health.get(target) ?? soundHealth;
+    return this.health.get(target) ?? healthyTarget;
   }
 
   private findShare(target: string): ConnectionShare {
-    return this.shares.get(target) ?? leastShare;
+    return this.shares.get(target) ?? minShare;
   }
 
   private updateTarget(target: AnnouncedTarget): void {
     const isLeaving = target.isLeaving === true;
-    const holding = this.ports.findHolding(this.name, target.dataCentre);
-    const share = countShare(this.group.connections, target, holding);
+    const holding = this.ports.findShareRule(this.name, target.dataCentre);
+    const share = computeShare(this.group.connections, target, holding);
     this.shares.set(target.name, share);
     const pool = this.pools.get(target.name);
-    pool?.resize(share.base + share.most, share.most);
+    pool?.resize(share.base + share.max, share.max);
     if (holding.type === "none") this.closePool(target.name);
     else if (pool === undefined && !isLeaving) this.addPool(target);
     this.slots.resize(target.name, target.announcedRole, share.slots);
   }
 
-  /** Gives back the connections to a target; one that is asked for anew opens another pool. */
+  /** Drains and removes a target's pool; the next request for a connection creates a new one. */
   private closePool(target: string): void {
     this.pools.get(target)?.drain();
     this.pools.delete(target);
@@ -225,17 +233,17 @@
     const { dialer, clock } = this.ports;
     const ports = {
       open: (timeoutMs: number, team: string) => this.openLink(target, timeoutMs, team),
-      check: (link: PreparedLink) => link.check(checkTimeoutMs),
-      isTooMany: (error: unknown) => dialer.isTooMany(error),
+      check: (link: TrackedLink) => link.check(checkTimeoutMs),
+      isTooMany: (error: unknown) => dialer.isTooManyConnections(error),
     };
-    const { base, most } = this.findShare(target.name);
+    const { base, max } = this.findShare(target.name);
     const settings = {
-      // The base may be opened from the start.
-      limit: base + most,
-      maxShare: most,
+      // The base may be opened immediately.
+      limit: base + max,
+      maxShare: max,
       growAfterMs,
-      growNotBefore: clock.now() + lingerMs,
-      idleTimeoutMs: surplusMs,
+      growNotBefore: clock.now() + staleConnectionMs,
+      idleTimeoutMs: surplusIdleMs,
       controlReserve: 0,
       openTimeoutMs,
       firstBackoffMs,
@@ -245,20 +253,23 @@
       progressTimeoutMs,
       minIdle: base,
     };
-    this.pools.set(target.name, new TargetPool(ports, clock, { settings, tickMs: poolTickMs }));
+    this.pools.set(
+      target.name,
+      new TargetPool(ports, clock, { settings, tickMs: poolCheckIntervalMs }),
+    );
   }
 
-  /** Opens a connection. One that fails tells of the target, unless the target itself refused it. */
-  private async openLink(target: Target, timeoutMs: number, team: string): Promise<PreparedLink> {
+  /** Opens a connection. A failure counts against the target's health unless its connection limit was reached. */
+  private async openLink(target: Target, timeoutMs: number, team: string): Promise<TrackedLink> {
     const { dialer, primaries, clock } = this.ports;
     const askedAt = clock.now();
-    const shown = this.findShownEnd(target.name);
+    const reported = this.findReportedEnd(target.name);
     try {
       const link = await dialer.open(this.name, target, timeoutMs, team || undefined);
-      if (this.isPrimary(target)) this.noteOpened(target, link, shown, askedAt);
-      return new PreparedLink(link);
+      if (this.isPrimary(target)) this.checkOpenedLog(target, link, reported, askedAt);
+      return new TrackedLink(link);
     } catch (error) {
-      if (!dialer.isTooMany(error)) {
+      if (!dialer.isTooManyConnections(error)) {
         this.noteFailure(target.name);
         if (this.isPrimary(target)) primaries.noteContact(this.name, target.name, false);
       }
@@ -267,39 +278,38 @@
   }
 
   /**
-   * Takes in where the primary's log ended when a connection to it was opened: that tells as much as an
-   * answer, so that right after a start reads need not all go to the primary first. `shown` was its newest
-   * end when the opening began.
+   * Records the end of the primary's log that it reported when a connection was opened. It is as good as an
+   * answer, so that reads right after a start need not all go to the primary first. `reported` is the newest
+   * end that the primary had reported when the opening began.
    *
-   * A primary that started again under its name may hold nothing of what it had acknowledged. It would
-   * answer plain reads as before, and callers would miss their own commits. Connections to the process
-   * before are gone, so that each statement for the new one needs an opening, which shows it. Only what
-   * this primary has shown itself counts: one that was just promoted may begin before the end of the one
-   * before it, by commits that had reached no replica. Held against it, that would make a second change of
-   * primary follow the first.
+   * A primary that restarted under the same name may have lost commits that it had acknowledged. It would
+   * still answer plain reads, and callers would miss their own commits. Checking each new connection suffices,
+   * because the connections to the previous process are closed. The check uses only positions reported by this
+   * primary itself: a newly promoted one may begin before the end of its predecessor's log, without commits
+   * that reached no replica. Comparing these would cause a second change of primary right after the first.
    */
-  private noteOpened(
+  private checkOpenedLog(
     { name }: Target,
     link: TargetLink,
-    shown: Mark | undefined,
+    reported: Mark | undefined,
     askedAt: number,
   ): void {
     const { openedAt } = link;
-    if (hasLostLog(shown, openedAt)) {
+    if (hasLostLog(reported, openedAt)) {
       this.ports.primaries.noteLostLog(this.name, name);
       if (!this.isPrimary({ name })) {
         link.close();
-        throw new LostLogError(`${name} lacks commits that it had acknowledged`);
+        throw new LostLogError(`target ${name} lacks commits that it had acknowledged`);
       }
-      // It leads all the same, since no other target runs: its log begins anew here.
+      // It stays the primary because no other target runs, so its log is tracked from this position.
       this.history = emptyHistory;
-      this.shownEnd = undefined;
+      this.reportedEnd = undefined;
     }
     if (openedAt !== undefined) this.notePrimaryMark(name, openedAt, askedAt);
   }
 
-  private findShownEnd(target: string): Mark | undefined {
-    return this.shownEnd?.target === target ? this.shownEnd.mark : undefined;
+  private findReportedEnd(target: string): Mark | undefined {
+    return this.reportedEnd?.target === target ? this.reportedEnd.mark : undefined;
   }
 
   private isPrimary({ name }: Pick<Target, "name">): boolean {
@@ -314,8 +324,9 @@
   }
 
   /**
-   * Forgets what was known of the process behind a target. What still runs there holds its slot until
-   * its connection ends. Marks stay: a replica proves with each read that it holds the one asked for.
+   * Discards the pool and health of a target whose process has been replaced or that was removed. Running
+   * statements keep their slots until their connections end. Marks are kept, because a replica checks with each
+   * read that its log contains the required one.
    */
   private forgetTarget(name: string): void {
     this.closePool(name);
@@ -323,25 +334,25 @@
   }
 }
 
-/** Where a primary's log ended when it last told. */
-interface ShownEnd {
+/** The newest end of its log that a primary has reported. */
+interface ReportedEnd {
   readonly target: string;
   readonly mark: Mark;
 }
 
-/** A primary that may not be read from until it is settled who leads. */
+/** The primary lost acknowledged commits and must not be read until the primary has been determined again. */
 class LostLogError extends Error {
   override readonly name = "LostLogError";
 }
 
-/** Whether another process than before answers under a target's name. */
+/** Whether a target's process has been replaced by another one under the same name. */
 function hasRestarted(before: AnnouncedTarget | undefined, now: AnnouncedTarget): boolean {
   const known = before?.startedAt;
   return known !== undefined && now.startedAt !== undefined && known !== now.startedAt;
 }
 
-/** Whether a primary's log ends before the end that the primary had shown. */
-function hasLostLog(shown: Mark | undefined, openedAt: Mark | undefined): boolean {
-  if (shown === undefined) return false;
-  return openedAt === undefined || orderMarks(openedAt, shown) < 0;
+/** Whether a primary's log ends before the end that it had reported earlier. */
+function hasLostLog(reported: Mark | undefined, openedAt: Mark | undefined): boolean {
+  if (reported === undefined) return false;
+  return openedAt === undefined || orderMarks(openedAt, reported) < 0;
 }
--- /dev/null
+++ b/src/direct/placement.ts
@@ -0,0 +1,164 @@
+import { type AdmissionRequest } from "../controller/admission/index.js";
+import type { HeldConnection, Slot } from "../capacity/index.js";
+import { chooseCandidates, type PlacementConstraints } from "./candidates.js";
+import type { DirectGroup } from "./group.js";
+import type { DirectPorts } from "./ports.js";
+import type { TrackedLink } from "./tracked-link.js";
+import type { Database } from "./serving-config.js";
+
+/** A request for a connection for one statement or transaction. Times are in milliseconds on the proxy's clock. */
+export interface PlacementRequest extends PlacementConstraints {
+  readonly id: string;
+  readonly database: Database;
+  /** The team that the connection must serve; empty for anonymous callers. */
+  readonly team: string;
+  readonly deadlineAt: number;
+  readonly signal: AbortSignal;
+}
+
+/** A connection and a slot at a target, held until `release` or `drop`. */
+export interface PlacedConnection {
+  readonly group: DirectGroup;
+  readonly target: string;
+  readonly role: "primary" | "replica";
+  readonly link: TrackedLink;
+  /** Records an answer, so that a long transaction's connection does not count as silent. */
+  noteProgress(): void;
+  /** Returns the connection to its pool. Nothing may be in flight, and no transaction open on it. */
+  release(): void;
+  /** Closes the connection, so that pending answers are discarded. */
+  drop(): void;
+}
+
+/** The result of a placement request. */
+export type PlacementResult =
+  | { readonly type: "placed"; readonly placement: PlacedConnection }
+  | {
+      readonly type: "refused";
+      readonly reason: string;
+      readonly retryAfterMs: number;
+      /** The targets that it waited for; empty if it was refused without waiting for a slot. */
+      readonly waitedFor: readonly string[];
+    }
+  /** No connection to the target could be acquired; another target may be reachable. */
+  | { readonly type: "unreachable"; readonly target: string; readonly reason: string };
+
+/** A placement request that was refused. */
+export type RefusedPlacement = Extract<PlacementResult, { type: "refused" }>;
+
+/** The longest wait for a usable primary, in milliseconds. */
+const maxPrimaryWaitMs = 600;
+const primaryPollMs = 20;
+/** The retry hint when it is unknown when a group will serve again: the usual time of a change of primary. */
+const unknownPrimaryRetryMs = 1000;
+
+/** Finds a target for a statement, waits for a slot there and acquires a connection. */
+export async function placeStatement(
+  ports: DirectPorts,
+  group: DirectGroup,
+  request: PlacementRequest,
+): Promise<PlacementResult> {
+  const choice = await waitForCandidates(ports, group, request);
+  if (choice.type === "refused") return choice;
+  const admitted = await group.acquire(makeAdmissionRequest(request, choice.names), request.signal);
+  if (admitted.type === "refused") {
+    const { reason } = admitted;
+    // The primary that it waited for was replaced; the next attempt finds the new one.
+    if (reason === "noPrimary")
+      return { type: "unreachable", target: choice.names[0] ?? "", reason };
+    const { retryAfterMs } = admitted;
+    return { type: "refused", reason, retryAfterMs, waitedFor: choice.names };
+  }
+  const { slot } = admitted;
+  const taken = await group.takeConnection(slot.target, request.team, request);
+  if (taken.type === "refused") {
+    slot.release();
+    return { type: "unreachable", target: slot.target, reason: taken.reason };
+  }
+  return {
+    type: "placed",
+    placement: makePlacedConnection(group, slot, choice.role, taken.connection),
+  };
+}
+
+type CandidateResult =
+  | {
+      readonly type: "chosen";
+      readonly role: "primary" | "replica";
+      readonly names: readonly string[];
+    }
+  | RefusedPlacement;
+
+/**
+ * Chooses candidates, and waits for a usable primary while one is expected before the deadline and within
+ * `maxPrimaryWaitMs`.
+ */
+async function waitForCandidates(
+  ports: DirectPorts,
+  group: DirectGroup,
+  request: PlacementRequest,
+): Promise<CandidateResult> {
+  const { clock, primaries, random } = ports;
+  const startedAt = clock.now();
+  for (;;) {
+    const now = clock.now();
+    const primary = primaries.find(group.name);
+    const choice = chooseCandidates(request, primary, group.listCandidates(request.team), now, () =>
+      random.draw(),
+    );
+    if (choice.type === "targets")
+      return { type: "chosen", role: choice.role, names: choice.names };
+    if (choice.type === "nowhere") {
+      const { reason } = choice;
+      return { type: "refused", reason, retryAfterMs: unknownPrimaryRetryMs, waitedFor: [] };
+    }
+    const isLong = now + choice.readyInMs > request.deadlineAt || request.signal.aborted;
+    if (isLong || now - startedAt > maxPrimaryWaitMs) {
+      return {
+        type: "refused",
+        reason: choice.reason,
+        retryAfterMs: Math.ceil(choice.readyInMs),
+        waitedFor: [],
+      };
+    }
+    await clock.sleep(primaryPollMs);
+  }
+}
+
+function makeAdmissionRequest(
+  request: PlacementRequest,
+  candidates: readonly string[],
+): AdmissionRequest {
+  const { id, database, deadlineAt } = request;
+  const { priority, maxQueueMs } = database.action;
+  // Admission takes turns by team, so that a team with a burst of statements delays only itself.
+  const team = request.team || database.name;
+  return { id, team, plan: "paying", priority, candidates, deadlineAt, maxQueueMs };
+}
+
+function makePlacedConnection(
+  group: DirectGroup,
+  slot: Slot,
+  role: "primary" | "replica",
+  connection: HeldConnection<TrackedLink>,
+): PlacedConnection {
+  const { target } = slot;
+  group.noteStart(target);
+  let isHeld = true;
+  const end = (finish: () => void) => {
+    if (!isHeld) return;
+    isHeld = false;
+    finish();
+    slot.release();
+    group.noteEnd(target);
+  };
+  return {
+    group,
+    target,
+    role,
+    link: connection.session,
+    noteProgress: () => connection.noteProgress(),
+    release: () => end(() => connection.giveBack()),
+    drop: () => end(() => connection.drop()),
+  };
+}
--- a/src/direct/session.ts
+++ b/src/direct/session.ts
@@ -13,17 +13,17 @@
 import type { SessionContext } from "./context.js";
 import type { GroupDirectory } from "./directory.js";
 import type { DirectPorts, StatementSample } from "./ports.js";
-import { watchRest } from "./rest.js";
+import { watchTransactionIdle } from "./idle.js";
 import { identifyCaller, type CallerIdentity } from "./roster.js";
 import type { OpenTransaction, WorkRunner } from "./runner.js";
-import type { StatementEnd } from "./single.js";
+import type { StatementResult } from "./autocommit.js";
 import { StatementTrace } from "./trace.js";
 
-/** What a session is opened with. */
+/** The parameters and dependencies of a session. */
 export interface SessionOptions {
   readonly id: string;
   readonly database: string;
-  /** The word that the caller gave of itself. */
+  /** The key that the caller identified itself with. */
   readonly key: string;
   readonly ports: DirectPorts;
   readonly groups: GroupDirectory;
@@ -31,93 +31,94 @@
   readonly nextId: () => string;
 }
 
-/** Told to a caller whose key no team holds. */
+/** The error text for a caller whose key no team holds. */
 export const deniedReason = "no team holds this key";
 
-/** What a statement's run knows of its session, or why nothing may run. */
-type FoundContext =
+/** The context for running a statement, or the refusal if none may run. */
+type ContextResult =
   | { readonly type: "found"; readonly context: SessionContext }
   | { readonly type: "refused"; readonly reply: Reply };
 
-/** Values and prepared statements of one session, each; beyond it a caller is refused. */
-const maxNames = 1000;
+/** The largest number of values, and of prepared statements, in one session. */
+const maxSessionEntries = 1000;
 
 /**
- * One caller's session: its values, its prepared statements and its transaction. Statements come one
- * after the other; `run` answers each.
+ * One caller's session: its values, prepared statements and transaction. Statements run one at a time;
+ * don't call `run` before the previous call has finished.
  */
 export class DirectSession {
   private readonly values = new Map<string, string>();
   private readonly prepared = new Map<string, Prepared>();
-  /** The newest commit by group: a route may move the database to another. */
-  private readonly written = new Map<string, Mark>();
-  private readonly gone = new AbortController();
+  /** The latest acknowledged commit by group, as a route may move the database to another group. */
+  private readonly lastCommits = new Map<string, Mark>();
+  private readonly disconnect = new AbortController();
   private transaction:
-    { readonly body: OpenTransaction; readonly context: SessionContext } | undefined;
-  private stopRest: (() => void) | undefined;
+    { readonly handle: OpenTransaction; readonly context: SessionContext } | undefined;
+  private stopIdleWatch: (() => void) | undefined;
   private isRunning = false;
 
   constructor(private readonly options: SessionOptions) {}
 
   get state(): SessionState {
-    return this.transaction?.body.state ?? "idle";
+    return this.transaction?.handle.state ?? "idle";
   }
 
-  /** Whether it is between two operations: closing it cuts nothing off. */
+  /** Whether no statement or transaction is in progress, so that closing it interrupts nothing. */
   get isIdle(): boolean {
     return !this.isRunning && this.transaction === undefined;
   }
 
-  /** Whether the caller's key is held by a team, or its database is open to all. */
+  /** Whether the caller's key is held by a team, or the configuration allows anonymous callers. */
   get isAllowed(): boolean {
     return this.identify().type !== "unknown";
   }
 
-  /** Runs one statement to its final answer. Never rejects. */
+  /** Runs one statement and returns its final answer. Never rejects. */
   async run(statement: Statement): Promise<Reply> {
     this.isRunning = true;
     this.stopIdleTimer();
-    this.endRevoked();
+    this.rollbackIfRevoked();
     try {
-      return await this.runNow(statement);
+      return await this.dispatch(statement);
     } finally {
       this.isRunning = false;
-      this.endRevoked();
+      this.rollbackIfRevoked();
       this.startIdleTimer();
     }
   }
 
   /**
-   * Rolls back an open transaction whose team the caller's key stands for no more. Its connection was
-   * opened for that team: going on, a caller whose key was taken away would write for it until it ends.
+   * Rolls back an open transaction if the caller's key no longer identifies its team. Its connection was
+   * opened for that team, so a caller whose key was revoked could otherwise write for the team until the
+   * transaction ends.
    */
-  endRevoked(): void {
+  rollbackIfRevoked(): void {
     const { transaction } = this;
-    if (transaction?.body.state !== "transaction" || transaction.body.isRunning) return;
+    if (transaction?.handle.state !== "transaction" || transaction.handle.isRunning) return;
     const identity = this.identify();
     const team = identity.type === "team" ? identity.team.name : undefined;
     if (identity.type !== "unknown" && team === transaction.context.team?.name) return;
     const { ports, id } = this.options;
     ports.logger.write(directEvents.transactionRevoked, { session: id });
-    transaction.body.rollback(transaction.context);
+    transaction.handle.rollback(transaction.context);
   }
 
-  /** Rolls back an open transaction because its time to end is over; the session stays. */
+  /** Rolls back an open idle transaction when the time for draining is over; the session stays open. */
   endTransaction(): void {
     if (this.isRunning) return;
-    this.transaction?.body.rollback(this.transaction.context);
+    this.transaction?.handle.rollback(this.transaction.context);
   }
 
-  /** The caller has gone: what waits gives up, an open transaction is rolled back. */
+  /** Handles the caller's disconnection: cancels waiting statements and rolls back an open transaction. */
   close(): void {
-    this.gone.abort();
+    this.disconnect.abort();
     this.stopIdleTimer();
     const { transaction } = this;
     if (transaction === undefined) return;
-    if (!transaction.body.isRunning) transaction.body.rollback(transaction.context);
+    if (!transaction.handle.isRunning) transaction.handle.rollback(transaction.context);
   }
 
-  private async runNow(statement: Statement): Promise<Reply> {
+  private async dispatch(statement: Statement): Promise<Reply> {
     if (this.state === "failed" && statement.type !== "commit" && statement.type !== "rollback") {
       return failLocally("malformed", "the transaction has failed; roll it back", "failed");
     }
@@ -125,7 +126,7 @@
       case "set":
         return this.setValue(statement.name, statement.value);
       case "prepare":
-        return this.prepareName(statement.name, statement.prepared);
+        return this.prepareStatement(statement.name, statement.prepared);
       case "deallocate":
         return this.deallocate(statement.name);
       case "begin":
@@ -142,16 +143,24 @@
   }
 
   private setValue(name: string, value: string): Reply {
-    if (!this.values.has(name) && this.values.size >= maxNames) {
-      return failLocally("tooLarge", "the session has too many values", this.state);
+    if (!this.values.has(name) && this.values.size >= maxSessionEntries) {
+      return failLocally(
+        "tooLarge",
+        `the session has more than ${maxSessionEntries} values`,
+        this.state,
+      );
     }
     this.values.set(name, value);
     return completeLocally(this.state);
   }
 
-  private prepareName(name: string, prepared: Prepared): Reply {
-    if (!this.prepared.has(name) && this.prepared.size >= maxNames) {
-      return failLocally("tooLarge", "the session has too many prepared statements", this.state);
+  private prepareStatement(name: string, prepared: Prepared): Reply {
+    if (!this.prepared.has(name) && this.prepared.size >= maxSessionEntries) {
+      return failLocally(
+        "tooLarge",
+        `the session has more than ${maxSessionEntries} prepared statements`,
+        this.state,
+      );
     }
     this.prepared.set(name, prepared);
     return completeLocally(this.state);
@@ -163,17 +172,17 @@
   }
 
   private failUnknownName(name: string): Reply {
-    return failLocally("unknownStatement", `nothing is prepared as ${name}`, this.state);
+    return failLocally("unknownStatement", `prepared statement ${name} does not exist`, this.state);
   }
 
   private begin(isReadOnly: boolean): Reply {
     if (this.transaction !== undefined) {
-      return failLocally("malformed", "a transaction is open already", this.state);
+      return failLocally("malformed", "a transaction is already open", this.state);
     }
-    const found = this.findContext();
-    if (found.type === "refused") return found.reply;
-    const { context } = found;
-    this.transaction = { body: this.options.runner.openTransaction(isReadOnly), context };
+    const contextResult = this.findContext();
+    if (contextResult.type === "refused") return contextResult.reply;
+    const { context } = contextResult;
+    this.transaction = { handle: this.options.runner.openTransaction(isReadOnly), context };
     return completeLocally("transaction");
   }
 
@@ -182,7 +191,7 @@
     if (transaction === undefined)
       return failLocally("malformed", "no transaction is open", "idle");
     this.transaction = undefined;
-    transaction.body.rollback(transaction.context);
+    transaction.handle.rollback(transaction.context);
     return completeLocally("idle");
   }
 
@@ -190,12 +199,12 @@
     const { transaction } = this;
     if (transaction === undefined)
       return failLocally("malformed", "no transaction is open", "idle");
-    const { body, context } = transaction;
+    const { handle, context } = transaction;
     const end = await this.observe(context, id, "commit", (traced, at) =>
-      body.commit(traced, id, text, at),
+      handle.commit(traced, id, text, at),
     );
     this.transaction = undefined;
-    this.keepWritten(context, end);
+    this.recordCommit(context, end);
     return end.reply;
   }
 
@@ -209,30 +218,30 @@
   private async runWork(work: Work): Promise<Reply> {
     const { transaction } = this;
     if (transaction !== undefined) {
-      const { body, context } = transaction;
+      const { handle, context } = transaction;
       const end = await this.observe(context, work.id, findEffect(work), async (traced, at) => ({
-        reply: await body.run(traced, work, at),
+        reply: await handle.run(traced, work, at),
       }));
-      if (this.gone.signal.aborted) body.rollback(context);
+      if (this.disconnect.signal.aborted) handle.rollback(context);
       return end.reply;
     }
-    const found = this.findContext();
-    if (found.type === "refused") return found.reply;
-    const { context } = found;
+    const contextResult = this.findContext();
+    if (contextResult.type === "refused") return contextResult.reply;
+    const { context } = contextResult;
     const end = await this.observe(context, work.id, findEffect(work), (traced, at) =>
-      this.options.runner.runSingle(traced, work, at),
+      this.options.runner.runAutocommit(traced, work, at),
     );
-    this.keepWritten(context, end);
+    this.recordCommit(context, end);
     return end.reply;
   }
 
-  /** Runs a statement and notes how it ended, in the log and for the metrics. */
+  /** Runs a statement and records its outcome in the log and the metrics. */
   private async observe(
     context: SessionContext,
     id: string,
     effect: StatementSample["effect"],
-    run: (traced: SessionContext, arrivedAt: number) => Promise<StatementEnd>,
-  ): Promise<StatementEnd> {
+    run: (traced: SessionContext, arrivedAt: number) => Promise<StatementResult>,
+  ): Promise<StatementResult> {
     const { clock, logger, onStatement } = context.ports;
     const arrivedAt = clock.now();
     const trace = new StatementTrace();
@@ -259,20 +268,20 @@
     return end;
   }
 
-  private keepWritten(context: SessionContext, end: StatementEnd): void {
-    if (end.written !== undefined) this.written.set(context.group.name, end.written);
+  private recordCommit(context: SessionContext, end: StatementResult): void {
+    if (end.commitMark !== undefined) this.lastCommits.set(context.group.name, end.commitMark);
   }
 
   private identify(): CallerIdentity {
     const { ports, database, key } = this.options;
-    const { roster, databases } = ports.scene();
+    const { roster, databases } = ports.getServingConfig();
     return identifyCaller(roster, databases.get(database) ?? {}, key);
   }
 
-  /** What holds for the next transaction or statement: routes and keys may have changed. */
-  private findContext(): FoundContext {
+  /** Determines the context anew for each statement or transaction, as routes and keys may have changed. */
+  private findContext(): ContextResult {
     const { ports, database: name, groups, id, nextId } = this.options;
-    const database = ports.scene().databases.get(name);
+    const database = ports.getServingConfig().databases.get(name);
     const group = database === undefined ? undefined : groups.find(database.group);
     if (database === undefined || group === undefined) {
       return { type: "refused", reply: this.failUnknownDatabase() };
@@ -288,8 +297,8 @@
       team: identity.type === "team" ? identity.team : undefined,
       group,
       values: this.values,
-      written: this.written.get(group.name),
-      gone: this.gone.signal,
+      lastCommit: this.lastCommits.get(group.name),
+      disconnectSignal: this.disconnect.signal,
       trace: new StatementTrace(),
       nextId,
     };
@@ -301,24 +310,24 @@
     return failLocally("unknownDatabase", text, this.state);
   }
 
-  /** A caller that rests inside a transaction holds a connection that others need. */
+  /** Limits the idle time inside a transaction, which holds a connection that others may need. */
   private startIdleTimer(): void {
     const { transaction } = this;
-    if (transaction?.body.state !== "transaction") return;
+    if (transaction?.handle.state !== "transaction") return;
     const { ports, id } = this.options;
-    this.stopRest = watchRest({
-      limitMs: ports.scene().transactionIdleMs,
-      isWanted: () => transaction.body.isWanted,
+    this.stopIdleWatch = watchTransactionIdle({
+      limitMs: ports.getServingConfig().transactionIdleMs,
+      hasWaiters: () => transaction.handle.hasWaiters,
       end: (restedMs) => {
         ports.logger.write(directEvents.transactionIdle, { session: id, restedMs });
-        transaction.body.rollback(transaction.context);
+        transaction.handle.rollback(transaction.context);
       },
     });
   }
 
   private stopIdleTimer(): void {
-    this.stopRest?.();
-    this.stopRest = undefined;
+    this.stopIdleWatch?.();
+    this.stopIdleWatch = undefined;
   }
 }
 
--- a/src/direct/trace.ts
+++ b/src/direct/trace.ts
@@ -1,62 +1,62 @@
 import type { Mark } from "../model/index.js";
 import type { LogFields } from "../log/index.js";
-import type { Place } from "./place.js";
+import type { PlacedConnection } from "./placement.js";
 
-/** What a gateway told of a statement that it ran for this process. */
-export interface HopTrace {
+/** What a gateway reported about a statement that it ran for this process. */
+export interface GatewayTrace {
   readonly gateway: string;
-  /** Empty where the statement reached no target. */
+  /** Empty if the statement reached no target. */
   readonly target: string;
   readonly role: "primary" | "replica" | "none";
-  /** Tries at targets, by the gateway. */
+  /** The number of attempts that the gateway made at targets. */
   readonly tries: number;
 }
 
-/** What decided one statement, gathered on its way for the line that tells its outcome. */
+/** Collects how one statement was routed and retried, for the log line of its outcome. */
 export class StatementTrace {
-  private place: Place | undefined;
+  private placement: PlacedConnection | undefined;
   private atLeast: Mark | undefined;
-  private tries = 0;
+  private attempts = 0;
   private reason: string | undefined;
-  private hop: HopTrace | undefined;
+  private gatewayTrace: GatewayTrace | undefined;
 
-  /** The role of the target that answered last; none when the statement reached no target. */
+  /** The role of the target of the last attempt; `none` if the statement reached no target. */
   get role(): "primary" | "replica" | "none" {
-    return this.hop?.role ?? this.place?.role ?? "none";
+    return this.gatewayTrace?.role ?? this.placement?.role ?? "none";
   }
 
-  /** The target that answered last; empty when the statement reached none. */
+  /** The target of the last attempt; empty if the statement reached none. */
   get target(): string {
-    return this.hop?.target ?? this.place?.target ?? "";
+    return this.gatewayTrace?.target ?? this.placement?.target ?? "";
   }
 
-  /** Tries at targets. */
-  get tryCount(): number {
-    return this.hop?.tries ?? this.tries;
+  /** The number of attempts at targets, by the gateway if one ran the statement. */
+  get attemptCount(): number {
+    return this.gatewayTrace?.tries ?? this.attempts;
   }
 
-  /** Notes a try at a target, and the mark that it had to hold. */
-  noteTry(place: Place, atLeast?: Mark): void {
-    this.place = place;
+  /** Records an attempt at a target, and the mark that its log must contain. */
+  noteAttempt(placement: PlacedConnection, atLeast?: Mark): void {
+    this.placement = placement;
     this.atLeast = atLeast;
-    this.tries += 1;
+    this.attempts += 1;
   }
 
-  /** Notes what a gateway told of the statement. */
-  noteHop(hop: HopTrace): void {
-    this.hop = hop;
+  /** Records what a gateway reported about the statement. */
+  noteGateway(gatewayTrace: GatewayTrace): void {
+    this.gatewayTrace = gatewayTrace;
   }
 
-  /** Notes why a try, or the statement, failed. */
+  /** Records why an attempt, or the statement, failed. */
   noteReason(reason: string): void {
     this.reason = reason;
   }
 
   describe(): LogFields {
-    const { hop, target, role, atLeast, tryCount: tries, reason } = this;
+    const { gatewayTrace, target, role, atLeast, attemptCount: tries, reason } = this;
     return {
       tries,
-      ...(hop === undefined ? {} : { gateway: hop.gateway }),
+      ...(gatewayTrace === undefined ? {} : { gateway: gatewayTrace.gateway }),
       ...(target === "" ? {} : { target, role }),
       ...(atLeast === undefined ? {} : { atLeast: `${atLeast.term.round}.${atLeast.offset}` }),
       ...(reason === undefined ? {} : { reason }),
--- a/test/direct/stage.ts
+++ b/test/direct/fixture.ts
@@ -2,8 +2,8 @@
   GroupDirectory,
   type Database,
   type DirectPorts,
-  type Holding,
-  type Scene,
+  type ShareRule,
+  type ServingConfig,
   type TeamRoster,
 } from "../../src/direct/index.js";
 import { directRunner } from "../../src/direct/direct.js";
@@ -22,14 +22,14 @@
 } from "../../src/statement/index.js";
 import { FakeClock, makeRandom, settle } from "../fleet/fakes.js";
 
-/** A command that a stage's target has got; answered by the test. */
-export interface Sent {
+/** A command sent to a target of the fixture; the test answers it. */
+export interface SentCommand {
   readonly target: string;
   readonly command: TargetCommand;
   readonly answer: (result?: CommandResult) => void;
 }
 
-export interface StageOptions {
+export interface FixtureOptions {
   readonly targets?: readonly string[];
   readonly proxies?: number;
   readonly connections?: number;
@@ -39,67 +39,67 @@
 
 export const group = "ledger";
 
-/** The results of a target that does what it is told. */
+/** The result of a command that succeeded. */
 export const answered = (state: SessionState = "idle", mark?: Mark): CommandResult => ({
   type: "answered",
   reply: { ...completeLocally(state), ...(mark === undefined ? {} : { mark }) },
 });
 
-/** One proxy's way from a statement to its targets, without a network and with time that stands still. */
-export class Stage {
+/** Direct serving of one proxy with fake targets, without a network and on a fake clock. */
+export class ProxyFixture {
   readonly clock = new FakeClock();
-  readonly sent: Sent[] = [];
-  /** Primaries that were told to be silent. */
-  readonly silent: string[] = [];
-  /** Whether the test answers what begins a transaction too. */
-  isHoldingBegins = false;
-  /** Targets of connections that were closed. */
-  readonly closed: string[] = [];
-  /** Primaries that were told to have lost their log. */
-  readonly emptied: string[] = [];
-  /** What the proxy holds of the targets' connections. */
-  holding: Holding;
+  readonly sent: SentCommand[] = [];
+  /** Primaries that were reported as silent. */
+  readonly silentPrimaries: string[] = [];
+  /** Whether the test answers `begin` commands itself. */
+  isBeginHeld = false;
+  /** The targets of closed connections. */
+  readonly closedConnections: string[] = [];
+  /** Primaries that were reported to have lost their log. */
+  readonly lostLogPrimaries: string[] = [];
+  /** The rule for the proxy's share of the targets' connections. */
+  shareRule: ShareRule;
   primary: PrimaryState = { type: "serving", target: "p" };
   readonly groups: GroupDirectory;
   readonly ports: DirectPorts;
   private next = 1;
-  private readonly scene: Scene;
+  private readonly config: ServingConfig;
 
-  constructor(options: StageOptions = {}) {
-    const scene = makeScene(options);
-    this.holding = { type: "equal", proxies: options.proxies ?? 1 };
+  constructor(options: FixtureOptions = {}) {
+    const config = makeServingConfig(options);
+    this.shareRule = { type: "equal", proxies: options.proxies ?? 1 };
     this.ports = {
       dialer: {
         open: (_group, target) => Promise.resolve(this.makeLink(target.name)),
-        isTooMany: () => false,
+        isTooManyConnections: () => false,
       },
       dataCentre: "a",
       primaries: {
         find: () => this.primary,
         noteContact: () => undefined,
         noteLostLog: (_group, target) => {
-          this.emptied.push(target);
-          this.primary = { type: "changing", backInMs: 900, reason: "lost" };
+          this.lostLogPrimaries.push(target);
+          this.primary = { type: "changing", readyInMs: 900, reason: "lost" };
         },
-        noteSilence: (_group, target) => this.silent.push(target),
+        noteSilence: (_group, target) => this.silentPrimaries.push(target),
       },
       clock: this.clock,
       random: makeRandom(1),
       logger: silentLogger,
-      scene: () => scene,
-      findHolding: () => this.holding,
+      getServingConfig: () => config,
+      findShareRule: () => this.shareRule,
       rates: openGate,
       onStatement: () => undefined,
     };
     this.groups = new GroupDirectory(this.ports);
-    this.scene = scene;
-    this.groups.update(scene);
+    this.config = config;
+    this.groups.update(config);
   }
 
-  /** Changes what the proxy holds, as a change of the listed proxies does. */
-  hold(holding: Holding): void {
-    this.holding = holding;
-    this.groups.update(this.scene);
+  /** Changes the proxy's share, as a change of the listed proxies does. */
+  setShareRule(rule: ShareRule): void {
+    this.shareRule = rule;
+    this.groups.update(this.config);
   }
 
   open(database: string, options: { readonly key?: string } = {}): DirectSession {
@@ -115,12 +115,12 @@
     });
   }
 
-  /** The commands of one kind that a target has got. */
-  list(target: string, type: TargetCommand["type"]): readonly Sent[] {
+  /** Lists the commands of one type that were sent to a target. */
+  list(target: string, type: TargetCommand["type"]): readonly SentCommand[] {
     return this.sent.filter((s) => s.target === target && s.command.type === type);
   }
 
-  /** Lets time pass in steps, so that timers of all kinds of waiting get their turn. */
+  /** Advances the clock and lets pending promises settle. */
   async advance(ms: number): Promise<void> {
     await this.clock.advance(ms);
     await settle();
@@ -143,7 +143,7 @@
         if (!isUsable || isInUse) {
           return Promise.resolve({ type: "broken", sent: false, reason: "closed or in use" });
         }
-        const isHeld = command.type === "begin" && this.isHoldingBegins;
+        const isHeld = command.type === "begin" && this.isBeginHeld;
         if (!isHeld && (command.type === "begin" || command.type === "rollback")) {
           this.sent.push({ target, command, answer: () => undefined });
           const state = command.type === "begin" ? "transaction" : "idle";
@@ -159,7 +159,7 @@
         });
       },
       close: () => {
-        if (isUsable) this.closed.push(target);
+        if (isUsable) this.closedConnections.push(target);
         isUsable = false;
       },
     };
@@ -179,7 +179,7 @@
   text: "WRITE cello taken",
 });
 
-function makeScene(options: StageOptions): Scene {
+function makeServingConfig(options: FixtureOptions): ServingConfig {
   const names = options.targets ?? ["p", "q"];
   const targets = names.map((name, i) => ({
     name,
@@ -197,7 +197,7 @@
     revision: 1,
     databases: new Map(databases.map((d) => [d.name, d])),
     groups: new Map([[group, { name: group, connections: options.connections ?? 16, targets }]]),
-    // So long that nothing is rolled back for having rested.
+    // Long enough that no transaction reaches the idle limit.
     transactionIdleMs: 600_000,
     lineTimeoutMs: 3000,
     ...(options.roster === undefined ? {} : { roster: options.roster }),
