--- a/bench/capacity/membership.ts
+++ b/bench/capacity/membership.ts
@@ -1,6 +1,6 @@
 import {
   applyMembershipEvent,
-  buildRing,
+  buildProbeOrder,
   collectNews,
   createMembershipState,
   listLive,
@@ -43,7 +43,7 @@
       ),
       sample(
         "round",
-        measureMicros(() => buildRing(state)),
+        measureMicros(() => buildProbeOrder(state)),
         "µs",
       ),
       sample("probe with 6 news", countBytes(hello), "bytes of JSON"),
--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -87,8 +87,8 @@
     invariant: "An accepted configuration never reverts",
     safeguard: "only a greater revision is adopted",
     file: "src/controller/configuration/state.ts",
-    find: "  if (revision <= state.inForce.revision) return leaveOffer",
-    put: "  if (revision < 0) return leaveOffer",
+    find: "  if (revision <= state.inForce.revision) return rejectOffer",
+    put: "  if (revision < 0) return rejectOffer",
     tests: "test/fleet",
   },
   {
--- a/src/controller/configuration/edit.ts
+++ b/src/controller/configuration/edit.ts
@@ -4,7 +4,7 @@
 import { mergeDrafts, type Draft, type MergeConflict } from "./merge.js";
 
 /** How many change ids the store's value remembers. */
-export const rememberedChanges = 256;
+export const maxStoredChangeIds = 256;
 
 /** One operator's change. */
 export interface Edit {
@@ -27,25 +27,28 @@
   | { readonly type: "uncertain" };
 
 /** What an editor knows when it plans. */
-export interface EditView {
+export interface EditContext {
   /** What the store holds; absent when it holds nothing. */
   readonly stored?: StoredConfiguration;
   /** The greatest configuration that a proxy has in force, where that is known. */
   readonly inForce?: Configuration;
   /** The revision that an update with an unknown outcome may have written; 0 when none was sent. */
-  readonly attempted: number;
+  readonly attemptedRevision: number;
 }
 
 /**
  * Plans one attempt. The new revision follows both the store's and the fleet's: a store that came
  * back older than the fleet would else be given revisions that no proxy adopts.
  */
-export function planEdit(edit: Edit, { stored, inForce, attempted }: EditView): EditPlan {
-  const current = pickGreatest(stored, inForce);
+export function planEdit(
+  edit: Edit,
+  { stored, inForce, attemptedRevision }: EditContext,
+): EditPlan {
+  const current = pickNewest(stored, inForce);
   if (stored?.changes.includes(edit.changeId) === true) {
     return { type: "landed", revision: stored.revision };
   }
-  if (attempted > 0 && current.revision - attempted >= rememberedChanges) {
+  if (attemptedRevision > 0 && current.revision - attemptedRevision >= maxStoredChangeIds) {
     return { type: "uncertain" };
   }
   if (isSameDraft(edit.draft, current) && current.revision === (stored?.revision ?? 0)) {
@@ -55,7 +58,7 @@
   if (base === undefined) return { type: "baseUnknown" };
   const merge = mergeDrafts(base, edit.draft, current);
   if (merge.type === "conflict") return merge;
-  const changes = [edit.changeId, ...(stored?.changes ?? [])].slice(0, rememberedChanges);
+  const changes = [edit.changeId, ...(stored?.changes ?? [])].slice(0, maxStoredChangeIds);
   const revision = current.revision + 1;
   return { type: "write", value: { revision, changeId: edit.changeId, changes, ...merge.draft } };
 }
@@ -65,11 +68,11 @@
   return isSameValue(sortTeams(a), sortTeams(b)) && isSameValue(a.rules, b.rules);
 }
 
-function pickGreatest(
+function pickNewest(
   stored: StoredConfiguration | undefined,
   inForce: Configuration | undefined,
 ): Configuration {
-  const none: Configuration = { revision: 0, changeId: "", teams: [], rules: [] };
-  const held = stored ?? none;
-  return inForce !== undefined && inForce.revision > held.revision ? inForce : held;
+  const empty: Configuration = { revision: 0, changeId: "", teams: [], rules: [] };
+  const current = stored ?? empty;
+  return inForce !== undefined && inForce.revision > current.revision ? inForce : current;
 }
--- a/src/controller/configuration/index.ts
+++ b/src/controller/configuration/index.ts
@@ -9,15 +9,21 @@
 } from "./decode.js";
 export { applyDelta, buildDelta, type ConfigurationDelta } from "./delta.js";
 export { encodeCanonical, isSameValue } from "./canonical.js";
-export { planEdit, rememberedChanges, type Edit, type EditPlan } from "./edit.js";
+export { planEdit, maxStoredChangeIds, type Edit, type EditPlan } from "./edit.js";
 export { mergeDrafts, type Draft, type Merge, type MergeConflict } from "./merge.js";
 export {
   applyConfigurationEvent,
-  firstConfigurationState,
+  initialConfigurationState,
   type ConfigurationAlarm,
   type ConfigurationEffect,
   type ConfigurationEvent,
   type ConfigurationSource,
   type ConfigurationState,
 } from "./state.js";
-export { chooseRelays, isRelay, listChildren, treeOptions, type TreeOptions } from "./tree.js";
+export {
+  chooseRelays,
+  isRelay,
+  listChildren,
+  defaultTreeOptions,
+  type TreeOptions,
+} from "./tree.js";
--- a/src/controller/configuration/merge.ts
+++ b/src/controller/configuration/merge.ts
@@ -26,10 +26,10 @@
   const teams = mergeEntries<Team>("team", base.teams, mine.teams, theirs.teams);
   const rules = mergeEntries<Rule>("rule", base.rules, mine.rules, theirs.rules);
   const order = mergeOrders(base.rules, mine.rules, theirs.rules);
-  const clashes = [...teams.conflicts, ...rules.conflicts];
-  if (order.type === "conflict") clashes.push({ type: "order", names: order.names });
-  if (clashes.length > 0 || order.type === "conflict") {
-    return { type: "conflict", conflicts: clashes };
+  const conflicts = [...teams.conflicts, ...rules.conflicts];
+  if (order.type === "conflict") conflicts.push({ type: "order", names: order.names });
+  if (conflicts.length > 0 || order.type === "conflict") {
+    return { type: "conflict", conflicts };
   }
   const draft: Draft = {
     teams: [...teams.entries.values()],
@@ -45,15 +45,16 @@
   mine: readonly T[],
   theirs: readonly T[],
 ): { readonly entries: ReadonlyMap<string, T>; readonly conflicts: MergeConflict[] } {
-  const find = (entries: readonly T[]) => new Map(entries.map((entry) => [entry.name, entry]));
-  const [inBase, inMine, inTheirs] = [find(base), find(mine), find(theirs)];
+  const indexByName = (entries: readonly T[]) =>
+    new Map(entries.map((entry) => [entry.name, entry]));
+  const [inBase, inMine, inTheirs] = [indexByName(base), indexByName(mine), indexByName(theirs)];
   const entries = new Map<string, T>();
   const conflicts: MergeConflict[] = [];
   for (const name of new Set([...inTheirs.keys(), ...inMine.keys()])) {
     const [before, own, other] = [inBase.get(name), inMine.get(name), inTheirs.get(name)];
-    const isMine = isSameValue(before, other) || isSameValue(own, other);
-    if (!isMine && !isSameValue(before, own)) conflicts.push({ type, name });
-    const chosen = isMine ? own : other;
+    const shouldTakeMine = isSameValue(before, other) || isSameValue(own, other);
+    if (!shouldTakeMine && !isSameValue(before, own)) conflicts.push({ type, name });
+    const chosen = shouldTakeMine ? own : other;
     if (chosen !== undefined) entries.set(name, chosen);
   }
   return { entries, conflicts };
--- a/src/controller/configuration/state.ts
+++ b/src/controller/configuration/state.ts
@@ -50,7 +50,7 @@
 type Step = Applied<ConfigurationState, ConfigurationEffect, never>;
 
 /** What a proxy starts with. */
-export const firstConfigurationState: ConfigurationState = {
+export const initialConfigurationState: ConfigurationState = {
   inForce: emptyConfiguration,
   isKnown: false,
 };
@@ -64,9 +64,9 @@
     case "offered":
       return applyOffer(state, event);
     case "absent":
-      return applyAbsence(state);
+      return applyAbsentStore(state);
     case "heard":
-      return applyHearing(state, event.vm, event.revision);
+      return applyPeerRevision(state, event.vm, event.revision);
     case "fetchEnded":
       return succeed({ inForce: state.inForce, isKnown: state.isKnown });
   }
@@ -77,47 +77,47 @@
   { update, source, vm }: Extract<ConfigurationEvent, { type: "offered" }>,
 ): Step {
   const revision = update.type === "whole" ? update.configuration.revision : update.delta.revision;
-  if (revision <= state.inForce.revision) return leaveOffer(state, update, source, revision);
+  if (revision <= state.inForce.revision) return rejectOffer(state, update, source, revision);
   const after = resolveUpdate(state.inForce, update);
   // A delta of another base: the peer that sent it has the whole.
   if (after === undefined)
-    return vm === undefined ? succeed(state) : applyHearing(state, vm, revision);
+    return vm === undefined ? succeed(state) : applyPeerRevision(state, vm, revision);
   return adopt(state, after, vm);
 }
 
 function adopt(state: ConfigurationState, after: Configuration, from?: string): Step {
   const before = state.inForce;
   const next = { ...state, inForce: after, isKnown: true };
-  const adoption: ConfigurationEffect = { type: "adopt", before, after };
+  const adoptEffect: ConfigurationEffect = { type: "adopt", before, after };
   // A proxy that has just started learns what the others have long had: nobody needs it from there.
-  if (!state.isKnown) return succeed(next, [adoption]);
+  if (!state.isKnown) return succeed(next, [adoptEffect]);
   const update: ConfigurationUpdate =
     before.revision === 0
       ? { type: "whole", configuration: after }
       : { type: "delta", delta: buildDelta(before, after) };
   const except = from === undefined ? {} : { except: from };
-  return succeed(next, [adoption, { type: "relay", update, ...except }]);
+  return succeed(next, [adoptEffect, { type: "relay", update, ...except }]);
 }
 
-function leaveOffer(
+function rejectOffer(
   state: ConfigurationState,
   update: ConfigurationUpdate,
   source: ConfigurationSource,
   revision: number,
 ): Step {
   const known: ConfigurationState = { ...state, isKnown: true };
-  const held = state.inForce;
+  const active = state.inForce;
   const changeId = update.type === "whole" ? update.configuration.changeId : update.delta.changeId;
-  if (revision === held.revision && changeId !== held.changeId) {
+  if (revision === active.revision && changeId !== active.changeId) {
     return succeed(known, [{ type: "alarm", alarm: { type: "revisionClash", revision } }]);
   }
-  if (source === "store" && revision < held.revision) return alarmReverted(known, revision);
+  if (source === "store" && revision < active.revision) return raiseStoreReverted(known, revision);
   return succeed(known);
 }
 
-function applyAbsence(state: ConfigurationState): Step {
+function applyAbsentStore(state: ConfigurationState): Step {
   const known: ConfigurationState = { ...state, isKnown: true };
-  return state.inForce.revision > 0 ? alarmReverted(known, 0) : succeed(known);
+  return state.inForce.revision > 0 ? raiseStoreReverted(known, 0) : succeed(known);
 }
 
 /**
@@ -125,12 +125,12 @@
  * only grow, so the proxy keeps what it has and tells the operators, whose next `apply` writes a
  * revision above the fleet's.
  */
-function alarmReverted(state: ConfigurationState, stored: number): Step {
+function raiseStoreReverted(state: ConfigurationState, stored: number): Step {
   const inForce = state.inForce.revision;
   return succeed(state, [{ type: "alarm", alarm: { type: "storeReverted", stored, inForce } }]);
 }
 
-function applyHearing(state: ConfigurationState, vm: string, revision: number): Step {
+function applyPeerRevision(state: ConfigurationState, vm: string, revision: number): Step {
   if (revision <= state.inForce.revision || state.fetchingFrom !== undefined) return succeed(state);
   return succeed({ ...state, fetchingFrom: vm }, [
     { type: "fetch", vm, afterRevision: state.inForce.revision },
--- a/src/controller/configuration/tree.ts
+++ b/src/controller/configuration/tree.ts
@@ -3,22 +3,22 @@
 
 /** The shape of the trees. */
 export interface TreeOptions {
-  /** VMs of each data centre that watch the store; each is the root of a tree over its own. */
-  readonly relays: number;
+  /** VMs of each data centre that watch the store; each is the root of a tree over its local. */
+  readonly relaysPerDataCentre: number;
   readonly fanout: number;
 }
 
 /** Two relays, so that one may be down or cut off; ten children, so that 1,000 VMs are 3 deep. */
-export const treeOptions: TreeOptions = { relays: 2, fanout: 10 };
+export const defaultTreeOptions: TreeOptions = { relaysPerDataCentre: 2, fanout: 10 };
 
 /** Chooses the VMs that watch the store: by rendezvous hashing, the same on all that agree on `vms`. */
 export function chooseRelays(
   vms: readonly Vm[],
-  { relays }: Pick<TreeOptions, "relays"> = treeOptions,
+  { relaysPerDataCentre }: Pick<TreeOptions, "relaysPerDataCentre"> = defaultTreeOptions,
 ): readonly Vm[] {
   const dataCentres = [...new Set(vms.map(({ dataCentre }) => dataCentre))];
   return dataCentres.flatMap((dataCentre) =>
-    rankRelays(vms.filter((vm) => vm.dataCentre === dataCentre)).slice(0, relays),
+    rankRelays(vms.filter((vm) => vm.dataCentre === dataCentre)).slice(0, relaysPerDataCentre),
   );
 }
 
@@ -26,12 +26,12 @@
 export function isRelay(
   self: string,
   vms: readonly Vm[],
-  { relays }: Pick<TreeOptions, "relays"> = treeOptions,
+  { relaysPerDataCentre }: Pick<TreeOptions, "relaysPerDataCentre"> = defaultTreeOptions,
 ): boolean {
   const dataCentre = vms.find(({ name }) => name === self)?.dataCentre;
-  const own = vms.filter((vm) => vm.dataCentre === dataCentre);
-  return rankRelays(own)
-    .slice(0, relays)
+  const local = vms.filter((vm) => vm.dataCentre === dataCentre);
+  return rankRelays(local)
+    .slice(0, relaysPerDataCentre)
     .some(({ name }) => name === self);
 }
 
@@ -47,25 +47,25 @@
 export function listChildren(
   self: string,
   vms: readonly Vm[],
-  options: TreeOptions = treeOptions,
+  options: TreeOptions = defaultTreeOptions,
 ): readonly Vm[] {
   const dataCentre = vms.find(({ name }) => name === self)?.dataCentre;
-  const own = vms.filter((vm) => vm.dataCentre === dataCentre);
-  const roots = rankRelays(own).slice(0, options.relays);
-  const children = roots.flatMap((root) => listTreeChildren(self, own, root, options.fanout));
+  const local = vms.filter((vm) => vm.dataCentre === dataCentre);
+  const roots = rankRelays(local).slice(0, options.relaysPerDataCentre);
+  const children = roots.flatMap((root) => listTreeChildren(self, local, root, options.fanout));
   return [...new Map(children.map((vm) => [vm.name, vm])).values()];
 }
 
 function listTreeChildren(
   self: string,
-  own: readonly Vm[],
+  local: readonly Vm[],
   root: Vm,
   fanout: number,
 ): readonly Vm[] {
-  const rest = own.filter(({ name }) => name !== root.name);
+  const rest = local.filter(({ name }) => name !== root.name);
   const order = [root, ...orderByHash(rest, root.name)];
-  const at = order.findIndex(({ name }) => name === self);
-  return order.slice(at * fanout + 1, (at + 1) * fanout + 1);
+  const index = order.findIndex(({ name }) => name === self);
+  return order.slice(index * fanout + 1, (index + 1) * fanout + 1);
 }
 
 function orderByHash(vms: readonly Vm[], salt: string): readonly Vm[] {
--- a/src/controller/drain/drain.ts
+++ b/src/controller/drain/drain.ts
@@ -32,7 +32,7 @@
 }
 
 /** What a process starts with. */
-export const firstDrainState: DrainState = { type: "serving" };
+export const initialDrainState: DrainState = { type: "serving" };
 
 /**
  * Applies one event. Callers that the balancer sends before it sees the page turn, and requests that
--- a/src/controller/drain/index.ts
+++ b/src/controller/drain/index.ts
@@ -1,6 +1,6 @@
 export {
   applyDrainEvent,
-  firstDrainState,
+  initialDrainState,
   type DrainEffect,
   type DrainEvent,
   type DrainOptions,
--- a/src/controller/failover/detect.ts
+++ b/src/controller/failover/detect.ts
@@ -1,18 +1,18 @@
 import { succeed } from "../../model/index.js";
 import { beginElection } from "./elect.js";
 import type { FailoverEffect, PeerFinding } from "./event.js";
-import { hasMajority } from "./leader.js";
-import { lonelyRounds } from "./options.js";
+import { hasResponsiveMajority } from "./leader.js";
+import { probeRoundsWithoutPeers } from "./options.js";
 import {
   type FailoverState,
-  getAllowance,
-  type Phase,
+  getLatenessTolerance,
+  type FailoverPhase,
   type Step,
   type Suspect,
   withPhase,
 } from "./state.js";
 
-type Suspecting = Extract<Phase, { type: "suspecting" }>;
+type Suspecting = Extract<FailoverPhase, { type: "suspecting" }>;
 
 /**
  * Checks a silent primary on a new connection and through other VMs, at the same time. A connection
@@ -24,22 +24,25 @@
   suspect: Suspect,
   why: string,
   at: number,
-  { round, isCutOff }: Pick<Suspecting, "round" | "isCutOff"> = { round: 1, isCutOff: false },
+  { probeRound, wasCutOff }: Pick<Suspecting, "probeRound" | "wasCutOff"> = {
+    probeRound: 1,
+    wasCutOff: false,
+  },
 ): Step {
   const target = suspect.primary;
-  const { confirmMs, peerHopMs } = state.options.timings;
-  const timeoutMs = Math.max(confirmMs, getAllowance(state, target));
+  const { confirmMs, peerOverheadMs } = state.options.timings;
+  const timeoutMs = Math.max(confirmMs, getLatenessTolerance(state, target));
   const phase: Suspecting = {
     ...pickSuspect(suspect),
     type: "suspecting",
-    round,
-    until: at + timeoutMs + 2 * peerHopMs,
-    isMissed: false,
-    isCutOff,
+    probeRound,
+    until: at + timeoutMs + 2 * peerOverheadMs,
+    hasProbeFailed: false,
+    wasCutOff,
   };
   const checks: FailoverEffect[] = [
     { type: "probe", target, timeoutMs },
-    { type: "askPeers", target, timeoutMs: timeoutMs + peerHopMs },
+    { type: "askPeers", target, timeoutMs: timeoutMs + peerOverheadMs },
   ];
   const note = { type: "note", note: { type: "suspected", target, why } } as const;
   return succeed(withPhase(state, phase), [note, ...checks]);
@@ -47,44 +50,44 @@
 
 /** The new connection brought no answer. */
 export function recordMissedProbe(state: FailoverState, phase: Suspecting, at: number): Step {
-  return resolveSuspicion(state, { ...phase, isMissed: true }, at);
+  return evaluateSuspicion(state, { ...phase, hasProbeFailed: true }, at);
 }
 
 /** Other VMs have answered. */
-export function recordFinding(
+export function recordPeerFinding(
   state: FailoverState,
   phase: Suspecting,
-  finding: PeerFinding,
+  peerFinding: PeerFinding,
   at: number,
 ): Step {
-  return resolveSuspicion(state, { ...phase, finding }, at);
+  return evaluateSuspicion(state, { ...phase, peerFinding }, at);
 }
 
 /** The checks took too long, as after a pause of this process: they count as failed. */
-export function endSuspicion(state: FailoverState, phase: Suspecting, at: number): Step {
-  return resolveSuspicion(
+export function expireSuspicion(state: FailoverState, phase: Suspecting, at: number): Step {
+  return evaluateSuspicion(
     state,
-    { ...phase, isMissed: true, finding: phase.finding ?? "silent" },
+    { ...phase, hasProbeFailed: true, peerFinding: phase.peerFinding ?? "silent" },
     at,
   );
 }
 
-function resolveSuspicion(state: FailoverState, phase: Suspecting, at: number): Step {
+function evaluateSuspicion(state: FailoverState, phase: Suspecting, at: number): Step {
   const next = withPhase(state, phase);
-  if (!phase.isMissed || phase.finding === undefined) return succeed(next);
-  if (phase.finding === "reached") return beginCutOff(next, phase, "other VMs reach it", at);
-  if (!hasMajority(next, phase.primary)) {
+  if (!phase.hasProbeFailed || phase.peerFinding === undefined) return succeed(next);
+  if (phase.peerFinding === "reached") return beginCutOff(next, phase, "other VMs reach it", at);
+  if (!hasResponsiveMajority(next, phase.primary)) {
     return beginCutOff(next, phase, "no majority of targets answers here", at);
   }
-  if (phase.finding === "silent" && phase.round < lonelyRounds) {
-    const again = { round: phase.round + 1, isCutOff: phase.isCutOff };
+  if (phase.peerFinding === "silent" && phase.probeRound < probeRoundsWithoutPeers) {
+    const again = { probeRound: phase.probeRound + 1, wasCutOff: phase.wasCutOff };
     return beginSuspicion(next, phase, "no other VM answers", at, again);
   }
   return beginElection(next, "primaryFailed", at, phase.primary);
 }
 
 function beginCutOff(state: FailoverState, suspect: Suspect, why: string, at: number): Step {
-  const until = at + state.options.timings.cutOffMs;
+  const until = at + state.options.timings.cutOffRetryMs;
   const note = { type: "note", note: { type: "cutOff", target: suspect.primary, why } } as const;
   return succeed(withPhase(state, { ...pickSuspect(suspect), type: "cutOff", until }), [note]);
 }
--- a/src/controller/failover/elect.ts
+++ b/src/controller/failover/elect.ts
@@ -7,13 +7,19 @@
   type TargetStatus,
 } from "../../model/index.js";
 import type { ControlRequest, ElectionReason, FailoverEffect } from "./event.js";
-import { hasMajority } from "./leader.js";
-import { promotionTries } from "./options.js";
-import { type FailoverState, getMajority, type Phase, type Step, withPhase } from "./state.js";
-import { beginSteady } from "./tend.js";
+import { hasResponsiveMajority } from "./leader.js";
+import { maxPromotionAttempts } from "./options.js";
+import {
+  type FailoverState,
+  getMajoritySize,
+  type FailoverPhase,
+  type Step,
+  withPhase,
+} from "./state.js";
+import { beginSteady } from "./replicas.js";
 
-type Fencing = Extract<Phase, { type: "fencing" }>;
-type Promoting = Extract<Phase, { type: "promoting" }>;
+type Fencing = Extract<FailoverPhase, { type: "fencing" }>;
+type Promoting = Extract<FailoverPhase, { type: "promoting" }>;
 
 /** Opens a new term and asks every target to be fenced at it, the suspect too. */
 export function beginElection(
@@ -22,19 +28,21 @@
   at: number,
   suspect?: string,
 ): Step {
-  const { opener, targets, timings } = state.options;
-  const term = openTerm(opener, [state.highest]);
+  const { promoterName, targets, timings } = state.options;
+  const term = openTerm(promoterName, [state.highestTerm]);
   const phase: Fencing = {
     type: "fencing",
     term,
     reason,
-    until: at + timings.controlMs,
+    until: at + timings.controlTimeoutMs,
     ...(suspect === undefined ? {} : { suspect }),
     fenced: [],
-    missed: [],
+    unreachable: [],
   };
-  const fences = targets.map((target) => askControl(state, { type: "fence", target, term }));
-  return succeed(withPhase({ ...state, highest: term }, phase), [
+  const fences = targets.map((target) =>
+    buildControlEffect(state, { type: "fence", target, term }),
+  );
+  return succeed(withPhase({ ...state, highestTerm: term }, phase), [
     { type: "note", note: { type: "fencing", term, reason } },
     ...fences,
   ]);
@@ -51,55 +59,67 @@
 ): Step {
   switch (result.type) {
     case "accepted":
-      return checkFenced(state, noteFenced(state, phase, result.status, at), at, draw);
+      return evaluateFences(state, addFencedTarget(state, phase, result.status, at), at, draw);
     case "refused":
-      return beginWaiting(state, `${target} is fenced by a rival`, at, draw, phase.suspect);
+      return beginBackoff(state, `${target} is fenced by a rival`, at, draw, phase.suspect);
     case "unreachable":
-      return checkFenced(state, { ...phase, missed: [...phase.missed, target] }, at, draw);
+      return evaluateFences(
+        state,
+        { ...phase, unreachable: [...phase.unreachable, target] },
+        at,
+        draw,
+      );
   }
 }
 
-function noteFenced(
+function addFencedTarget(
   state: FailoverState,
   phase: Fencing,
   status: TargetStatus,
   at: number,
 ): Fencing {
   const fenced = [...phase.fenced.filter((s) => s.target !== status.target), status];
-  const isEnough = fenced.length >= getMajority(state);
-  const until = isEnough ? Math.min(phase.until, at + state.options.timings.gatherMs) : phase.until;
+  const isEnough = fenced.length >= getMajoritySize(state);
+  const until = isEnough
+    ? Math.min(phase.until, at + state.options.timings.extraFenceWaitMs)
+    : phase.until;
   return { ...phase, fenced, until };
 }
 
-function checkFenced(state: FailoverState, phase: Fencing, at: number, draw: number): Step {
+function evaluateFences(state: FailoverState, phase: Fencing, at: number, draw: number): Step {
   const { targets, safeguards } = state.options;
   const next = withPhase(state, phase);
-  const isOpen = (target: string): boolean =>
+  const isPending = (target: string): boolean =>
     target !== phase.suspect &&
-    !phase.missed.includes(target) &&
+    !phase.unreachable.includes(target) &&
     !phase.fenced.some((s) => s.target === target);
-  if (targets.some(isOpen) && safeguards.fenceMajority) return succeed(next);
-  const required = safeguards.fenceMajority ? getMajority(state) : 1;
+  if (targets.some(isPending) && safeguards.fenceMajority) return succeed(next);
+  const required = safeguards.fenceMajority ? getMajoritySize(state) : 1;
   if (phase.fenced.length >= required) return beginPromotion(next, phase, phase.fenced, at);
-  const isHopeless = phase.fenced.length + phase.missed.length === targets.length;
-  return isHopeless
-    ? beginWaiting(next, "no majority was fenced", at, draw, phase.suspect)
+  const hasEveryAnswer = phase.fenced.length + phase.unreachable.length === targets.length;
+  return hasEveryAnswer
+    ? beginBackoff(next, "no majority was fenced", at, draw, phase.suspect)
     : succeed(next);
 }
 
 /** The time for fences is over: goes on with a majority, or waits. */
-export function endFencing(state: FailoverState, phase: Fencing, at: number, draw: number): Step {
-  if (phase.fenced.length >= getMajority(state)) {
+export function expireFencing(
+  state: FailoverState,
+  phase: Fencing,
+  at: number,
+  draw: number,
+): Step {
+  if (phase.fenced.length >= getMajoritySize(state)) {
     return beginPromotion(state, phase, phase.fenced, at);
   }
-  return beginWaiting(state, "no majority was fenced in time", at, draw, phase.suspect);
+  return beginBackoff(state, "no majority was fenced in time", at, draw, phase.suspect);
 }
 
 /**
  * Of targets that hold equally much, one that is not on its way out; then the former primary, to
  * which everybody is connected; then the first by name, so that the choice can be foretold.
  */
-export function chooseTarget(
+export function chooseCandidate(
   candidates: readonly TargetStatus[],
   leaving?: string,
 ): TargetStatus | undefined {
@@ -117,31 +137,34 @@
   candidates: readonly TargetStatus[],
   at: number,
 ): Step {
-  const choice = chooseTarget(candidates, state.switching?.target);
-  if (choice === undefined) return succeed(state);
+  const candidate = chooseCandidate(candidates, state.plannedSwitch?.target);
+  if (candidate === undefined) return succeed(state);
   const promoting: Promoting = {
     type: "promoting",
     term: phase.term,
-    choice,
-    others: candidates.filter((s) => s !== choice),
-    tries: 0,
+    candidate,
+    otherCandidates: candidates.filter((s) => s !== candidate),
+    attempts: 0,
     until: 0,
   };
   const { term } = phase;
-  const note = { type: "promoting", term, target: choice.target } as const;
-  return askPromotion(state, promoting, at, [{ type: "note", note }]);
+  const note = { type: "promoting", term, target: candidate.target } as const;
+  return requestPromotion(state, promoting, at, [{ type: "note", note }]);
 }
 
-function askPromotion(
+function requestPromotion(
   state: FailoverState,
   phase: Promoting,
   at: number,
-  before: readonly FailoverEffect[],
+  earlierEffects: readonly FailoverEffect[],
 ): Step {
-  const { controlMs } = state.options.timings;
-  const asked = { ...phase, tries: phase.tries + 1, until: at + controlMs };
-  const request = { type: "promote", target: phase.choice.target, term: phase.term } as const;
-  return succeed(withPhase(state, asked), [...before, askControl(state, request)]);
+  const { controlTimeoutMs } = state.options.timings;
+  const requested = { ...phase, attempts: phase.attempts + 1, until: at + controlTimeoutMs };
+  const request = { type: "promote", target: phase.candidate.target, term: phase.term } as const;
+  return succeed(withPhase(state, requested), [
+    ...earlierEffects,
+    buildControlEffect(state, request),
+  ]);
 }
 
 /** Takes the answer to the promotion under way. */
@@ -154,9 +177,9 @@
 ): Step {
   switch (result.type) {
     case "accepted":
-      return beginSteady(state, { primary: phase.choice.target, term: phase.term }, at);
+      return beginSteady(state, { primary: phase.candidate.target, term: phase.term }, at);
     case "refused":
-      return beginWaiting(state, `${phase.choice.target} is fenced by a rival`, at, draw);
+      return beginBackoff(state, `${phase.candidate.target} is fenced by a rival`, at, draw);
     case "unreachable":
       return retryPromotion(state, phase, at);
   }
@@ -169,50 +192,51 @@
  * acknowledged since; the new fencing shuts the first choice out and reads the logs as they are now.
  */
 export function retryPromotion(state: FailoverState, phase: Promoting, at: number): Step {
-  if (phase.tries < promotionTries) return askPromotion(state, phase, at, []);
-  if (!state.options.safeguards.fenceAnew) return beginPromotion(state, phase, phase.others, at);
-  return beginElection(state, "choiceFailed", at, phase.choice.target);
+  if (phase.attempts < maxPromotionAttempts) return requestPromotion(state, phase, at, []);
+  if (!state.options.safeguards.refenceMajority)
+    return beginPromotion(state, phase, phase.otherCandidates, at);
+  return beginElection(state, "choiceFailed", at, phase.candidate.target);
 }
 
 /** Waits with jitter, so that rivals do not meet again; each failure in a row doubles the wait. */
-export function beginWaiting(
+export function beginBackoff(
   state: FailoverState,
   why: string,
   at: number,
   draw: number,
   suspect?: string,
 ): Step {
-  const { backoffMs, maxBackoffMs } = state.options.timings;
-  const longest = Math.min(maxBackoffMs, backoffMs * 2 ** state.attempts);
-  const waitMs = longest * (0.5 + draw);
-  const phase: Phase = {
+  const { initialBackoffMs, maxBackoffMs } = state.options.timings;
+  const maxWaitMs = Math.min(maxBackoffMs, initialBackoffMs * 2 ** state.failedElections);
+  const waitMs = maxWaitMs * (0.5 + draw);
+  const phase: FailoverPhase = {
     type: "waiting",
     until: at + waitMs,
     ...(suspect === undefined ? {} : { suspect }),
   };
-  const next = withPhase({ ...state, attempts: state.attempts + 1 }, phase);
+  const next = withPhase({ ...state, failedElections: state.failedElections + 1 }, phase);
   return succeed(next, [{ type: "note", note: { type: "backedOff", why, waitMs } }]);
 }
 
 /** The wait is over: elects when a majority answers, else waits again. */
-export function endWaiting(
+export function endBackoff(
   state: FailoverState,
-  phase: Extract<Phase, { type: "waiting" }>,
+  phase: Extract<FailoverPhase, { type: "waiting" }>,
   at: number,
   draw: number,
 ): Step {
-  if (!hasMajority(state)) {
-    return beginWaiting(state, "no majority of targets answers", at, draw, phase.suspect);
+  if (!hasResponsiveMajority(state)) {
+    return beginBackoff(state, "no majority of targets answers", at, draw, phase.suspect);
   }
   const reason = phase.suspect === undefined ? "noPrimary" : "primaryFailed";
   return beginElection(state, reason, at, phase.suspect);
 }
 
-function askControl(state: FailoverState, request: ControlRequest): FailoverEffect {
-  return { type: "control", request, timeoutMs: state.options.timings.controlMs };
+function buildControlEffect(state: FailoverState, request: ControlRequest): FailoverEffect {
+  return { type: "control", request, timeoutMs: state.options.timings.controlTimeoutMs };
 }
 
 /** Whether an answer belongs to the election under way. */
-export function isCurrent(phase: Fencing | Promoting, request: ControlRequest): boolean {
+export function isCurrentElection(phase: Fencing | Promoting, request: ControlRequest): boolean {
   return compareTerms(phase.term, request.term) === 0;
 }
--- a/src/controller/failover/event.ts
+++ b/src/controller/failover/event.ts
@@ -14,7 +14,7 @@
 /** What other VMs found of a target: one reached it, some did not, or none could be asked. */
 export type PeerFinding = "reached" | "unreached" | "silent";
 
-interface Moment {
+interface EventContext {
   /** On the clock of this process. */
   readonly at: number;
   /** A number of [0, 1) for jitter. */
@@ -22,7 +22,7 @@
 }
 
 /** What a failover controller hears. */
-export type FailoverEvent = Moment &
+export type FailoverEvent = EventContext &
   (
     | { readonly type: "ticked" }
     | {
--- a/src/controller/failover/index.ts
+++ b/src/controller/failover/index.ts
@@ -16,7 +16,12 @@
   type FailoverTimings,
 } from "./options.js";
 export { findLeadership, isCutOff, isLeading, isSuperseded } from "./leader.js";
-export { createFailoverState, type FailoverState, getAllowance, type Leadership } from "./state.js";
-export { chooseTarget } from "./elect.js";
+export {
+  createFailoverState,
+  type FailoverState,
+  getLatenessTolerance,
+  type Leadership,
+} from "./state.js";
+export { chooseCandidate } from "./elect.js";
 export { applyEvent } from "./step.js";
 export { findWakeAt } from "./tick.js";
--- a/src/controller/failover/tend.ts
+++ b/src/controller/failover/replicas.ts
@@ -1,64 +1,72 @@
 import { compareTerms, succeed } from "../../model/index.js";
 import type { FailoverEffect } from "./event.js";
-import { isHeard } from "./leader.js";
+import { isResponsive } from "./leader.js";
 import {
   type FailoverState,
-  getHealth,
+  getTargetHealth,
   type Leadership,
   type Step,
-  withHealth,
+  withTargetHealth,
   withPhase,
 } from "./state.js";
 
 /** Believes in a primary and tells the others to follow it. */
 export function beginSteady(state: FailoverState, leadership: Leadership, at: number): Step {
   const { primary, term } = leadership;
-  const { switching, ...rest } = state;
-  const isSwitching = switching?.target === primary && at < switching.until;
-  const next: FailoverState = { ...rest, ...(isSwitching ? { switching } : {}), attempts: 0 };
-  const steady = withPhase(dropTold(next), { type: "steady", primary, term });
-  const tended = tellReplicas(steady, leadership, at);
+  const { plannedSwitch, ...rest } = state;
+  const isSwitchPending = plannedSwitch?.target === primary && at < plannedSwitch.until;
+  const next: FailoverState = {
+    ...rest,
+    ...(isSwitchPending ? { plannedSwitch } : {}),
+    failedElections: 0,
+  };
+  const steady = withPhase(resetFollowRequests(next), { type: "steady", primary, term });
+  const redirected = redirectReplicas(steady, leadership, at);
   const note = { type: "note", note: { type: "led", target: primary, term } } as const;
-  return succeed(tended.state, [note, ...tended.effects]);
+  return succeed(redirected.state, [note, ...redirected.effects]);
 }
 
 /** Goes on believing in a primary; targets that were told to follow it are not told anew. */
-export function keepSteady(state: FailoverState, leadership: Leadership, at: number): Step {
+export function resumeSteady(state: FailoverState, leadership: Leadership, at: number): Step {
   const { primary, term } = leadership;
-  return tellReplicas(withPhase(state, { type: "steady", primary, term }), leadership, at);
+  return redirectReplicas(withPhase(state, { type: "steady", primary, term }), leadership, at);
 }
 
 /**
  * What targets were told holds for one primary. Right after a second change of primary they would
  * else count as told, and the first write would wait for a replica that copies from nobody.
  */
-function dropTold(state: FailoverState): FailoverState {
-  return state.options.targets.reduce((s, t) => withHealth(s, t, { toldAt: -Infinity }), state);
+function resetFollowRequests(state: FailoverState): FailoverState {
+  return state.options.targets.reduce(
+    (s, t) => withTargetHealth(s, t, { followRequestedAt: -Infinity }),
+    state,
+  );
 }
 
 /** Tells every reachable target that does not follow the primary in its term to do so. */
-export function tellReplicas(state: FailoverState, leadership: Leadership, at: number): Step {
+export function redirectReplicas(state: FailoverState, leadership: Leadership, at: number): Step {
   let next = state;
   const effects: FailoverEffect[] = [];
   for (const target of state.options.targets) {
-    if (!isAstray(state, target, leadership, at)) continue;
-    next = withHealth(next, target, { toldAt: at });
-    effects.push(tellTarget(state, target, leadership));
+    if (!needsRedirect(state, target, leadership, at)) continue;
+    next = withTargetHealth(next, target, { followRequestedAt: at });
+    effects.push(redirectTarget(state, target, leadership));
   }
   return succeed(next, effects);
 }
 
-function isAstray(
+function needsRedirect(
   state: FailoverState,
   target: string,
   { primary, term }: Leadership,
   at: number,
 ): boolean {
-  const health = getHealth(state, target);
+  const health = getTargetHealth(state, target);
   const status = health.view?.status;
-  if (target === primary || status === undefined || !isHeard(state, target)) return false;
+  if (target === primary || status === undefined || !isResponsive(state, target)) return false;
   const order = compareTerms(status.fencedAt, term);
-  if (order > 0 || at - health.toldAt < state.options.timings.followMs) return false;
+  if (order > 0 || at - health.followRequestedAt < state.options.timings.followRetryMs)
+    return false;
   return order < 0 || status.role === "primary" || status.follows !== primary;
 }
 
@@ -67,13 +75,13 @@
  * follow, and its callers would wait for confirmations that never come. The fence stops it at once;
  * it is told to follow when it has answered.
  */
-function tellTarget(
+function redirectTarget(
   state: FailoverState,
   target: string,
   { primary, term }: Leadership,
 ): FailoverEffect {
-  const timeoutMs = state.options.timings.controlMs;
-  const isPrimary = getHealth(state, target).view?.status.role === "primary";
+  const timeoutMs = state.options.timings.controlTimeoutMs;
+  const isPrimary = getTargetHealth(state, target).view?.status.role === "primary";
   if (isPrimary) return { type: "control", request: { type: "fence", target, term }, timeoutMs };
   return { type: "control", request: { type: "follow", target, primary, term }, timeoutMs };
 }
--- a/src/controller/membership/index.ts
+++ b/src/controller/membership/index.ts
@@ -1,7 +1,7 @@
 export { compareIncarnations, openIncarnation, refuteIncarnation } from "./incarnation.js";
 export { collectNews, listAllNews, listNewsAbout, markSent } from "./news.js";
-export { membershipOptions, type MembershipOptions } from "./options.js";
-export { buildRing } from "./ring.js";
+export { defaultMembershipOptions, type MembershipOptions } from "./options.js";
+export { buildProbeOrder } from "./probeorder.js";
 export {
   createMembershipState,
   type Member,
@@ -11,4 +11,4 @@
   type MemberStatus,
 } from "./state.js";
 export { applyMembershipEvent } from "./step.js";
-export { findHelpers, listLive, listViews, type MemberView } from "./view.js";
+export { findProbeHelpers, listLive, listMembers, type MemberView } from "./view.js";
--- a/src/controller/membership/list.ts
+++ b/src/controller/membership/list.ts
@@ -1,5 +1,5 @@
 import type { Vm } from "../../model/index.js";
-import { changeMember, removeMember, type Draft } from "./member.js";
+import { changeMember, removeMember, type Transition } from "./member.js";
 import type { Member, MembershipState } from "./state.js";
 import type { MembershipOptions } from "./options.js";
 
@@ -9,58 +9,70 @@
  * the list catches up. Nobody is dropped for being missing from it.
  */
 export function applyList(
-  draft: Draft,
+  transition: Transition,
   vms: readonly Vm[],
   now: number,
   options: MembershipOptions,
-): Draft {
+): Transition {
   const listed = new Map(vms.map((vm) => [vm.name, vm]));
-  listed.delete(draft.state.self.vm.name);
-  const added = addListed(draft, [...listed.values()], now);
+  listed.delete(transition.state.self.vm.name);
+  const added = addListed(transition, [...listed.values()], now);
   const marked = [...listed.values()]
     .filter((vm) => vm.state === "leaving")
     .reduce((next, vm) => markLeaving(next, vm, now), added);
-  return forgetUnlisted(noteListing(marked, listed), now, options);
+  return removeUnlisted(recordListing(marked, listed), now, options);
 }
 
 /** Adds many at once: at a start the list brings thousands. */
-function addListed({ state, effects }: Draft, vms: readonly Vm[], now: number): Draft {
-  const fresh = vms.filter(({ name }) => !state.members.has(name));
+function addListed({ state, effects }: Transition, vms: readonly Vm[], now: number): Transition {
+  const added = vms.filter(({ name }) => !state.members.has(name));
   const members = new Map(state.members);
-  for (const vm of fresh) {
-    members.set(vm.name, { vm, status: "alive", incarnation: "", since: now });
+  for (const vm of added) {
+    members.set(vm.name, { vm, status: "alive", incarnation: "", statusSince: now });
   }
-  const changes = fresh.map((vm) => ({ type: "changed" as const, vm, status: "alive" as const }));
+  const changes = added.map((vm) => ({ type: "changed" as const, vm, status: "alive" as const }));
   return { state: { ...state, members }, effects: [...effects, ...changes] };
 }
 
-function markLeaving(draft: Draft, vm: Vm, now: number): Draft {
-  const member = draft.state.members.get(vm.name);
-  if (member === undefined || member.listed === "leaving" || member.status === "down") return draft;
-  return changeMember(draft, member, "leaving", now);
+function markLeaving(transition: Transition, vm: Vm, now: number): Transition {
+  const member = transition.state.members.get(vm.name);
+  if (member === undefined || member.listedState === "leaving" || member.status === "down")
+    return transition;
+  return changeMember(transition, member, "leaving", now);
 }
 
-function noteListing({ state, effects }: Draft, listed: ReadonlyMap<string, Vm>): Draft {
+function recordListing(
+  { state, effects }: Transition,
+  listed: ReadonlyMap<string, Vm>,
+): Transition {
   const members = new Map(
     [...state.members].map(([name, member]) => [name, setListed(member, listed.get(name)?.state)]),
   );
   return { state: { ...state, members }, effects };
 }
 
-function setListed(member: Member, listed: Vm["state"] | undefined): Member {
-  if (member.listed === listed) return member;
-  const { vm, status, incarnation, since } = member;
-  const rest = { vm, status, incarnation, since };
-  return listed === undefined ? rest : { ...rest, listed };
+function setListed(member: Member, listedState: Vm["state"] | undefined): Member {
+  if (member.listedState === listedState) return member;
+  const { vm, status, incarnation, statusSince } = member;
+  const rest = { vm, status, incarnation, statusSince };
+  return listedState === undefined ? rest : { ...rest, listedState };
 }
 
-function forgetUnlisted(draft: Draft, now: number, { forgetMs }: MembershipOptions): Draft {
-  return listGone(draft.state, now, forgetMs).reduce(removeMember, draft);
+function removeUnlisted(
+  transition: Transition,
+  now: number,
+  { forgetDownAfterMs }: MembershipOptions,
+): Transition {
+  return listExpired(transition.state, now, forgetDownAfterMs).reduce(removeMember, transition);
 }
 
-function listGone(state: MembershipState, now: number, forgetMs: number): readonly Member[] {
+function listExpired(
+  state: MembershipState,
+  now: number,
+  forgetDownAfterMs: number,
+): readonly Member[] {
   return [...state.members.values()].filter(
-    ({ status, listed, since }) =>
-      status === "down" && listed === undefined && now - since >= forgetMs,
+    ({ status, listedState, statusSince }) =>
+      status === "down" && listedState === undefined && now - statusSince >= forgetDownAfterMs,
   );
 }
--- a/src/controller/membership/news.ts
+++ b/src/controller/membership/news.ts
@@ -1,11 +1,11 @@
 import type { VmNews } from "../../model/index.js";
 import type { Member, MembershipState, QueuedNews } from "./state.js";
 
-const spread = 3;
+const sendsPerDoubling = 3;
 
 /** What the next message carries: this VM itself, then the news that went out least. */
 export function collectNews(state: MembershipState, limit: number): readonly VmNews[] {
-  const queued = [...state.news.values()].sort((a, b) => b.left - a.left).slice(0, limit);
+  const queued = [...state.news.values()].sort((a, b) => b.sendsLeft - a.sendsLeft).slice(0, limit);
   return [describeSelf(state), ...queued.map(({ news }) => news)];
 }
 
@@ -15,8 +15,8 @@
  */
 export function listNewsAbout(state: MembershipState, name: string): readonly VmNews[] {
   const member = state.members.get(name);
-  const isHeldAgainst = member?.status === "suspect" || member?.status === "down";
-  return isHeldAgainst ? [describeMember(member)] : [];
+  const isSuspectedOrDown = member?.status === "suspect" || member?.status === "down";
+  return isSuspectedOrDown ? [describeMember(member)] : [];
 }
 
 /** Everything that this VM knows, for one that has just started. */
@@ -31,16 +31,16 @@
   for (const { vm } of sent) {
     const queued = news.get(vm.name);
     if (queued === undefined) continue;
-    if (queued.left <= 1) news.delete(vm.name);
-    else news.set(vm.name, { ...queued, left: queued.left - 1 });
+    if (queued.sendsLeft <= 1) news.delete(vm.name);
+    else news.set(vm.name, { ...queued, sendsLeft: queued.sendsLeft - 1 });
   }
   return { ...state, news };
 }
 
 /** Queues a change for about as many messages as reach all VMs with high probability. */
 export function queueNews(state: MembershipState, member: Member): MembershipState {
-  const left = spread * Math.ceil(Math.log2(state.members.size + 2));
-  const queued: QueuedNews = { news: describeMember(member), left };
+  const sendsLeft = sendsPerDoubling * Math.ceil(Math.log2(state.members.size + 2));
+  const queued: QueuedNews = { news: describeMember(member), sendsLeft };
   return { ...state, news: new Map(state.news).set(member.vm.name, queued) };
 }
 
--- a/src/controller/membership/ring.ts
+++ b/src/controller/membership/probeorder.ts
@@ -2,7 +2,7 @@
 import type { MembershipState } from "./state.js";
 
 /** Up to so many VMs, each probes all others. */
-const smallFleet = 16;
+const maxFullProbeFleet = 16;
 
 /**
  * Builds the round of VMs to probe. In a large fleet these are the VMs 1, 2, 4, 8 ... places on in
@@ -10,22 +10,23 @@
  * log2(n) hops, and the connections that probes go over stay open. Probing all in turn would open
  * one each second, whose handshakes alone cost more than the bytes that control may take.
  */
-export function buildRing({ self, members, ticks }: MembershipState): readonly string[] {
+export function buildProbeOrder({ self, members, ticks }: MembershipState): readonly string[] {
   const names = [...members.values()]
     .filter(({ status }) => status !== "down")
     .map(({ vm }) => vm.name);
-  const wanted = names.length <= smallFleet ? names : pickFingers(self.vm.name, names);
-  return orderByHash(wanted, `${self.vm.name}/${ticks}`);
+  const probed =
+    names.length <= maxFullProbeFleet ? names : pickByDoublingDistance(self.vm.name, names);
+  return orderByHash(probed, `${self.vm.name}/${ticks}`);
 }
 
-function pickFingers(self: string, names: readonly string[]): readonly string[] {
-  const circle = orderByHash([self, ...names], "circle");
-  const at = circle.indexOf(self);
-  const fingers: string[] = [];
-  for (let distance = 1; distance < circle.length; distance *= 2) {
-    fingers.push(circle[(at + distance) % circle.length] ?? self);
+function pickByDoublingDistance(self: string, names: readonly string[]): readonly string[] {
+  const hashOrder = orderByHash([self, ...names], "circle");
+  const ownIndex = hashOrder.indexOf(self);
+  const probed: string[] = [];
+  for (let distance = 1; distance < hashOrder.length; distance *= 2) {
+    probed.push(hashOrder[(ownIndex + distance) % hashOrder.length] ?? self);
   }
-  return fingers;
+  return probed;
 }
 
 function orderByHash(names: readonly string[], salt: string): readonly string[] {
--- a/src/controller/membership/state.ts
+++ b/src/controller/membership/state.ts
@@ -10,15 +10,15 @@
   /** Empty until it was heard from. */
   readonly incarnation: string;
   /** When the status last changed, on the observer's clock. */
-  readonly since: number;
+  readonly statusSince: number;
   /** The platform's word in the last listing; absent when it was not listed. */
-  readonly listed?: Vm["state"];
+  readonly listedState?: Vm["state"];
 }
 
 /** News with the number of messages that still carry it. */
 export interface QueuedNews {
   readonly news: VmNews;
-  readonly left: number;
+  readonly sendsLeft: number;
 }
 
 /** What one VM knows of the others. */
@@ -30,8 +30,8 @@
   };
   readonly members: ReadonlyMap<string, Member>;
   /** The round of those that this VM probes, gone through from `at` on and then built anew. */
-  readonly ring: readonly string[];
-  readonly at: number;
+  readonly probeOrder: readonly string[];
+  readonly nextProbeIndex: number;
   readonly ticks: number;
   /** Grows when this process stood still: results of probes begun before count for nothing. */
   readonly epoch: number;
@@ -54,7 +54,7 @@
       readonly vm: string;
       readonly epoch: number;
       /** Whether helpers were asked as well. */
-      readonly indirect: boolean;
+      readonly isIndirect: boolean;
     }
   /** Something failed towards a VM: it is probed at once. */
   | { readonly type: "doubted"; readonly now: number; readonly vm: string }
@@ -83,8 +83,8 @@
   return {
     self: { vm, incarnation, state: "starting" },
     members: new Map(),
-    ring: [],
-    at: 0,
+    probeOrder: [],
+    nextProbeIndex: 0,
     ticks: 0,
     epoch: 0,
     lastEventAt: now,
--- a/src/controller/membership/step.ts
+++ b/src/controller/membership/step.ts
@@ -1,20 +1,20 @@
 import { succeed, type Applied, type PeerHello } from "../../model/index.js";
 import { compareIncarnations, refuteIncarnation } from "./incarnation.js";
 import { applyList } from "./list.js";
-import { applyNews, changeMember, type Draft } from "./member.js";
-import { membershipOptions, type MembershipOptions } from "./options.js";
+import { applyNews, changeMember, type Transition } from "./member.js";
+import { defaultMembershipOptions, type MembershipOptions } from "./options.js";
 import type { MembershipEffect, MembershipEvent, MembershipState } from "./state.js";
 import { applyTick } from "./tick.js";
-import { findHelpers } from "./view.js";
+import { findProbeHelpers } from "./view.js";
 
 /** Applies one event. */
 export function applyMembershipEvent(
   state: MembershipState,
   event: MembershipEvent,
-  options: MembershipOptions = membershipOptions,
+  options: MembershipOptions = defaultMembershipOptions,
 ): Applied<MembershipState, MembershipEffect, never> {
-  const draft = applyEvent(notePause(state, event.now, options), event, options);
-  return succeed(draft.state, draft.effects);
+  const transition = applyEvent(detectPause(state, event.now, options), event, options);
+  return succeed(transition.state, transition.effects);
 }
 
 /**
@@ -22,13 +22,17 @@
  * any answer that waits in its sockets is read: all the others would look silent, and it would take
  * over what they own. Results of probes begun before the gap are dropped and suspicions start anew.
  */
-function notePause(state: MembershipState, now: number, { pauseMs }: MembershipOptions): Draft {
+function detectPause(
+  state: MembershipState,
+  now: number,
+  { maxEventGapMs }: MembershipOptions,
+): Transition {
   const forMs = now - state.lastEventAt;
-  if (forMs <= pauseMs) return { state: { ...state, lastEventAt: now }, effects: [] };
+  if (forMs <= maxEventGapMs) return { state: { ...state, lastEventAt: now }, effects: [] };
   const members = new Map(
     [...state.members].map(([name, member]) => [
       name,
-      member.status === "suspect" ? { ...member, since: now } : member,
+      member.status === "suspect" ? { ...member, statusSince: now } : member,
     ]),
   );
   return {
@@ -37,84 +41,97 @@
   };
 }
 
-function applyEvent(draft: Draft, event: MembershipEvent, options: MembershipOptions): Draft {
-  const { state } = draft;
+function applyEvent(
+  transition: Transition,
+  event: MembershipEvent,
+  options: MembershipOptions,
+): Transition {
+  const { state } = transition;
   switch (event.type) {
     case "tick":
-      return applyTick(draft, event.now, options);
+      return applyTick(transition, event.now, options);
     case "listed":
-      return applyList(draft, event.vms, event.now, options);
+      return applyList(transition, event.vms, event.now, options);
     case "heard":
-      return applyHello(draft, event.hello, event.now);
+      return applyHello(transition, event.hello, event.now);
     case "silent":
-      return applySilence(draft, event, options);
+      return applyProbeFailure(transition, event, options);
     case "doubted": {
       const member = state.members.get(event.vm);
-      if (member === undefined || member.status === "down") return draft;
-      return addEffect(draft, { type: "probe", vm: member.vm, epoch: state.epoch });
+      if (member === undefined || member.status === "down") return transition;
+      return addEffect(transition, { type: "probe", vm: member.vm, epoch: state.epoch });
     }
     case "selfChanged":
-      return { ...draft, state: { ...state, self: { ...state.self, state: event.state } } };
+      return { ...transition, state: { ...state, self: { ...state.self, state: event.state } } };
   }
 }
 
-function applyHello(draft: Draft, hello: PeerHello, now: number): Draft {
-  const state = { ...draft.state, lastContactAt: now, isIsolated: false };
-  const known = applySender({ ...draft, state }, hello, now);
+function applyHello(transition: Transition, hello: PeerHello, now: number): Transition {
+  const state = { ...transition.state, lastContactAt: now, isIsolated: false };
+  const known = applySender({ ...transition, state }, hello, now);
   return (hello.news ?? []).reduce((next, news) => {
-    if (news.vm.name === state.self.vm.name) return refute(next, news.incarnation, news.state);
+    if (news.vm.name === state.self.vm.name)
+      return refuteSuspicion(next, news.incarnation, news.state);
     return news.vm.name === hello.vm ? next : applyNews(next, news, now);
   }, known);
 }
 
 /** What a VM says of itself goes before what others say of the same incarnation. */
-function applySender(draft: Draft, hello: PeerHello, now: number): Draft {
-  if (hello.vm === draft.state.self.vm.name) return draft;
+function applySender(transition: Transition, hello: PeerHello, now: number): Transition {
+  if (hello.vm === transition.state.self.vm.name) return transition;
   const status = hello.state === "leaving" ? "leaving" : "alive";
-  const own = hello.news?.find((news) => news.vm.name === hello.vm)?.vm;
-  const known = draft.state.members.get(hello.vm);
+  const announced = hello.news?.find((news) => news.vm.name === hello.vm)?.vm;
+  const known = transition.state.members.get(hello.vm);
   if (known === undefined) {
-    if (own === undefined) return draft;
-    const news = { vm: own, incarnation: hello.incarnation, state: status } as const;
-    return applyNews(draft, news, now);
+    if (announced === undefined) return transition;
+    const news = { vm: announced, incarnation: hello.incarnation, state: status } as const;
+    return applyNews(transition, news, now);
   }
-  if (compareIncarnations(hello.incarnation, known.incarnation) < 0) return draft;
-  const isSame = known.status === status && known.incarnation === hello.incarnation;
-  if (isSame) return draft;
+  if (compareIncarnations(hello.incarnation, known.incarnation) < 0) return transition;
+  const isUnchanged = known.status === status && known.incarnation === hello.incarnation;
+  if (isUnchanged) return transition;
   // Leaving is final for a run; the platform's word of it holds for the run that it was about.
   const isSameRun = compareIncarnations(hello.incarnation, known.incarnation) === 0;
-  if (known.status === "leaving" && isSameRun) return draft;
-  const member = { ...known, vm: own ?? known.vm, incarnation: hello.incarnation };
-  return changeMember(draft, member, status, now);
+  if (known.status === "leaving" && isSameRun) return transition;
+  const member = { ...known, vm: announced ?? known.vm, incarnation: hello.incarnation };
+  return changeMember(transition, member, status, now);
 }
 
 /** Others suspect this VM, or took it for down: a greater incarnation says that it lives. */
-function refute(draft: Draft, incarnation: string, said: string): Draft {
-  const { self } = draft.state;
-  const isAgainst = said === "suspect" || said === "down";
-  if (!isAgainst || compareIncarnations(incarnation, self.incarnation) < 0) return draft;
+function refuteSuspicion(
+  transition: Transition,
+  incarnation: string,
+  claimedState: string,
+): Transition {
+  const { self } = transition.state;
+  const isNegative = claimedState === "suspect" || claimedState === "down";
+  if (!isNegative || compareIncarnations(incarnation, self.incarnation) < 0) return transition;
   const next = { ...self, incarnation: refuteIncarnation(incarnation) };
-  return addEffect({ ...draft, state: { ...draft.state, self: next } }, { type: "refuted" });
+  return addEffect(
+    { ...transition, state: { ...transition.state, self: next } },
+    { type: "refuted" },
+  );
 }
 
-function applySilence(
-  draft: Draft,
+function applyProbeFailure(
+  transition: Transition,
   event: Extract<MembershipEvent, { type: "silent" }>,
   options: MembershipOptions,
-): Draft {
-  const { state } = draft;
+): Transition {
+  const { state } = transition;
   const member = state.members.get(event.vm);
-  if (member === undefined || event.epoch !== state.epoch || member.status === "down") return draft;
-  const via = event.indirect ? [] : findHelpers(state, options.helpers, event.vm);
+  if (member === undefined || event.epoch !== state.epoch || member.status === "down")
+    return transition;
+  const via = event.isIndirect ? [] : findProbeHelpers(state, options.helperCount, event.vm);
   if (via.length > 0) {
-    return addEffect(draft, { type: "probeThrough", vm: member.vm, via, epoch: state.epoch });
+    return addEffect(transition, { type: "probeThrough", vm: member.vm, via, epoch: state.epoch });
   }
-  if (member.status === "suspect") return draft;
+  if (member.status === "suspect") return transition;
   // A leaving VM that falls silent has left: nothing is owed to it.
   const status = member.status === "leaving" ? "down" : "suspect";
-  return changeMember(draft, member, status, event.now);
+  return changeMember(transition, member, status, event.now);
 }
 
-function addEffect(draft: Draft, effect: MembershipEffect): Draft {
-  return { ...draft, effects: [...draft.effects, effect] };
+function addEffect(transition: Transition, effect: MembershipEffect): Transition {
+  return { ...transition, effects: [...transition.effects, effect] };
 }
--- a/src/controller/membership/tick.ts
+++ b/src/controller/membership/tick.ts
@@ -1,11 +1,15 @@
-import { changeMember, type Draft } from "./member.js";
+import { changeMember, type Transition } from "./member.js";
 import type { MembershipOptions } from "./options.js";
-import { buildRing } from "./ring.js";
+import { buildProbeOrder } from "./probeorder.js";
 import type { Member, MembershipState } from "./state.js";
 
 /** Begins one probe and takes VMs for down whose time to refute is over. */
-export function applyTick(draft: Draft, now: number, options: MembershipOptions): Draft {
-  return beginProbe(endSuspicions(draft, now, options), options);
+export function applyTick(
+  transition: Transition,
+  now: number,
+  options: MembershipOptions,
+): Transition {
+  return beginProbe(expireSuspicions(transition, now, options), options);
 }
 
 /**
@@ -13,14 +17,18 @@
  * It declares nobody down unless some other VM was heard from after the suspicion began; until then
  * it keeps its last list and says that it is isolated.
  */
-function endSuspicions(draft: Draft, now: number, { suspicionMs }: MembershipOptions): Draft {
-  const due = [...draft.state.members.values()].filter(
-    ({ status, since }) => status === "suspect" && now - since >= suspicionMs,
+function expireSuspicions(
+  transition: Transition,
+  now: number,
+  { suspicionTimeoutMs }: MembershipOptions,
+): Transition {
+  const due = [...transition.state.members.values()].filter(
+    ({ status, statusSince }) => status === "suspect" && now - statusSince >= suspicionTimeoutMs,
   );
-  const proven = due.filter(({ since }) => draft.state.lastContactAt > since);
-  const ended = proven.reduce((next, m) => changeMember(next, m, "down", now), draft);
-  const isIsolated = due.length > 0 && proven.length === 0 && !hasAlive(draft.state);
-  if (!isIsolated || draft.state.isIsolated) return ended;
+  const confirmed = due.filter(({ statusSince }) => transition.state.lastContactAt > statusSince);
+  const ended = confirmed.reduce((next, m) => changeMember(next, m, "down", now), transition);
+  const isIsolated = due.length > 0 && confirmed.length === 0 && !hasAlive(transition.state);
+  if (!isIsolated || transition.state.isIsolated) return ended;
   return {
     state: { ...ended.state, isIsolated: true },
     effects: [...ended.effects, { type: "isolated" }],
@@ -31,22 +39,31 @@
   return [...state.members.values()].some(({ status }) => status === "alive");
 }
 
-function beginProbe(draft: Draft, options: MembershipOptions): Draft {
-  const state = { ...draft.state, ticks: draft.state.ticks + 1 };
-  const down = state.ticks % options.downEvery === 0 ? pickDown(state, options) : undefined;
-  if (down !== undefined) return addProbe(draft, state, down);
-  const next = state.at < state.ring.length ? state : { ...state, ring: buildRing(state), at: 0 };
-  const member = next.members.get(next.ring[next.at] ?? "");
-  const moved = { ...next, at: next.at + 1 };
-  return member === undefined ? { ...draft, state: moved } : addProbe(draft, moved, member);
+function beginProbe(transition: Transition, options: MembershipOptions): Transition {
+  const state = { ...transition.state, ticks: transition.state.ticks + 1 };
+  const down =
+    state.ticks % options.downProbeTicks === 0 ? pickDownMember(state, options) : undefined;
+  if (down !== undefined) return addProbe(transition, state, down);
+  const next =
+    state.nextProbeIndex < state.probeOrder.length
+      ? state
+      : { ...state, probeOrder: buildProbeOrder(state), nextProbeIndex: 0 };
+  const member = next.members.get(next.probeOrder[next.nextProbeIndex] ?? "");
+  const moved = { ...next, nextProbeIndex: next.nextProbeIndex + 1 };
+  return member === undefined
+    ? { ...transition, state: moved }
+    : addProbe(transition, moved, member);
 }
 
-function addProbe({ effects }: Draft, state: MembershipState, { vm }: Member): Draft {
+function addProbe({ effects }: Transition, state: MembershipState, { vm }: Member): Transition {
   return { state, effects: [...effects, { type: "probe", vm, epoch: state.epoch }] };
 }
 
 /** Those that are down take turns. */
-function pickDown(state: MembershipState, { downEvery }: MembershipOptions): Member | undefined {
+function pickDownMember(
+  state: MembershipState,
+  { downProbeTicks }: MembershipOptions,
+): Member | undefined {
   const down = [...state.members.values()].filter(({ status }) => status === "down");
-  return down[Math.floor(state.ticks / downEvery) % Math.max(1, down.length)];
+  return down[Math.floor(state.ticks / downProbeTicks) % Math.max(1, down.length)];
 }
--- a/src/controller/membership/view.ts
+++ b/src/controller/membership/view.ts
@@ -8,7 +8,7 @@
 }
 
 /** Lists every VM that is known, this one first. */
-export function listViews({ self, members }: MembershipState): readonly MemberView[] {
+export function listMembers({ self, members }: MembershipState): readonly MemberView[] {
   const status: MemberStatus = self.state === "leaving" ? "leaving" : "alive";
   return [
     { vm: self.vm, status },
@@ -21,19 +21,23 @@
  * bear the state `live`, whatever the platform's list says of a run before.
  */
 export function listLive(state: MembershipState): readonly Vm[] {
-  return listViews(state)
+  return listMembers(state)
     .filter(({ status }) => status === "alive" || status === "suspect")
     .map(({ vm }) => (vm.state === "live" ? vm : { ...vm, state: "live" }));
 }
 
 /** Finds up to `count` VMs that can probe `about`: other data centres first, as other paths tell more. */
-export function findHelpers(state: MembershipState, count: number, about?: string): readonly Vm[] {
+export function findProbeHelpers(
+  state: MembershipState,
+  count: number,
+  about?: string,
+): readonly Vm[] {
   const alive = [...state.members.values()]
     .filter(({ vm, status }) => status === "alive" && vm.name !== about)
     .map(({ vm }) => vm);
-  const first = alive.length === 0 ? 0 : state.ticks % alive.length;
-  const turned = [...alive.slice(first), ...alive.slice(0, first)];
-  const own = state.self.vm.dataCentre;
-  const away = turned.filter((vm) => vm.dataCentre !== own);
-  return [...away, ...turned.filter((vm) => vm.dataCentre === own)].slice(0, count);
+  const firstIndex = alive.length === 0 ? 0 : state.ticks % alive.length;
+  const rotated = [...alive.slice(firstIndex), ...alive.slice(0, firstIndex)];
+  const ownDataCentre = state.self.vm.dataCentre;
+  const others = rotated.filter((vm) => vm.dataCentre !== ownDataCentre);
+  return [...others, ...rotated.filter((vm) => vm.dataCentre === ownDataCentre)].slice(0, count);
 }
--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -3,7 +3,7 @@
   chooseRelays,
   decodeMessage,
   encodeMessage,
-  firstConfigurationState,
+  initialConfigurationState,
   isRelay,
   listChildren,
   type ConfigurationAlarm,
@@ -56,7 +56,7 @@
 
 /** Keeps the configuration in force on one proxy. */
 export class ConfigurationKeeper implements Disposable {
-  private state: ConfigurationState = firstConfigurationState;
+  private state: ConfigurationState = initialConfigurationState;
   private readonly listeners = new Set<ConfigurationListener>();
   private readonly ended = new AbortController();
   private watching: AbortController | undefined;
--- a/src/fleet/drain.ts
+++ b/src/fleet/drain.ts
@@ -1,6 +1,6 @@
 import {
   applyDrainEvent,
-  firstDrainState,
+  initialDrainState,
   type DrainEffect,
   type DrainEvent,
   type DrainOptions,
@@ -29,7 +29,7 @@
 
 /** Takes a process from serving to drained. */
 export class DrainKeeper {
-  private state: DrainState = firstDrainState;
+  private state: DrainState = initialDrainState;
   private ending: Promise<void> | undefined;
 
   constructor(private readonly options: DrainKeeperOptions) {}
--- a/src/fleet/editor.ts
+++ b/src/fleet/editor.ts
@@ -109,7 +109,7 @@
     const plan = planEdit(edit, {
       ...(stored === undefined ? {} : { stored }),
       ...(inForce === undefined ? {} : { inForce }),
-      attempted,
+      attemptedRevision: attempted,
     });
     switch (plan.type) {
       case "landed":
--- a/src/fleet/membership.ts
+++ b/src/fleet/membership.ts
@@ -3,13 +3,13 @@
   applyMembershipEvent,
   collectNews,
   createMembershipState,
-  findHelpers,
+  findProbeHelpers,
   listAllNews,
   listLive,
   listNewsAbout,
-  listViews,
+  listMembers,
   markSent,
-  membershipOptions,
+  defaultMembershipOptions,
   type MembershipEffect,
   type MembershipEvent,
   type MembershipOptions,
@@ -71,7 +71,7 @@
 
   constructor(private readonly options: MembershipKeeperOptions) {
     const { vm, incarnation, clock } = options;
-    this.times = options.times ?? membershipOptions;
+    this.times = options.times ?? defaultMembershipOptions;
     this.state = createMembershipState(vm, incarnation, clock.now());
     this.live = [vm];
   }
@@ -92,12 +92,12 @@
 
   /** Every VM that is known, with its state. */
   view(): readonly MemberView[] {
-    return listViews(this.state);
+    return listMembers(this.state);
   }
 
   /** Up to `count` live VMs other than this one, those of other data centres first. */
   findHelpers(count: number): readonly Vm[] {
-    return findHelpers(this.state, count);
+    return findProbeHelpers(this.state, count);
   }
 
   /** What this process says of itself in an answer or beside a request: no news, so it is small. */
@@ -226,13 +226,13 @@
       return;
     }
     const now = this.options.clock.now();
-    this.apply({ type: "silent", now, vm: vm.name, epoch, indirect });
+    this.apply({ type: "silent", now, vm: vm.name, epoch, isIndirect: indirect });
   }
 
   private async tick(): Promise<number> {
     this.apply({ type: "tick", now: this.options.clock.now() });
     if (this.state.members.size === 0) await this.askSeeds();
-    return this.times.tickMs;
+    return this.times.probeIntervalMs;
   }
 
   /** With the store down at start, the settings' seeds are the only way to the others. */
--- a/src/groupwatch/groupwatch.ts
+++ b/src/groupwatch/groupwatch.ts
@@ -2,7 +2,7 @@
   defaultTimings,
   type FailoverState,
   type FailoverTimings,
-  getAllowance,
+  getLatenessTolerance,
   isCutOff,
   isSuperseded,
 } from "../controller/failover/index.js";
@@ -111,7 +111,7 @@
 
   /** Whether new writes should wait, so that a replica can catch up in a planned switch. */
   get isSwitching(): boolean {
-    const { switching } = this.runner.state;
+    const { plannedSwitch: switching } = this.runner.state;
     return switching !== undefined && this.options.clock.now() < switching.until;
   }
 
@@ -198,7 +198,9 @@
   /** The controller checks a silent primary itself and then renews its stream. */
   private findPatience(target: string): number {
     const isPrimary = this.current.primary?.target === target;
-    return isPrimary ? this.timings.maxAllowanceMs : getAllowance(this.runner.state, target);
+    return isPrimary
+      ? this.timings.maxLatenessToleranceMs
+      : getLatenessTolerance(this.runner.state, target);
   }
 
   private askOthers(target: string): void {
--- a/src/groupwatch/setup.ts
+++ b/src/groupwatch/setup.ts
@@ -19,7 +19,7 @@
   return {
     group: group.name,
     targets: group.targets.map((t) => t.name),
-    opener: `${vm}-${drawNonce(random)}`,
+    promoterName: `${vm}-${drawNonce(random)}`,
     timings: timings ?? defaultTimings,
     safeguards: safeguards ?? allWatchSafeguards,
   };
--- a/src/groupwatch/view.ts
+++ b/src/groupwatch/view.ts
@@ -12,7 +12,7 @@
   for (const name of state.options.targets) {
     const health = state.targets[name];
     if (health?.view !== undefined) {
-      targets[name] = { ...health.view, missedProbes: health.missed };
+      targets[name] = { ...health.view, missedProbes: health.missedAnswers };
     }
   }
   const group = state.options.group;
--- a/test/failover/age.test.ts
+++ b/test/failover/age.test.ts
@@ -1,11 +1,15 @@
 import { expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { Scene } from "./scene.js";
+import { FailoverScenario } from "./scenario.js";
 
 const replicas = (primary: string) => ["t1", "t2", "t3"].filter((t) => t !== primary);
 
 /** How old a target's data is: since when the first record that it lacks has been committed. */
-function findTrueAge(scene: Scene, commits: ReadonlyMap<number, number>, name: string): number {
+function findTrueAge(
+  scene: FailoverScenario,
+  commits: ReadonlyMap<number, number>,
+  name: string,
+): number {
   const missing = commits.get(scene.group.get(name).log.length + 1);
   return missing === undefined ? 0 : scene.clock.now() - missing;
 }
@@ -20,8 +24,8 @@
     { minLength: 5, maxLength: 30 },
   );
   const check = fc.asyncProperty(steps, async (run) => {
-    const scene = new Scene();
-    const primary = await scene.settle();
+    const scene = new FailoverScenario();
+    const primary = await scene.waitUntilSteady();
     const commits = new Map<number, number>();
     for (const [i, { waitMs, lagMs }] of run.entries()) {
       for (const name of replicas(primary)) scene.group.get(name).lagMs = lagMs;
@@ -40,8 +44,8 @@
 });
 
 test("an idle group's replicas are known to be young", async () => {
-  const scene = new Scene();
-  const [name = ""] = replicas(await scene.settle());
+  const scene = new FailoverScenario();
+  const [name = ""] = replicas(await scene.waitUntilSteady());
   await scene.clock.advance(3000);
   expect(scene.fleet.watch("v1").findAge(name, scene.clock.now())).toBeLessThan(500);
   await scene.end();
@@ -50,8 +54,8 @@
 // A reader on the minority side would otherwise get data that the new primary has long replaced:
 // the old primary is still there, and shows an end of the log that is no longer the group's.
 test("ages grow at an observer that is parted from the majority", async () => {
-  const scene = new Scene();
-  const primary = await scene.settle();
+  const scene = new FailoverScenario();
+  const primary = await scene.waitUntilSteady();
   await scene.clock.advance(1000);
   scene.fleet.setPartition("v1", primary, true);
   await scene.clock.advance(3000);
--- a/test/failover/safeguards.test.ts
+++ b/test/failover/safeguards.test.ts
@@ -3,7 +3,7 @@
 import { allAcknowledgeSafeguards } from "../../src/controller/acknowledge/index.js";
 import { allFailoverSafeguards } from "../../src/controller/failover/index.js";
 import { openTerm } from "../../src/model/index.js";
-import { longMs, Scene } from "./scene.js";
+import { maxFailoverMs, FailoverScenario } from "./scenario.js";
 
 const safeguards = { ...allFailoverSafeguards, ...allAcknowledgeSafeguards };
 
@@ -11,8 +11,8 @@
 // the rest, which elects another primary; the owner's last answers of the others, asked for before
 // the commit, say that they are not fenced.
 test.each([true, false])("a primary on the minority side, freshness %s", async (freshness) => {
-  const scene = new Scene({ safeguards: { ...safeguards, freshness } });
-  const old = await scene.settle();
+  const scene = new FailoverScenario({ safeguards: { ...safeguards, freshness } });
+  const old = await scene.waitUntilSteady();
   await scene.findPrimary("v2");
   scene.fleet.setPartition("v1", old, true);
   await scene.findPrimary("v2", old);
@@ -24,11 +24,11 @@
 // Two targets acknowledge in one term. The choice is promoted and only its answer is lost; a
 // promoter that takes the next best of the old answers promotes a second target in the same term.
 test.each([true, false])("a choice that seems dead, fencing anew %s", async (fenceAnew) => {
-  const scene = new Scene({ safeguards: { ...safeguards, fenceAnew } });
-  const old = await scene.settle();
+  const scene = new FailoverScenario({ safeguards: { ...safeguards, refenceMajority: fenceAnew } });
+  const old = await scene.waitUntilSteady();
   scene.group.setState(old, "dead");
   scene.group.onPromotion = (_, { name }) => scene.group.setFault("v1", name, "answersLost");
-  await scene.clock.advance(longMs);
+  await scene.clock.advance(maxFailoverMs);
   expect(scene.fleet.violations.length > 0).toBe(!fenceAnew);
   await scene.fleet.dispose();
 });
@@ -38,11 +38,11 @@
 test.each([true, false])(
   "the lagging replica answers first, majority %s",
   async (fenceMajority) => {
-    const scene = new Scene({ safeguards: { ...safeguards, fenceMajority } });
-    const old = await scene.settle();
+    const scene = new FailoverScenario({ safeguards: { ...safeguards, fenceMajority } });
+    const old = await scene.waitUntilSteady();
     const [fast = "", lagging = ""] = ["t1", "t2", "t3"].filter((t) => t !== old);
-    await scene.clock.advance(longMs);
-    scene.group.get(lagging).lagMs = longMs;
+    await scene.clock.advance(maxFailoverMs);
+    scene.group.get(lagging).lagMs = maxFailoverMs;
     expect(await scene.write()).toBe("acknowledged");
     scene.group.setSlow("v1", fast, 40);
     scene.group.setState(old, "dead");
--- a/test/failover/scene.ts
+++ b/test/failover/scenario.ts
@@ -3,10 +3,10 @@
 import { VirtualClock } from "../../bench/failover/virtualclock.js";
 
 /** Longer than any failover that can succeed. */
-export const longMs = 5000;
+export const maxFailoverMs = 5000;
 
 /** A fleet on a virtual clock. */
-export class Scene {
+export class FailoverScenario {
   readonly clock = new VirtualClock();
   readonly fleet: FakeFleet;
   private written = 0;
@@ -25,7 +25,7 @@
 
   /** Lets time pass until a VM knows a primary other than `not`. */
   async findPrimary(vm = "v1", not?: string): Promise<string> {
-    await this.clock.advance(longMs, () => {
+    await this.clock.advance(maxFailoverMs, () => {
       const primary = this.primary(vm);
       return primary !== undefined && primary !== not;
     });
@@ -41,12 +41,12 @@
     this.written += 1;
     const writing = this.fleet.write(vm, `w${this.written}`, mode, timeoutMs);
     void writing.then((value) => (answer.value = value));
-    await this.clock.advance(longMs, () => answer.value !== undefined);
+    await this.clock.advance(maxFailoverMs, () => answer.value !== undefined);
     return answer.value;
   }
 
   /** A group whose first primary has been found and whose replicas follow it. */
-  async settle(): Promise<string> {
+  async waitUntilSteady(): Promise<string> {
     const primary = await this.findPrimary();
     expect(await this.write()).toBe("acknowledged");
     return primary;
--- a/test/fleet/editor.test.ts
+++ b/test/fleet/editor.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { decodeStored, rememberedChanges } from "../../src/controller/configuration/index.js";
+import { decodeStored, maxStoredChangeIds } from "../../src/controller/configuration/index.js";
 import { ConfigurationEditor, configurationKind } from "../../src/fleet/index.js";
 import type { Configuration, Json } from "../../src/model/index.js";
 import { draft, refuse, team } from "./builders.js";
@@ -92,8 +92,8 @@
   const { editor, clock } = makeEditor(store);
   const result = editor.apply({ changeId: "x", draft: draft([team("a")]) }, 0);
   await clock.advance(0);
-  const revision = 1 + rememberedChanges;
-  const changes = Array.from({ length: rememberedChanges }, (_, i) => `c${i}`);
+  const revision = 1 + maxStoredChangeIds;
+  const changes = Array.from({ length: maxStoredChangeIds }, (_, i) => `c${i}`);
   const value: Json = { revision, changeId: "c0", changes, teams: [], rules: [] };
   await store.put(configurationKind, "current", value, 1);
   expect(await finish(result, [clock])).toMatchObject({ type: "uncertain" });
--- a/test/fleet/membership.test.ts
+++ b/test/fleet/membership.test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import {
   applyMembershipEvent,
-  buildRing,
+  buildProbeOrder,
   createMembershipState,
   type MembershipEvent,
 } from "../../src/controller/membership/index.js";
@@ -48,7 +48,7 @@
   const rings = vms.map((self) => {
     const state = createMembershipState(self, "1.0", 0);
     const applied = applyMembershipEvent(state, { type: "listed", now: 0, vms });
-    return buildRing(applied.type === "applied" ? applied.state : state);
+    return buildProbeOrder(applied.type === "applied" ? applied.state : state);
   });
   const probed = rings
     .flat()
@@ -83,9 +83,9 @@
     return applied.type === "applied" ? applied.effects : [];
   };
   apply({ type: "listed", now: 0, vms: names.map((n) => makeVm(n)) });
-  apply({ type: "silent", now: 900, vm: "b", epoch: 0, indirect: true });
+  apply({ type: "silent", now: 900, vm: "b", epoch: 0, isIndirect: true });
   expect(state.members.get("b")?.status).toBe("suspect");
-  const [first] = apply({ type: "silent", now: 60_000, vm: "c", epoch: 0, indirect: true });
+  const [first] = apply({ type: "silent", now: 60_000, vm: "c", epoch: 0, isIndirect: true });
   expect(first).toEqual({ type: "paused", forMs: 59_100 });
   expect(state.members.get("c")?.status).toBe("alive");
   apply({ type: "tick", now: 60_010 });
