--- a/src/controller/failover/answer.ts
+++ b/src/controller/failover/answer.ts
@@ -24,24 +24,24 @@
 
 type AnsweredEvent = Extract<FailoverEvent, { type: "answered" }>;
 
-/** Takes in what a target says of itself. */
+/** Applies a target's status answer. */
 export function applyAnswer(state: FailoverState, event: AnsweredEvent): Step {
   const next = recordStatus(state, event);
   const status = getTargetHealth(next, event.status.target).view?.status ?? event.status;
   if (isLeading(status) && !isSuperseded(next, status.mark.term)) {
-    if (hasRivalPrimary(next, status)) return replaceRivalPrimaries(next, event);
+    if (hasRivalPrimary(next, status)) return resolveRivalPrimaries(next, event);
     return acceptLeader(next, { primary: status.target, term: status.mark.term }, event.at);
   }
   const leadership = findLeadership(next);
   if (leadership === undefined) return continueSearch(next, event);
-  const isDeposed = leadership.primary === status.target && !isLeading(status);
-  if (isDeposed || isSuperseded(next, leadership.term)) {
+  const hasLostRole = leadership.primary === status.target && !isLeading(status);
+  if (hasLostRole || isSuperseded(next, leadership.term)) {
     return beginBackoff(next, `${leadership.primary} was superseded`, event.at, event.draw);
   }
   return next.phase.type === "steady" ? maintainSteady(next, leadership, event.at) : succeed(next);
 }
 
-/** Keeps a status, unless a newer one is known already. */
+/** Records a status unless a newer one is already known, and resets the missed answers. */
 export function recordStatus(
   state: FailoverState,
   event: Omit<AnsweredEvent, "type">,
@@ -59,9 +59,10 @@
 }
 
 /**
- * Answers of two connections can arrive in the wrong order. Fences only grow; at one fence a log
- * shrinks only when the target is told to follow, so a lesser log is old where it was asked for
- * earlier. An old status taken for a new one would revive a primary that was fenced.
+ * Whether a status is older than the known one. Answers on two connections can arrive out of order.
+ * Fences only grow. At one fence a log is truncated only when the target is asked to follow, so the
+ * shorter log is the older one if it was requested earlier. Taking an old status for a new one
+ * would restore a primary that has been fenced.
  */
 function isOlderThanKnown(
   event: Pick<AnsweredEvent, "status" | "askedAt">,
@@ -72,7 +73,7 @@
   return event.askedAt < known.askedAt && orderMarks(event.status.mark, known.status.mark) < 0;
 }
 
-/** A target leads, and no majority is known to be fenced past it. */
+/** Handles a target that is primary in a term that no majority is known to be fenced past. */
 function acceptLeader(state: FailoverState, found: Leadership, at: number): Step {
   const { phase } = state;
   switch (phase.type) {
@@ -92,14 +93,16 @@
   }
 }
 
-/** Two targets lead one term: an election leaves one of them, with the longer log. */
-function replaceRivalPrimaries(state: FailoverState, { at, draw }: AnsweredEvent): Step {
+/**
+ * Backs off when two targets are primary in one term. The election that follows keeps one of them.
+ */
+function resolveRivalPrimaries(state: FailoverState, { at, draw }: AnsweredEvent): Step {
   switch (state.phase.type) {
     case "searching":
     case "steady":
     case "suspecting":
     case "cutOff":
-      return beginBackoff(state, "two targets lead one term", at, draw);
+      return beginBackoff(state, "two targets are primary in one term", at, draw);
     case "waiting":
     case "fencing":
     case "promoting":
@@ -107,7 +110,7 @@
   }
 }
 
-/** The suspect itself has answered, or a newer primary has. */
+/** Ends a suspicion when the suspect or a newer primary answers. */
 function clearSuspicion(
   state: FailoverState,
   suspected: Suspect,
@@ -126,25 +129,28 @@
   ]);
 }
 
-/** What is due with a steady primary after any answer: replicas astray, a switch that can be made. */
+/** Starts a planned switch that has become possible, or redirects replicas, after any answer. */
 function maintainSteady(state: FailoverState, leadership: Leadership, at: number): Step {
   if (state.plannedSwitch?.target === leadership.primary) {
-    const equal = findCaughtUpReplica(state, leadership.primary);
-    if (equal !== undefined) return beginElection(state, "plannedSwitch", at);
+    const replica = findCaughtUpReplica(state, leadership.primary);
+    if (replica !== undefined) return beginElection(state, "plannedSwitch", at);
   }
   return redirectReplicas(state, leadership, at);
 }
 
 /**
- * With every target heard and none leading there is nothing left to wait for. A target that was
- * suspected at the start to be the primary, and answers that it is not, leaves the others to check.
+ * Continues the search for a primary. Once every target has answered and none is primary, it backs
+ * off for an election. If the suspected primary answers that it is a replica, the remaining silent
+ * targets are checked.
  */
 function continueSearch(state: FailoverState, { at, draw, status }: AnsweredEvent): Step {
   const { phase } = state;
   const isSuspect =
     (phase.type === "suspecting" || phase.type === "cutOff") && phase.primary === status.target;
   if (isSuspect) return endSearch(state, at, draw);
-  const isKnown = state.options.targets.every((target) => isResponsive(state, target));
-  if (phase.type !== "searching" || !isKnown) return succeed(state);
-  return beginBackoff(state, "no target leads", at, draw);
+  const isEveryTargetResponsive = state.options.targets.every((target) =>
+    isResponsive(state, target),
+  );
+  if (phase.type !== "searching" || !isEveryTargetResponsive) return succeed(state);
+  return beginBackoff(state, "no target is primary", at, draw);
 }
--- a/src/controller/failover/detect.ts
+++ b/src/controller/failover/detect.ts
@@ -15,9 +15,9 @@
 type Suspecting = Extract<FailoverPhase, { type: "suspecting" }>;
 
 /**
- * Checks a silent primary on a new connection and through other VMs, at the same time. A connection
- * can go silent for good while new ones work, and this VM may be the one that is cut off: without
- * the checks each would cost the group a needless change of primary.
+ * Checks a silent primary on a new connection and through other VMs, in parallel. A connection can
+ * hang while new ones work, and this VM may itself be cut off. Without the checks, either case
+ * would cause an unnecessary failover.
  */
 export function beginSuspicion(
   state: FailoverState,
@@ -48,12 +48,12 @@
   return succeed(withPhase(state, phase), [note, ...checks]);
 }
 
-/** The new connection brought no answer. */
+/** Records that the probe on a new connection failed. */
 export function recordMissedProbe(state: FailoverState, phase: Suspecting, at: number): Step {
   return evaluateSuspicion(state, { ...phase, hasProbeFailed: true }, at);
 }
 
-/** Other VMs have answered. */
+/** Records what other VMs report on the suspected primary. */
 export function recordPeerFinding(
   state: FailoverState,
   phase: Suspecting,
@@ -63,7 +63,7 @@
   return evaluateSuspicion(state, { ...phase, peerFinding }, at);
 }
 
-/** The checks took too long, as after a pause of this process: they count as failed. */
+/** Counts checks without a result as failed once their time is over, as after a process pause. */
 export function expireSuspicion(state: FailoverState, phase: Suspecting, at: number): Step {
   return evaluateSuspicion(
     state,
@@ -75,9 +75,10 @@
 function evaluateSuspicion(state: FailoverState, phase: Suspecting, at: number): Step {
   const next = withPhase(state, phase);
   if (!phase.hasProbeFailed || phase.peerFinding === undefined) return succeed(next);
-  if (phase.peerFinding === "reached") return beginCutOff(next, phase, "other VMs reach it", at);
+  if (phase.peerFinding === "reached")
+    return beginCutOff(next, phase, "other VMs can reach it", at);
   if (!hasResponsiveMajority(next, phase.primary)) {
-    return beginCutOff(next, phase, "no majority of targets answers here", at);
+    return beginCutOff(next, phase, "no majority of targets answers this VM", at);
   }
   if (phase.peerFinding === "silent" && phase.probeRound < probeRoundsWithoutPeers) {
     const again = { probeRound: phase.probeRound + 1, wasCutOff: phase.wasCutOff };
--- a/src/controller/failover/elect.ts
+++ b/src/controller/failover/elect.ts
@@ -21,7 +21,7 @@
 type Fencing = Extract<FailoverPhase, { type: "fencing" }>;
 type Promoting = Extract<FailoverPhase, { type: "promoting" }>;
 
-/** Opens a new term and asks every target to be fenced at it, the suspect too. */
+/** Opens a new term and sends a fence request for it to every target, including the suspect. */
 export function beginElection(
   state: FailoverState,
   reason: ElectionReason,
@@ -48,7 +48,7 @@
   ]);
 }
 
-/** Takes the answer to a fence of the term under way. */
+/** Records the answer to a fence request of the current election. */
 export function recordFence(
   state: FailoverState,
   phase: Fencing,
@@ -102,7 +102,7 @@
     : succeed(next);
 }
 
-/** The time for fences is over: goes on with a majority, or waits. */
+/** Ends the fencing at its timeout: promotes if a majority is fenced, otherwise backs off. */
 export function expireFencing(
   state: FailoverState,
   phase: Fencing,
@@ -112,12 +112,13 @@
   if (phase.fenced.length >= getMajoritySize(state)) {
     return beginPromotion(state, phase, phase.fenced, at);
   }
-  return beginBackoff(state, "no majority was fenced in time", at, draw, phase.suspect);
+  return beginBackoff(state, "no majority was fenced within the timeout", at, draw, phase.suspect);
 }
 
 /**
- * Of targets that hold equally much, one that is not on its way out; then the former primary, to
- * which everybody is connected; then the first by name, so that the choice can be foretold.
+ * Chooses the target with the latest log. Among equals it prefers one that is not `leaving`, then
+ * the former primary, since clients are already connected to it, then the first by name, which
+ * makes the choice deterministic.
  */
 export function chooseCandidate(
   candidates: readonly TargetStatus[],
@@ -167,7 +168,7 @@
   ]);
 }
 
-/** Takes the answer to the promotion under way. */
+/** Records the answer to the promote request of the current election. */
 export function recordPromotion(
   state: FailoverState,
   phase: Promoting,
@@ -186,10 +187,11 @@
 }
 
 /**
- * A promotion without an answer may have happened, so the same target is asked again in the same
- * term, and after that a majority is fenced anew. Taking the next best of the old answers would
- * leave two primaries in one term, and a log that lacks what only the dead choice held and what was
- * acknowledged since; the new fencing shuts the first choice out and reads the logs as they are now.
+ * Repeats a promotion that had no answer, in the same term and to the same target, since it may
+ * have taken effect. After `maxPromotionAttempts`, a majority is fenced again at a new term.
+ * Promoting the next candidate from the old answers could leave two primaries in one term, and a
+ * log that lacks records that only the first candidate has and that were acknowledged since. The
+ * new fence excludes the first candidate and reads the current logs.
  */
 export function retryPromotion(state: FailoverState, phase: Promoting, at: number): Step {
   if (phase.attempts < maxPromotionAttempts) return requestPromotion(state, phase, at, []);
@@ -198,7 +200,10 @@
   return beginElection(state, "choiceFailed", at, phase.candidate.target);
 }
 
-/** Waits with jitter, so that rivals do not meet again; each failure in a row doubles the wait. */
+/**
+ * Backs off before the next election. The jitter keeps rivals from colliding again, and each
+ * consecutive failure doubles the delay.
+ */
 export function beginBackoff(
   state: FailoverState,
   why: string,
@@ -218,7 +223,7 @@
   return succeed(next, [{ type: "note", note: { type: "backedOff", why, waitMs } }]);
 }
 
-/** The wait is over: elects when a majority answers, else waits again. */
+/** Ends a backoff: holds an election if a majority is responsive, otherwise backs off again. */
 export function endBackoff(
   state: FailoverState,
   phase: Extract<FailoverPhase, { type: "waiting" }>,
@@ -236,7 +241,7 @@
   return { type: "control", request, timeoutMs: state.options.timings.controlTimeoutMs };
 }
 
-/** Whether an answer belongs to the election under way. */
+/** Whether a request belongs to the current election. */
 export function isCurrentElection(phase: Fencing | Promoting, request: ControlRequest): boolean {
   return compareTerms(phase.term, request.term) === 0;
 }
--- a/src/controller/failover/event.ts
+++ b/src/controller/failover/event.ts
@@ -1,6 +1,6 @@
 import type { ControlResult, TargetStatus, Term } from "../../model/index.js";
 
-/** A request that changes a target. */
+/** A request that changes a target's role or term. */
 export type ControlRequest =
   | { readonly type: "fence"; readonly target: string; readonly term: Term }
   | { readonly type: "promote"; readonly target: string; readonly term: Term }
@@ -11,17 +11,17 @@
       readonly term: Term;
     };
 
-/** What other VMs found of a target: one reached it, some did not, or none could be asked. */
+/** What other VMs report on a target: one reached it, none of them did, or no VM answered. */
 export type PeerFinding = "reached" | "unreached" | "silent";
 
 interface EventContext {
-  /** On the clock of this process. */
+  /** When the event happened, in milliseconds on the clock of this process. */
   readonly at: number;
-  /** A number of [0, 1) for jitter. */
+  /** A random number in [0, 1) for jitter. */
   readonly draw: number;
 }
 
-/** What a failover controller hears. */
+/** An input of the failover controller. */
 export type FailoverEvent = EventContext &
   (
     | { readonly type: "ticked" }
@@ -29,28 +29,30 @@
         readonly type: "answered";
         readonly askedAt: number;
         readonly status: TargetStatus;
-        /** How much later than agreed the answer came, where that can be told. */
+        /** How much later than agreed the answer came. Absent when that is unknown. */
         readonly latenessMs?: number;
       }
+    /** A status request had no answer. `isFresh` when it was sent on a new connection. */
     | { readonly type: "missed"; readonly target: string; readonly isFresh: boolean }
-    /** Somebody's connection to the target broke. */
+    /** Another connection to the target broke, which suggests that the target failed. */
     | { readonly type: "hinted"; readonly target: string }
     | { readonly type: "peersAnswered"; readonly target: string; readonly finding: PeerFinding }
+    /** A control request ended. */
     | {
         readonly type: "controlled";
         readonly request: ControlRequest;
         readonly askedAt: number;
         readonly result: ControlResult;
       }
-    /** The target is to lose its primary role as soon as a replica holds all it has. */
+    /** The target gives up its primary role as soon as a replica has its whole log. */
     | { readonly type: "switchAsked"; readonly target: string }
   );
 
-/** Why a primary is elected. */
+/** Why an election is held. */
 export type ElectionReason =
   "primaryFailed" | "noPrimary" | "choiceFailed" | "strayFence" | "plannedSwitch";
 
-/** What an operator should be able to read afterwards. */
+/** A milestone of a failover. It goes into the log under its own field names. */
 export type FailoverNote =
   | { readonly type: "suspected"; readonly target: string; readonly why: string }
   | { readonly type: "cleared"; readonly target: string }
@@ -60,13 +62,13 @@
   | { readonly type: "led"; readonly term: Term; readonly target: string }
   | { readonly type: "backedOff"; readonly why: string; readonly waitMs: number };
 
-/** What is to be done outside. */
+/** An action that the caller carries out. */
 export type FailoverEffect =
-  /** A status request on a new connection. */
+  /** Sends a status request on a new connection. */
   | { readonly type: "probe"; readonly target: string; readonly timeoutMs: number }
-  /** Two other VMs are asked for the same. */
+  /** Asks other VMs to check the target in the same way. */
   | { readonly type: "askPeers"; readonly target: string; readonly timeoutMs: number }
   | { readonly type: "control"; readonly request: ControlRequest; readonly timeoutMs: number }
-  /** The connection that status answers come on is given up for a new one. */
+  /** Replaces the connection that carries the target's status answers. */
   | { readonly type: "renew"; readonly target: string }
   | { readonly type: "note"; readonly note: FailoverNote };
--- a/src/controller/failover/leader.ts
+++ b/src/controller/failover/leader.ts
@@ -1,14 +1,14 @@
 import { compareTerms, type TargetStatus, type Term } from "../../model/index.js";
 import { type FailoverState, getTargetHealth, getMajoritySize, type Leadership } from "./state.js";
 
-/** Whether a target says that it is primary and stands fenced no further than its own term. */
+/** Whether a target reports that it is primary and is not fenced past the term of its log. */
 export function isLeading(status: TargetStatus): boolean {
   return status.role === "primary" && compareTerms(status.fencedAt, status.mark.term) === 0;
 }
 
 /**
- * Whether so many targets are known to be fenced past a term that its primary finds no majority any
- * more. Knowledge may be old, yet fences only grow: who was past the term still is.
+ * Whether enough targets are known to be fenced past a term that its primary can't get a majority
+ * any more. Old statuses suffice, since fences only grow: a target that was past the term still is.
  */
 export function isSuperseded(state: FailoverState, term: Term): boolean {
   const past = state.options.targets.filter((t) => isFencedPast(state, t, term));
@@ -16,8 +16,9 @@
 }
 
 /**
- * Whether another target is known to lead the same term. Terms that a promoter opened have one
- * primary; of the first term that is only so where the group was set up with one.
+ * Whether another target is known to be primary of the same term. A term that a promoter opened has
+ * one primary. The first term can have several if the group was set up without a designated
+ * primary.
  */
 export function hasRivalPrimary(state: FailoverState, status: TargetStatus): boolean {
   return state.options.targets.some((target) => {
@@ -27,30 +28,30 @@
   });
 }
 
-/** Whether a target is known to be fenced past a term. */
+/** Whether a target is known to be fenced at a term later than `term`. */
 export function isFencedPast(state: FailoverState, target: string, term: Term): boolean {
   const status = getTargetHealth(state, target).view?.status;
   return status !== undefined && compareTerms(status.fencedAt, term) > 0;
 }
 
-/** Whether a target answered when it was last asked. */
+/** Whether a target has answered and has missed no status request since. */
 export function isResponsive(state: FailoverState, target: string): boolean {
   const health = getTargetHealth(state, target);
   return health.view !== undefined && health.missedAnswers === 0;
 }
 
-/** Whether targets enough for a majority answer this observer, the suspect not counted. */
+/** Whether a majority of the group is responsive here, not counting the suspect. */
 export function hasResponsiveMajority(state: FailoverState, suspect?: string): boolean {
   const heard = state.options.targets.filter((t) => t !== suspect && isResponsive(state, t));
   return heard.length >= getMajoritySize(state);
 }
 
-/** Whether this observer has lost the primary and has no standing to replace it. */
+/** Whether this observer can't reach the primary and may not replace it either. */
 export function isCutOff({ phase }: FailoverState): boolean {
   return phase.type === "cutOff" || (phase.type === "suspecting" && phase.wasCutOff);
 }
 
-/** The primary that the phase believes in, if it does in one. */
+/** The primary that the current phase assumes; `undefined` when no primary is known. */
 export function findLeadership({ phase }: FailoverState): Leadership | undefined {
   switch (phase.type) {
     case "steady":
@@ -65,7 +66,7 @@
   }
 }
 
-/** A replica other than `target` that holds all that `target` has. */
+/** Finds a responsive target other than `target` whose log ends at the same mark. */
 export function findCaughtUpReplica(state: FailoverState, target: string): string | undefined {
   const mark = getTargetHealth(state, target).view?.status.mark;
   if (mark === undefined) return undefined;
--- a/src/controller/failover/options.ts
+++ b/src/controller/failover/options.ts
@@ -1,47 +1,48 @@
-/** Times of the failover controller, in milliseconds. */
+/** Intervals and timeouts of the failover controller, in milliseconds. */
 export interface FailoverTimings {
-  /** The primary answers a waiting status request at least this often. */
+  /** The longest that the primary holds back the answer to a pending status request. */
   readonly heartbeatMs: number;
-  /** The same for replicas, whose silence delays nobody's writes. */
+  /** The same for replicas. It may be longer, since a silent replica delays no write. */
   readonly replicaHeartbeatMs: number;
-  /** The least time that an answer may be late before the primary is suspected. */
+  /** The lower bound of how late an answer may be before the primary is suspected. */
   readonly minLatenessToleranceMs: number;
-  /** The most that a target's own slowness can raise the allowance to. */
+  /** The upper bound of the tolerance, however slow the target has been. */
   readonly maxLatenessToleranceMs: number;
-  /** For a suspected primary to answer on a new connection. */
+  /** The timeout of a status request to a suspected primary on a new connection. */
   readonly confirmMs: number;
-  /** What a check through another VM takes beyond the check itself. */
+  /** Extra time for a check through another VM, beyond the timeout of the check itself. */
   readonly peerOverheadMs: number;
-  /** For one fence or promotion. */
+  /** The timeout of one fence, promote or follow request. */
   readonly controlTimeoutMs: number;
-  /** For the targets beyond a majority to answer a fence. */
+  /** How long to wait for further fence answers once a majority is fenced. */
   readonly extraFenceWaitMs: number;
-  /** For targets to be heard at the start, before one that is not is checked. */
+  /** How long to wait for first answers after the start before a silent target is checked. */
   readonly searchTimeoutMs: number;
-  /** The first wait after an election that failed; doubles up to `maxBackoffMs`, with jitter. */
+  /** The backoff after a first failed election. It doubles up to `maxBackoffMs`, with jitter. */
   readonly initialBackoffMs: number;
   readonly maxBackoffMs: number;
-  /** How long a target may stand fenced past the term of a primary that others follow. */
+  /** How long a target may stay fenced at a term above the current primary's before an election. */
   readonly strayFenceGraceMs: number;
-  /** Between two tries of an observer that has no standing to fence. */
+  /** The pause between two checks by an observer that may not fence the primary. */
   readonly cutOffRetryMs: number;
-  /** Between two requests to the same target to follow. */
+  /** The shortest time between two follow requests to one target. */
   readonly followRetryMs: number;
-  /** For a replica to catch up in a planned switch. */
+  /** How long a planned switch waits for a replica to catch up. */
   readonly switchTimeoutMs: number;
 }
 
-/** How often a primary answers while nothing changes, where settings say nothing else. */
+/** The heartbeat in use unless timings are given. */
 export const defaultHeartbeatMs = 100;
 
-/** What an answer takes at worst on a target that is well: a stall of its disk or its processor. */
+/** The longest answer time of a healthy target during a stall of its disk or processor. */
 const toleratedStallMs = 100;
 const confirmMs = 1.5 * toleratedStallMs;
 const controlTimeoutMs = 500;
 
 /**
- * Times that fit a heartbeat. The heartbeat rules what watching costs and, with the stall that is
- * borne, how fast a silent primary is found; docs/design/failover.md has the measurements.
+ * Derives all times from the heartbeat. The heartbeat determines the cost of monitoring and,
+ * together with the tolerated stall, how fast a silent primary is detected. See
+ * docs/design/failover.md.
  */
 export function createTimings(heartbeatMs: number): FailoverTimings {
   return {
@@ -63,43 +64,46 @@
   };
 }
 
-/** The times in use where settings say nothing else. */
+/** The times in use unless timings are given. */
 export const defaultTimings: FailoverTimings = createTimings(defaultHeartbeatMs);
 
-/** Fresh probes without an answer before an observer that no peer answers acts on its own word. */
+/**
+ * Failed probes on new connections after which an observer without responsive peers holds an
+ * election.
+ */
 export const probeRoundsWithoutPeers = 3;
 
-/** How often a promotion whose answer is lost is asked again, before a new fencing. */
+/** Promote requests sent to one candidate without an answer before a majority is fenced again. */
 export const maxPromotionAttempts = 2;
 
-/** How a target's slowness fades with each answer in time. */
+/** Factor by which a target's recorded lateness shrinks with each answer. */
 export const latenessDecay = 0.9;
 
-/** How many times its recent slowness a target is allowed. */
+/** The tolerance is this multiple of a target's recorded lateness. */
 export const latenessToleranceFactor = 4;
 
-/** Rules that safety rests on. Only tests take one out, to show that it is needed. */
+/** Rules that safety depends on. Only tests disable one, to show that it is needed. */
 export interface FailoverSafeguards {
-  /** A choice is made among a majority fenced at the promoter's term. */
+  /** A candidate is chosen only once a majority is fenced at the promoter's term. */
   readonly fenceMajority: boolean;
-  /** A promoter whose choice died fences a majority anew, at a new term. */
+  /** A promoter whose candidate does not answer fences a majority again, at a new term. */
   readonly refenceMajority: boolean;
 }
 
-/** Everything on. */
+/** All safeguards enabled. */
 export const allFailoverSafeguards: FailoverSafeguards = {
   fenceMajority: true,
   refenceMajority: true,
 };
 
-/** What a failover controller is made of. */
+/** The fixed parameters of one group's failover controller. */
 export interface FailoverOptions {
   readonly group: string;
   readonly targets: readonly string[];
   /**
-   * The name in the terms that this controller opens. It must differ between two runs on one VM: a
-   * restarted VM that had forgotten its last term could open it again and promote a second target in
-   * it, and two primaries of one term would both acknowledge.
+   * The `vm` of the terms that this controller opens. It must differ between two runs on one VM.
+   * Otherwise a restarted VM, which does not know its last term, could open that term again and
+   * promote a second target in it, and two primaries of one term would both acknowledge writes.
    */
   readonly promoterName: string;
   readonly timings: FailoverTimings;
--- a/src/controller/failover/replicas.ts
+++ b/src/controller/failover/replicas.ts
@@ -10,7 +10,7 @@
   withPhase,
 } from "./state.js";
 
-/** Believes in a primary and tells the others to follow it. */
+/** Adopts a primary and requests all other targets to follow it. */
 export function beginSteady(state: FailoverState, leadership: Leadership, at: number): Step {
   const { primary, term } = leadership;
   const { plannedSwitch, ...rest } = state;
@@ -26,15 +26,16 @@
   return succeed(redirected.state, [note, ...redirected.effects]);
 }
 
-/** Goes on believing in a primary; targets that were told to follow it are not told anew. */
+/** Returns to a primary that was already known. Recent follow requests to it are not repeated. */
 export function resumeSteady(state: FailoverState, leadership: Leadership, at: number): Step {
   const { primary, term } = leadership;
   return redirectReplicas(withPhase(state, { type: "steady", primary, term }), leadership, at);
 }
 
 /**
- * What targets were told holds for one primary. Right after a second change of primary they would
- * else count as told, and the first write would wait for a replica that copies from nobody.
+ * Clears the times of follow requests, which named the previous primary. Otherwise, right after a
+ * second failover, the replicas would not be asked again for `followRetryMs`, and the first write
+ * would wait for a replica that replicates from no primary.
  */
 function resetFollowRequests(state: FailoverState): FailoverState {
   return state.options.targets.reduce(
@@ -43,7 +44,7 @@
   );
 }
 
-/** Tells every reachable target that does not follow the primary in its term to do so. */
+/** Redirects every responsive target that does not follow the primary in its term. */
 export function redirectReplicas(state: FailoverState, leadership: Leadership, at: number): Step {
   let next = state;
   const effects: FailoverEffect[] = [];
@@ -71,9 +72,9 @@
 }
 
 /**
- * An old primary that comes back believing that it leads would go on committing while it prepares to
- * follow, and its callers would wait for confirmations that never come. The fence stops it at once;
- * it is told to follow when it has answered.
+ * Builds the request that redirects a target. An old primary that returns is fenced first: while it
+ * prepares to follow it would go on committing, and its callers would wait for confirmations that
+ * never come. The follow request is sent after the fence is accepted.
  */
 function redirectTarget(
   state: FailoverState,
--- a/src/controller/failover/state.ts
+++ b/src/controller/failover/state.ts
@@ -10,36 +10,37 @@
 import type { ElectionReason, FailoverEffect, PeerFinding } from "./event.js";
 import { type FailoverOptions, latenessToleranceFactor } from "./options.js";
 
-/** A primary that this controller believes in. */
+/** The primary that this controller assumes, with its term. */
 export interface Leadership {
   readonly primary: string;
   readonly term: Term;
 }
 
-/** A silent target; without a term where it is only thought that it may be the primary. */
+/** A silent target. The term is absent when the target is only assumed to be the primary. */
 export interface Suspect {
   readonly primary: string;
   readonly term?: Term;
 }
 
-/** Where a group's failover stands at one VM. */
+/** The phase of a group's failover as seen from one VM. */
 export type FailoverPhase =
-  /** Nothing is known yet. */
+  /** No primary is known yet. */
   | { readonly type: "searching"; readonly until: number }
+  /** A primary is known. `strayFenceSince` is set while a target is fenced past its term. */
   | ({ readonly type: "steady"; readonly strayFenceSince?: number } & Leadership)
-  /** The primary is silent; a new connection and other VMs are tried. */
+  /** The primary is silent and is being checked on a new connection and through other VMs. */
   | ({
       readonly type: "suspecting";
       readonly probeRound: number;
       readonly until: number;
       readonly hasProbeFailed: boolean;
-      /** An earlier check found that this observer has no standing; this one has not ended. */
+      /** The last finished check ended in `cutOff`, and this one has not finished. */
       readonly wasCutOff: boolean;
       readonly peerFinding?: PeerFinding;
     } & Suspect)
-  /** The primary is silent, and this observer has no standing to fence it. */
+  /** The primary is silent here, but the observer seems to be cut off and may not fence it. */
   | ({ readonly type: "cutOff"; readonly until: number } & Suspect)
-  /** After an election that failed, or while a rival's may be under way. */
+  /** Backing off after a failed election or while a rival's election may be in progress. */
   | { readonly type: "waiting"; readonly until: number; readonly suspect?: string }
   | {
       readonly type: "fencing";
@@ -59,30 +60,30 @@
       readonly until: number;
     };
 
-/** What is known of one target. */
+/** What is known about one target. */
 export interface TargetHealth {
   readonly view?: TargetView;
   readonly missedAnswers: number;
-  /** Recent slowness, fading. */
+  /** How late recent answers came; decays with each answer. */
   readonly latenessMs: number;
-  /** When it was last told to follow. */
+  /** When it was last sent a follow request. */
   readonly followRequestedAt: number;
 }
 
-/** The state of one group's failover at one VM. */
+/** The immutable state of one group's failover at one VM. */
 export interface FailoverState {
   readonly options: FailoverOptions;
   readonly phase: FailoverPhase;
   readonly targets: Readonly<Record<string, TargetHealth | undefined>>;
-  /** The highest term seen or opened: the next one opened is higher. */
+  /** The highest term seen or opened. The next term opened is higher. */
   readonly highestTerm: Term;
-  /** Elections in a row that brought no primary. */
+  /** Consecutive elections that ended without a primary. */
   readonly failedElections: number;
-  /** A target that is to lose its role, and until when that is tried. */
+  /** The target whose primary role is to move to another, and until when that is attempted. */
   readonly plannedSwitch?: { readonly target: string; readonly until: number };
 }
 
-/** The result of a step that can't fail. */
+/** The result of a transition that can't fail. */
 export type Step = Extract<Applied<FailoverState, FailoverEffect>, { type: "applied" }>;
 
 const unheardTarget: TargetHealth = {
@@ -91,7 +92,7 @@
   followRequestedAt: -Infinity,
 };
 
-/** The state at the start: no target has been heard. */
+/** Creates the initial state, in which no target has answered. */
 export function createFailoverState(options: FailoverOptions, at: number): FailoverState {
   return {
     options,
@@ -102,12 +103,12 @@
   };
 }
 
-/** What is known of a target; of one never heard, nothing. */
+/** The health of a target, or that of an unknown one when it has never answered. */
 export function getTargetHealth(state: FailoverState, target: string): TargetHealth {
   return state.targets[target] ?? unheardTarget;
 }
 
-/** The state with other knowledge of a target. */
+/** Returns the state with changes to a target's health. */
 export function withTargetHealth(
   state: FailoverState,
   target: string,
@@ -117,29 +118,31 @@
   return { ...state, targets: { ...state.targets, [target]: health } };
 }
 
-/** The state in another phase. */
+/** Returns the state in another phase. */
 export function withPhase(state: FailoverState, phase: FailoverPhase): FailoverState {
   return { ...state, phase };
 }
 
-/** The state with a term taken into account. */
+/** Returns the state with `highestTerm` raised to `term` where that is higher. */
 export function withObservedTerm(state: FailoverState, term: Term): FailoverState {
   return compareTerms(term, state.highestTerm) > 0 ? { ...state, highestTerm: term } : state;
 }
 
-/** A majority of the group's targets. */
+/** The number of targets that form a majority of the group. */
 export function getMajoritySize(state: FailoverState): number {
   return countMajority(state.options.targets.length);
 }
 
-/** How late an answer of the target may be: more for one that has been slow of late. */
+/**
+ * How late the target's answer may be, in milliseconds. It is more when recent answers were late.
+ */
 export function getLatenessTolerance(state: FailoverState, target: string): number {
   const { minLatenessToleranceMs, maxLatenessToleranceMs } = state.options.timings;
   const scaledLatenessMs = latenessToleranceFactor * getTargetHealth(state, target).latenessMs;
   return Math.min(maxLatenessToleranceMs, Math.max(minLatenessToleranceMs, scaledLatenessMs));
 }
 
-/** Until when the primary's next answer is waited for. */
+/** The time after which the primary counts as silent. */
 export function findAnswerDeadline(state: FailoverState, primary: string): number {
   const answeredAt = getTargetHealth(state, primary).view?.answeredAt ?? -Infinity;
   return answeredAt + state.options.timings.heartbeatMs + getLatenessTolerance(state, primary);
--- a/src/controller/failover/step.ts
+++ b/src/controller/failover/step.ts
@@ -14,14 +14,14 @@
 
 type ControlledEvent = Extract<FailoverEvent, { type: "controlled" }>;
 
-/** Applies an event; fails when it speaks of a target that is not in the group. */
+/** Applies an event. Fails when it names a target that is not in the group. */
 export function applyEvent(
   state: FailoverState,
   event: FailoverEvent,
 ): Applied<FailoverState, FailoverEffect> {
   const target = findEventTarget(event);
   if (target !== undefined && !state.options.targets.includes(target)) {
-    return fail(`${target} is not a target of ${state.options.group}`);
+    return fail(`${target} is not a target of group ${state.options.group}`);
   }
   switch (event.type) {
     case "ticked":
@@ -31,7 +31,7 @@
     case "missed":
       return applyMissedAnswer(state, event.target, event.isFresh, event.at);
     case "hinted":
-      return suspectPrimary(state, event.target, "a connection broke", event.at);
+      return suspectPrimary(state, event.target, "a connection to it broke", event.at);
     case "peersAnswered":
       if (!isUnderSuspicion(state, event.target)) return succeed(state);
       return recordPeerFinding(state, state.phase, event.finding, event.at);
@@ -104,7 +104,7 @@
   }
 }
 
-/** An answer to a control request is a status too, and a refusal tells of a term. */
+/** Records the status in an accepted control request, or the term in a refusal. */
 function recordControlResult(state: FailoverState, event: ControlledEvent): FailoverState {
   const { result } = event;
   switch (result.type) {
@@ -117,7 +117,7 @@
   }
 }
 
-/** The old primary stands fenced: now it can follow. */
+/** Sends a fenced old primary the request to follow the current one. */
 function requestFollow(state: FailoverState, { request, at }: ControlledEvent): Step {
   const { phase, options } = state;
   if (phase.type !== "steady" || compareTerms(phase.term, request.term) !== 0)
--- a/src/controller/failover/tick.ts
+++ b/src/controller/failover/tick.ts
@@ -14,7 +14,7 @@
 
 type Steady = Extract<FailoverPhase, { type: "steady" }>;
 
-/** When the state wants to be ticked next. */
+/** The time at which the next `ticked` event is due. */
 export function findWakeAt(state: FailoverState): number {
   const { phase } = state;
   if (phase.type !== "steady") return phase.until;
@@ -23,7 +23,7 @@
   return Math.min(answerDeadline, phase.strayFenceSince + state.options.timings.strayFenceGraceMs);
 }
 
-/** Does what has become due. */
+/** Applies every timeout that is due at `at`. */
 export function applyTick(state: FailoverState, at: number, draw: number): Step {
   const { phase } = state;
   if (phase.type === "steady") return tickSteady(state, phase, at);
@@ -34,7 +34,10 @@
     case "suspecting":
       return expireSuspicion(state, phase, at);
     case "cutOff":
-      return beginSuspicion(state, phase, "still silent", at, { probeRound: 1, wasCutOff: true });
+      return beginSuspicion(state, phase, "still no answer", at, {
+        probeRound: 1,
+        wasCutOff: true,
+      });
     case "waiting":
       return endBackoff(state, phase, at, draw);
     case "fencing":
@@ -46,7 +49,7 @@
 
 function tickSteady(state: FailoverState, phase: Steady, at: number): Step {
   if (at >= findAnswerDeadline(state, phase.primary)) {
-    return beginSuspicion(state, phase, "no answer in time", at);
+    return beginSuspicion(state, phase, "no status answer within the timeout", at);
   }
   const tracked = trackStrayFence(state, phase, at);
   if (tracked.phase.type === "steady" && isStrayFenceDue(tracked, tracked.phase, at)) {
@@ -56,9 +59,10 @@
 }
 
 /**
- * A promoter that died after it had fenced a minority leaves a target that copies from nobody, and
- * one further failure would then stop the group. The fence can't be taken back, so after a while in
- * which a living rival would have come forward, a new term takes the target in again.
+ * Tracks since when a target has been fenced past the current term. A promoter that fails after it
+ * has fenced a minority leaves a target that replicates from no primary, and one further failure
+ * would stop the group. A fence can't be undone. After a grace period, in which a live rival would
+ * have completed its election, a new term lets the target rejoin.
  */
 function trackStrayFence(state: FailoverState, phase: Steady, at: number): FailoverState {
   const { primary, term, strayFenceSince } = phase;
@@ -80,13 +84,13 @@
   );
 }
 
-/** Some targets were not heard at the start: the likeliest primary among them is checked first. */
+/** Checks the likeliest primary among the targets that have not answered since the start. */
 export function endSearch(state: FailoverState, at: number, draw: number): Step {
   const { targets } = state.options;
   const silent = targets.filter((t) => !isResponsive(state, t));
   const statuses = targets.flatMap((t) => getTargetHealth(state, t).view?.status ?? []);
   const follower = statuses.find((s) => s.follows !== undefined && silent.includes(s.follows));
   const suspect = follower?.follows ?? silent[0];
-  if (suspect === undefined) return beginBackoff(state, "no target leads", at, draw);
-  return beginSuspicion(state, { primary: suspect }, "not heard at the start", at);
+  if (suspect === undefined) return beginBackoff(state, "no target is primary", at, draw);
+  return beginSuspicion(state, { primary: suspect }, "no answer since the start", at);
 }
