--- a/src/controller/membership/incarnation.ts
+++ b/src/controller/membership/incarnation.ts
@@ -1,15 +1,18 @@
-/** Opens the incarnation of a run that started at `startedAt`, in milliseconds of the VM's clock. */
+/**
+ * Creates the first incarnation of a run that started at `startedAt`, in milliseconds of the VM's
+ * clock.
+ */
 export function openIncarnation(startedAt: number): string {
   return `${startedAt}.0`;
 }
 
-/** The next incarnation of the same run, which refutes a suspicion of this one. */
+/** Returns the next incarnation of the same run, which refutes suspicions of the given one. */
 export function refuteIncarnation(incarnation: string): string {
   const [startedAt, refutations] = parseIncarnation(incarnation);
   return `${startedAt}.${refutations + 1}`;
 }
 
-/** Orders incarnations of one VM: the later run, then the later refutation is the greater. */
+/** Compares incarnations of one VM by the start of the run, then by the number of refutations. */
 export function compareIncarnations(a: string, b: string): number {
   const [startA, refutedA] = parseIncarnation(a);
   const [startB, refutedB] = parseIncarnation(b);
--- a/src/controller/membership/list.ts
+++ b/src/controller/membership/list.ts
@@ -4,9 +4,9 @@
 import type { MembershipOptions } from "./options.js";
 
 /**
- * Takes the platform's list over. It lags, so it only adds VMs, and marks one as leaving when its
- * word on it has changed: a VM replaced under the same name would else be taken for leaving until
- * the list catches up. Nobody is dropped for being missing from it.
+ * Applies the platform's list of VMs. The list lags, so it adds VMs but removes none that is
+ * believed live. A VM is marked as leaving only when its listed state changes to that. Otherwise a
+ * VM that was replaced under the same name would count as leaving until the list catches up.
  */
 export function applyList(
   transition: Transition,
@@ -23,7 +23,7 @@
   return removeUnlisted(recordListing(marked, listed), now, options);
 }
 
-/** Adds many at once: at a start the list brings thousands. */
+/** Adds all new VMs in one copy of the map: the first list can contain thousands. */
 function addListed({ state, effects }: Transition, vms: readonly Vm[], now: number): Transition {
   const added = vms.filter(({ name }) => !state.members.has(name));
   const members = new Map(state.members);
--- a/src/controller/membership/member.ts
+++ b/src/controller/membership/member.ts
@@ -3,12 +3,13 @@
 import { queueNews } from "./news.js";
 import type { Member, MembershipEffect, MembershipState, MemberStatus } from "./state.js";
 
-/** A state on its way through one step, with the effects so far. */
+/** An intermediate state within one step, with the effects collected so far. */
 export interface Transition {
   readonly state: MembershipState;
   readonly effects: readonly MembershipEffect[];
 }
 
+/** Of two statuses for one incarnation, the one with the greater number wins. */
 const statusPrecedence: Readonly<Record<MemberStatus, number>> = {
   alive: 0,
   suspect: 1,
@@ -16,12 +17,12 @@
   down: 3,
 };
 
-/** Takes news of another VM over when it is newer than what is known. */
+/** Applies news about another VM if it is newer than what is known. */
 export function applyNews(transition: Transition, news: VmNews, now: number): Transition {
   const { vm, incarnation, state: status } = news;
   const known = transition.state.members.get(vm.name);
   if (known === undefined) {
-    // A VM that others took for down need not be learnt of.
+    // An unknown VM that is down need not be added.
     if (status === "down") return transition;
     return setMember(transition, { vm, incarnation, status, statusSince: now });
   }
@@ -33,7 +34,7 @@
     : transition;
 }
 
-/** Gives a member another status and tells others. */
+/** Changes a member's status and queues the news for other VMs. */
 export function changeMember(
   transition: Transition,
   member: Member,
@@ -45,7 +46,7 @@
   return setMember(transition, { ...member, status, statusSince });
 }
 
-/** Forgets a VM. */
+/** Removes a VM from the members. */
 export function removeMember(transition: Transition, { vm }: Member): Transition {
   const members = new Map(transition.state.members);
   members.delete(vm.name);
--- a/src/controller/membership/news.ts
+++ b/src/controller/membership/news.ts
@@ -1,17 +1,19 @@
 import type { VmNews } from "../../model/index.js";
 import type { Member, MembershipState, QueuedNews } from "./state.js";
 
+/** Messages that carry a piece of news, for each doubling of the number of VMs. */
 const sendsPerDoubling = 3;
 
-/** What the next message carries: this VM itself, then the news that went out least. */
+/** Collects the news for the next message: this VM itself, then up to `limit` of the least sent. */
 export function collectNews(state: MembershipState, limit: number): readonly VmNews[] {
   const queued = [...state.news.values()].sort((a, b) => b.sendsLeft - a.sendsLeft).slice(0, limit);
   return [describeSelf(state), ...queued.map(({ news }) => news)];
 }
 
 /**
- * What a VM is told of itself: that it is suspected, or taken for down. It then refutes with a
- * greater incarnation; without that, old news of its end would go round and mark it again and again.
+ * Lists the news that tells a VM that it counts as suspect or down, so that it refutes this with a
+ * greater incarnation. Otherwise old news that it is down would keep circulating and mark it as
+ * down repeatedly.
  */
 export function listNewsAbout(state: MembershipState, name: string): readonly VmNews[] {
   const member = state.members.get(name);
@@ -19,12 +21,14 @@
   return isSuspectedOrDown ? [describeMember(member)] : [];
 }
 
-/** Everything that this VM knows, for one that has just started. */
+/** Lists the news about every other VM, for a VM that has just started. */
 export function listAllNews(state: MembershipState): readonly VmNews[] {
   return [...state.members.values()].map(describeMember);
 }
 
-/** Counts down the news that a message carried. */
+/**
+ * Decrements the remaining sends of the news in a message, and drops what was sent often enough.
+ */
 export function markSent(state: MembershipState, sent: readonly VmNews[]): MembershipState {
   if (state.news.size === 0) return state;
   const news = new Map(state.news);
@@ -37,7 +41,9 @@
   return { ...state, news };
 }
 
-/** Queues a change for about as many messages as reach all VMs with high probability. */
+/**
+ * Queues news for a number of messages, logarithmic in the fleet, that reaches all VMs very likely.
+ */
 export function queueNews(state: MembershipState, member: Member): MembershipState {
   const sendsLeft = sendsPerDoubling * Math.ceil(Math.log2(state.members.size + 2));
   const queued: QueuedNews = { news: describeMember(member), sendsLeft };
--- a/src/controller/membership/options.ts
+++ b/src/controller/membership/options.ts
@@ -1,22 +1,22 @@
-/** Times in milliseconds and counts of the failure detector. */
+/** Parameters of the failure detector; times are in milliseconds. */
 export interface MembershipOptions {
-  /** One probe is begun in each such period, whatever the size of the fleet. */
+  /** The interval between two probes, whatever the size of the fleet. */
   readonly probeIntervalMs: number;
-  /** How long a suspected VM has to refute before it is taken for down. */
+  /** How long a suspect can refute the suspicion before it is declared down. */
   readonly suspicionTimeoutMs: number;
-  /** VMs that are asked to probe a silent one. */
+  /** How many VMs are asked to probe a silent one indirectly. */
   readonly helperCount: number;
-  /** Every so many ticks a VM that is down is probed, to find it back after a partition. */
+  /** One in this many ticks probes a VM that is down, to rediscover it after a partition. */
   readonly downProbeTicks: number;
-  /** News carried by one message. */
+  /** The maximum of news items about other VMs in one message. */
   readonly newsPerMessage: number;
-  /** A longer time without an event means that this process stood still. */
+  /** A longer gap between two events means that this process was paused. */
   readonly maxEventGapMs: number;
-  /** How long a VM that is down and no longer listed is remembered. */
+  /** How long a VM that is down and no longer listed is kept. */
   readonly forgetDownAfterMs: number;
 }
 
-/** What the figures in docs/CAPACITY.md are for. */
+/** The default parameters. The figures in docs/CAPACITY.md apply to them. */
 export const defaultMembershipOptions: MembershipOptions = {
   probeIntervalMs: 1000,
   suspicionTimeoutMs: 3000,
--- a/src/controller/membership/probeorder.ts
+++ b/src/controller/membership/probeorder.ts
@@ -1,14 +1,15 @@
 import { hashPair } from "../../policy/index.js";
 import type { MembershipState } from "./state.js";
 
-/** Up to so many VMs, each probes all others. */
+/** In a fleet of up to this many VMs, each VM probes all others. */
 const maxFullProbeFleet = 16;
 
 /**
- * Builds the round of VMs to probe. In a large fleet these are the VMs 1, 2, 4, 8 ... places on in
- * the order of hashes: every VM has the same number of others that probe it, news needs about
- * log2(n) hops, and the connections that probes go over stay open. Probing all in turn would open
- * one each second, whose handshakes alone cost more than the bytes that control may take.
+ * Builds the next round of VMs to probe, as names. In a large fleet these are the VMs at distances
+ * 1, 2, 4, 8 and so on in the order of hashes, as in a Chord ring. Every VM is then probed by the
+ * same number of others, news needs about log2(n) hops, and the connections of the probes stay
+ * open. Probing all VMs in turn would open a connection each second, and the handshakes alone would
+ * exceed the bandwidth allowed for control traffic.
  */
 export function buildProbeOrder({ self, members, ticks }: MembershipState): readonly string[] {
   const names = [...members.values()]
--- a/src/controller/membership/step.ts
+++ b/src/controller/membership/step.ts
@@ -7,7 +7,7 @@
 import { applyTick } from "./tick.js";
 import { findProbeHelpers } from "./view.js";
 
-/** Applies one event. */
+/** Applies one event, after checking whether this process was paused before it. */
 export function applyMembershipEvent(
   state: MembershipState,
   event: MembershipEvent,
@@ -18,9 +18,10 @@
 }
 
 /**
- * After SIGSTOP, a frozen VM or a long collection, every timer of this process fires at once, before
- * any answer that waits in its sockets is read: all the others would look silent, and it would take
- * over what they own. Results of probes begun before the gap are dropped and suspicions start anew.
+ * Detects that this process was paused, as by SIGSTOP, a frozen VM or a long garbage collection.
+ * After a pause, all overdue timers fire before any answer that waits in the sockets is read, so
+ * every peer would look silent and this VM would take over what the others own. Therefore results
+ * of probes that began before the pause are ignored and the time of each suspicion starts again.
  */
 function detectPause(
   state: MembershipState,
@@ -76,7 +77,9 @@
   }, known);
 }
 
-/** What a VM says of itself goes before what others say of the same incarnation. */
+/**
+ * Applies what the sender says about itself, which overrides news from others on that incarnation.
+ */
 function applySender(transition: Transition, hello: PeerHello, now: number): Transition {
   if (hello.vm === transition.state.self.vm.name) return transition;
   const status = hello.state === "leaving" ? "leaving" : "alive";
@@ -90,14 +93,14 @@
   if (compareIncarnations(hello.incarnation, known.incarnation) < 0) return transition;
   const isUnchanged = known.status === status && known.incarnation === hello.incarnation;
   if (isUnchanged) return transition;
-  // Leaving is final for a run; the platform's word of it holds for the run that it was about.
+  // Leaving is final for one run of a process, also when it was the platform that reported it.
   const isSameRun = compareIncarnations(hello.incarnation, known.incarnation) === 0;
   if (known.status === "leaving" && isSameRun) return transition;
   const member = { ...known, vm: announced ?? known.vm, incarnation: hello.incarnation };
   return changeMember(transition, member, status, now);
 }
 
-/** Others suspect this VM, or took it for down: a greater incarnation says that it lives. */
+/** Refutes news that this VM is suspect or down by choosing a greater incarnation. */
 function refuteSuspicion(
   transition: Transition,
   incarnation: string,
@@ -127,7 +130,7 @@
     return addEffect(transition, { type: "probeThrough", vm: member.vm, via, epoch: state.epoch });
   }
   if (member.status === "suspect") return transition;
-  // A leaving VM that falls silent has left: nothing is owed to it.
+  // A leaving VM that stops answering has left, so it needs no time to refute a suspicion.
   const status = member.status === "leaving" ? "down" : "suspect";
   return changeMember(transition, member, status, event.now);
 }
--- a/src/controller/membership/tick.ts
+++ b/src/controller/membership/tick.ts
@@ -3,7 +3,7 @@
 import { buildProbeOrder } from "./probeorder.js";
 import type { Member, MembershipState } from "./state.js";
 
-/** Begins one probe and takes VMs for down whose time to refute is over. */
+/** Declares VMs down whose suspicion timed out, and begins one probe. */
 export function applyTick(
   transition: Transition,
   now: number,
@@ -13,9 +13,10 @@
 }
 
 /**
- * A VM that is cut off itself hears nobody and would declare all others down, one after the other.
- * It declares nobody down unless some other VM was heard from after the suspicion began; until then
- * it keeps its last list and says that it is isolated.
+ * Declares suspects down after the suspicion timeout. A VM that is itself cut off gets no answers
+ * and would declare all others down, one after the other. So it declares a VM down only if it heard
+ * from any VM after the suspicion began. Until then it keeps its members and reports that it is
+ * isolated.
  */
 function expireSuspicions(
   transition: Transition,
@@ -59,7 +60,7 @@
   return { state, effects: [...effects, { type: "probe", vm, epoch: state.epoch }] };
 }
 
-/** Those that are down take turns. */
+/** Picks the next VM that is down, in rotation; `undefined` when none is. */
 function pickDownMember(
   state: MembershipState,
   { downProbeTicks }: MembershipOptions,
--- a/src/controller/membership/view.ts
+++ b/src/controller/membership/view.ts
@@ -1,13 +1,13 @@
 import type { Vm } from "../../model/index.js";
 import type { MembershipState, MemberStatus } from "./state.js";
 
-/** One VM as this one sees it. */
+/** A VM with its status as seen from this one. */
 export interface MemberView {
   readonly vm: Vm;
   readonly status: MemberStatus;
 }
 
-/** Lists every VM that is known, this one first. */
+/** Lists every known VM, this one first. */
 export function listMembers({ self, members }: MembershipState): readonly MemberView[] {
   const status: MemberStatus = self.state === "leaving" ? "leaving" : "alive";
   return [
@@ -17,8 +17,9 @@
 }
 
 /**
- * Lists the VMs that may get new work. A suspected one may: it has not been shown to be down. All
- * bear the state `live`, whatever the platform's list says of a run before.
+ * Lists the VMs that may get new work. Suspects are included, since they are not confirmed to be
+ * down. Every VM is returned with the state `live`: the platform's list may still describe an
+ * earlier run.
  */
 export function listLive(state: MembershipState): readonly Vm[] {
   return listMembers(state)
@@ -26,7 +27,10 @@
     .map(({ vm }) => (vm.state === "live" ? vm : { ...vm, state: "live" }));
 }
 
-/** Finds up to `count` VMs that can probe `about`: other data centres first, as other paths tell more. */
+/**
+ * Finds up to `count` live VMs that can probe `about` indirectly. VMs in other data centres come
+ * first, since a different network path gives more information.
+ */
 export function findProbeHelpers(
   state: MembershipState,
   count: number,
