--- a/src/controller/configuration/canonical.ts
+++ b/src/controller/configuration/canonical.ts
@@ -1,4 +1,4 @@
-/** Writes a JSON value with sorted keys, so that equal values give equal texts. */
+/** Serialises a JSON value with sorted keys, so that equal values give equal texts. */
 export function encodeCanonical(value: unknown): string {
   return JSON.stringify(value, (_key, inner: unknown) =>
     typeof inner === "object" && inner !== null && !Array.isArray(inner)
@@ -7,7 +7,7 @@
   );
 }
 
-/** Tells whether two JSON values are equal, whatever the order of their keys. */
+/** Whether two JSON values are equal, regardless of the order of their keys. */
 export function isSameValue(a: unknown, b: unknown): boolean {
   if (a === b) return true;
   if (a === undefined || b === undefined) return false;
--- a/src/controller/configuration/decode.ts
+++ b/src/controller/configuration/decode.ts
@@ -2,17 +2,17 @@
 import { priorities, type Configuration, type Json } from "../../model/index.js";
 import type { ConfigurationDelta } from "./delta.js";
 
-/** A configuration as the store holds it, with the ids of the last changes, the newest first. */
+/** A configuration as stored, with the ids of the latest changes, newest first. */
 export interface StoredConfiguration extends Configuration {
   readonly changes: readonly string[];
 }
 
-/** What one proxy sends another: all of a configuration, or what changed since a revision. */
+/** An update between proxies: a whole configuration, or the difference from an earlier revision. */
 export type ConfigurationUpdate =
   | { readonly type: "whole"; readonly configuration: Configuration }
   | { readonly type: "delta"; readonly delta: ConfigurationDelta };
 
-/** One proxy's message to another: an update and who has it. */
+/** A message between proxies: an update and the name of the VM that sends it. */
 export interface ConfigurationMessage {
   readonly from: string;
   readonly update: ConfigurationUpdate;
@@ -80,22 +80,22 @@
 
 const message = z.object({ from: z.string(), update });
 
-/** Reads a configuration; `undefined` when the value is none. */
+/** Decodes a configuration; `undefined` when the value is invalid. */
 export function decodeConfiguration(value: Json): Configuration | undefined {
   return configuration.safeParse(value).data;
 }
 
-/** Reads the store's value; `undefined` when it is no configuration. */
+/** Decodes the stored value; `undefined` when it is not a configuration. */
 export function decodeStored(value: Json): StoredConfiguration | undefined {
   return stored.safeParse(value).data;
 }
 
-/** Reads a peer's message; `undefined` when the value is none. */
+/** Decodes a peer's message; `undefined` when the value is invalid. */
 export function decodeMessage(value: Json): ConfigurationMessage | undefined {
   return message.safeParse(value).data;
 }
 
-/** Writes what `decodeMessage` reads. */
+/** Encodes a message for `decodeMessage`. */
 export function encodeMessage(message: ConfigurationMessage): Json {
   return message as unknown as Json;
 }
--- a/src/controller/configuration/delta.ts
+++ b/src/controller/configuration/delta.ts
@@ -8,9 +8,9 @@
 } from "../../model/index.js";
 import { isSameValue } from "./canonical.js";
 
-/** What changed between two revisions. */
+/** The difference between two revisions, as sent between proxies. */
 export interface ConfigurationDelta {
-  /** The revision that it can be applied to. */
+  /** The only revision that the delta can be applied to. */
   readonly base: number;
   readonly revision: number;
   readonly changeId: string;
@@ -18,11 +18,11 @@
   readonly teams: readonly Team[];
   readonly removedTeams: readonly string[];
   readonly rules: readonly Rule[];
-  /** All rules' names in order; absent when these are as before. */
+  /** The names of all rules in order; absent when unchanged. */
   readonly order?: readonly string[];
 }
 
-/** Builds what takes `before` to `after`. */
+/** Builds the delta that turns `before` into `after`. */
 export function buildDelta(before: Configuration, after: Configuration): ConfigurationDelta {
   const order = after.rules.map(({ name }) => name);
   const isSameOrder = isSameValue(
@@ -41,7 +41,7 @@
   };
 }
 
-/** Applies a delta to the revision it was built from; fails on any other. */
+/** Applies a delta to the revision it was built from. Fails on another base or a missing rule. */
 export function applyDelta(
   before: Configuration,
   delta: ConfigurationDelta,
--- a/src/controller/configuration/edit.ts
+++ b/src/controller/configuration/edit.ts
@@ -3,42 +3,46 @@
 import type { StoredConfiguration } from "./decode.js";
 import { mergeDrafts, type Draft, type MergeConflict } from "./merge.js";
 
-/** How many change ids the store's value remembers. */
+/** How many change ids the stored value keeps, to recognise changes whose answer was lost. */
 export const maxStoredChangeIds = 256;
 
-/** One operator's change. */
+/** A change made by an operator. */
 export interface Edit {
-  /** Recognises the change when the answer to its update was lost. */
+  /** Identifies the change in the store when the answer to its update was lost. */
   readonly changeId: string;
-  /** What the operator started from; absent when that revision is no longer kept. */
+  /** The version that the operator edited; absent when that revision is no longer kept. */
   readonly base?: Draft;
-  /** What the operator wants. */
+  /** The version that the operator wants. */
   readonly draft: Draft;
 }
 
-/** What an editor does with what the store holds now. */
+/** What an editor does next, given the stored configuration. */
 export type EditPlan =
+  /** The change is already stored: an earlier attempt succeeded and its answer was lost. */
   | { readonly type: "landed"; readonly revision: number }
+  /** The current configuration already equals the draft. */
   | { readonly type: "unchanged"; readonly revision: number }
   | { readonly type: "write"; readonly value: StoredConfiguration }
   | { readonly type: "conflict"; readonly conflicts: readonly MergeConflict[] }
+  /** The revision that the operator edited is no longer kept, so nothing can be merged. */
   | { readonly type: "baseUnknown" }
-  /** So many changes came since the lost answer that the store can't tell any more. */
+  /** More changes followed the lost answer than the stored ids cover, so its outcome is unknown. */
   | { readonly type: "uncertain" };
 
-/** What an editor knows when it plans. */
+/** What an editor knows when it plans an attempt. */
 export interface EditContext {
-  /** What the store holds; absent when it holds nothing. */
+  /** The stored configuration; absent when there is none. */
   readonly stored?: StoredConfiguration;
-  /** The greatest configuration that a proxy has in force, where that is known. */
+  /** The configuration of the greatest revision in force on a proxy; absent when unknown. */
   readonly inForce?: Configuration;
   /** The revision that an update with an unknown outcome may have written; 0 when none was sent. */
   readonly attemptedRevision: number;
 }
 
 /**
- * Plans one attempt. The new revision follows both the store's and the fleet's: a store that came
- * back older than the fleet would else be given revisions that no proxy adopts.
+ * Plans one attempt. The new revision is greater than both the stored one and the one in force.
+ * Otherwise, after the store was restored from an old copy, the new revisions would be too small
+ * for any proxy to adopt.
  */
 export function planEdit(
   edit: Edit,
--- a/src/controller/configuration/merge.ts
+++ b/src/controller/configuration/merge.ts
@@ -2,25 +2,27 @@
 import { isSameValue } from "./canonical.js";
 import { mergeOrders } from "./order.js";
 
-/** Roster and rules, of any revision or none. */
+/** Teams and rules without a revision. */
 export type Draft = Pick<Configuration, "teams" | "rules">;
 
-/** A place where two editors' changes can't both hold. */
+/** A place where the changes of two editors are incompatible. */
 export type MergeConflict =
+  /** Both changed the same entry differently. */
   | { readonly type: "team" | "rule"; readonly name: string }
-  /** Both changed the order of rules, or put rules that overlap in the same place. */
+  /** Both reordered rules, or added rules that can match the same request at the same position. */
   | { readonly type: "order"; readonly names: readonly string[] }
-  /** A rule of one names a team that the other removed. */
+  /** A rule of one editor names a team that the other removed. */
   | { readonly type: "missingTeam"; readonly rule: string; readonly team: string };
 
-/** The result of a merge: both changes, or every place where they clash. */
+/** The result of a merge: a draft with both changes, or every conflict between them. */
 export type Merge =
   | { readonly type: "merged"; readonly draft: Draft }
   | { readonly type: "conflict"; readonly conflicts: readonly MergeConflict[] };
 
 /**
- * Merges two changes of `base`. Entries that only one side touched are taken from that side; an
- * entry that both changed differently is a conflict, so no edit is ever dropped in silence.
+ * Merges two changes of `base` (a three-way merge). An entry that only one side changed is taken
+ * from that side. An entry that both changed differently is a conflict, so no edit is silently
+ * lost.
  */
 export function mergeDrafts(base: Draft, mine: Draft, theirs: Draft): Merge {
   const teams = mergeEntries<Team>("team", base.teams, mine.teams, theirs.teams);
--- a/src/controller/configuration/order.ts
+++ b/src/controller/configuration/order.ts
@@ -1,12 +1,15 @@
 import type { Condition, Rule } from "../../model/index.js";
 import { isSameValue } from "./canonical.js";
 
-/** The merged order of rules' names, or the names whose order can't be told. */
+/** The merged order of rules by name, or the names whose order can't be decided. */
 export type MergedOrder =
   | { readonly type: "merged"; readonly names: readonly string[] }
   | { readonly type: "conflict"; readonly names: readonly string[] };
 
-/** Merges two changes of the order of rules. Only the first match counts, so order is meaning. */
+/**
+ * Merges two changes of the order of rules. The order matters, since the first matching rule
+ * applies.
+ */
 export function mergeOrders(
   base: readonly Rule[],
   mine: readonly Rule[],
@@ -22,7 +25,7 @@
   return mergeAddedRules(before, shared, mine, theirs);
 }
 
-/** Puts what each side added between the rules that all three hold. */
+/** Inserts the rules that each side added between the rules that all three versions contain. */
 function mergeAddedRules(
   before: readonly string[],
   shared: readonly string[],
@@ -60,7 +63,7 @@
   return groups;
 }
 
-/** Whether some request could meet both rules and fare differently. */
+/** Whether a request could match both rules and be treated differently by them. */
 function isOrderSignificant(a: Rule, b: Rule): boolean {
   return !isSameValue(a.then, b.then) && canOverlap(a.when, b.when);
 }
@@ -70,7 +73,7 @@
     x === undefined || y === undefined || x === y;
   const canIntersect = (x?: readonly string[], y?: readonly string[]) =>
     x === undefined || y === undefined || x.some((name) => y.includes(name));
-  // A statement may name several tables, so two rules on different tables can still meet.
+  // A statement can name several tables, so rules on different tables can match the same one.
   return (
     canBeEqual(a.plan, b.plan) &&
     canBeEqual(a.effect, b.effect) &&
--- a/src/controller/configuration/state.ts
+++ b/src/controller/configuration/state.ts
@@ -10,37 +10,40 @@
 /** Where a configuration came from. */
 export type ConfigurationSource = "store" | "peer";
 
-/** What one proxy has in force. */
+/** The immutable configuration state of one proxy. */
 export interface ConfigurationState {
   readonly inForce: Configuration;
-  /** Whether the store or a peer has said what is in force, be it nothing yet. */
+  /** Whether the store or a peer has answered, even if there was no configuration. */
   readonly isKnown: boolean;
-  /** The peer that a configuration is being fetched from. */
+  /** The peer that a configuration is being fetched from; absent when no fetch is in progress. */
   readonly fetchingFrom?: string;
 }
 
-/** What happens to a proxy's configuration. */
+/** An input of the configuration state machine. */
 export type ConfigurationEvent =
+  /** The store or a peer provided an update. */
   | {
       readonly type: "offered";
       readonly update: ConfigurationUpdate;
       readonly source: ConfigurationSource;
-      /** The peer that sent it. */
+      /** The peer that sent it; absent when the store did. */
       readonly vm?: string;
     }
-  /** The store answered that there is none. */
+  /** The store answered that it holds no configuration. */
   | { readonly type: "absent" }
-  /** A peer's message carried the revision that it has in force. */
+  /** A peer's message contained the revision that the peer has in force. */
   | { readonly type: "heard"; readonly vm: string; readonly revision: number }
+  /** A fetch ended, with or without a result. */
   | { readonly type: "fetchEnded" };
 
-/** Why an alarm is raised: nothing is adopted, and an operator has to look. */
+/** A condition that an operator must resolve. Nothing is adopted. */
 export type ConfigurationAlarm =
+  /** The store holds an older revision than the proxy has in force. */
   | { readonly type: "storeReverted"; readonly stored: number; readonly inForce: number }
-  /** Two different configurations under one revision. */
+  /** Two different configurations have the same revision. */
   | { readonly type: "revisionClash"; readonly revision: number };
 
-/** What is to be done outside after a step. */
+/** An action that the caller carries out after a step. */
 export type ConfigurationEffect =
   | { readonly type: "adopt"; readonly before: Configuration; readonly after: Configuration }
   | { readonly type: "relay"; readonly update: ConfigurationUpdate; readonly except?: string }
@@ -49,13 +52,13 @@
 
 type Step = Applied<ConfigurationState, ConfigurationEffect, never>;
 
-/** What a proxy starts with. */
+/** The state of a proxy at the start. */
 export const initialConfigurationState: ConfigurationState = {
   inForce: emptyConfiguration,
   isKnown: false,
 };
 
-/** Applies one event. Only a greater revision ever replaces the one in force. */
+/** Applies one event. Only a greater revision replaces the one in force. */
 export function applyConfigurationEvent(
   state: ConfigurationState,
   event: ConfigurationEvent,
@@ -79,7 +82,7 @@
   const revision = update.type === "whole" ? update.configuration.revision : update.delta.revision;
   if (revision <= state.inForce.revision) return rejectOffer(state, update, source, revision);
   const after = resolveUpdate(state.inForce, update);
-  // A delta of another base: the peer that sent it has the whole.
+  // The delta has another base, so the whole configuration is fetched from the peer that sent it.
   if (after === undefined)
     return vm === undefined ? succeed(state) : applyPeerRevision(state, vm, revision);
   return adopt(state, after, vm);
@@ -89,7 +92,7 @@
   const before = state.inForce;
   const next = { ...state, inForce: after, isKnown: true };
   const adoptEffect: ConfigurationEffect = { type: "adopt", before, after };
-  // A proxy that has just started learns what the others have long had: nobody needs it from there.
+  // The first configuration after the start is not relayed: the other proxies already have it.
   if (!state.isKnown) return succeed(next, [adoptEffect]);
   const update: ConfigurationUpdate =
     before.revision === 0
@@ -121,9 +124,9 @@
 }
 
 /**
- * A store restored from an old copy would take rules back that operators saw accepted. Revisions
- * only grow, so the proxy keeps what it has and tells the operators, whose next `apply` writes a
- * revision above the fleet's.
+ * Raises an alarm for a store that holds an older revision, such as one restored from an old copy.
+ * Adopting it would revert rules that operators saw accepted. Revisions only increase, so the proxy
+ * keeps its configuration. The operators' next `apply` writes a revision above the fleet's.
  */
 function raiseStoreReverted(state: ConfigurationState, stored: number): Step {
   const inForce = state.inForce.revision;
--- a/src/controller/configuration/tree.ts
+++ b/src/controller/configuration/tree.ts
@@ -1,17 +1,26 @@
 import type { Vm } from "../../model/index.js";
 import { hashPair } from "../../policy/index.js";
 
-/** The shape of the trees. */
+/** The shape of the trees along which a new revision is distributed. */
 export interface TreeOptions {
-  /** VMs of each data centre that watch the store; each is the root of a tree over its local. */
+  /**
+   * VMs in each data centre that watch the store. Each is the root of a tree over that data centre.
+   */
   readonly relaysPerDataCentre: number;
+  /** Children of each VM in a tree. */
   readonly fanout: number;
 }
 
-/** Two relays, so that one may be down or cut off; ten children, so that 1,000 VMs are 3 deep. */
+/**
+ * Two relays, so that one may be down or cut off, and ten children, so that 1,000 VMs take 3
+ * levels.
+ */
 export const defaultTreeOptions: TreeOptions = { relaysPerDataCentre: 2, fanout: 10 };
 
-/** Chooses the VMs that watch the store: by rendezvous hashing, the same on all that agree on `vms`. */
+/**
+ * Chooses the VMs that watch the store, by rendezvous hashing. All VMs that agree on `vms` choose
+ * the same relays.
+ */
 export function chooseRelays(
   vms: readonly Vm[],
   { relaysPerDataCentre }: Pick<TreeOptions, "relaysPerDataCentre"> = defaultTreeOptions,
@@ -22,7 +31,7 @@
   );
 }
 
-/** Whether `self` is one of its data centre's relays. Looks at that data centre only. */
+/** Whether `self` is a relay of its data centre. VMs of other data centres have no influence. */
 export function isRelay(
   self: string,
   vms: readonly Vm[],
@@ -40,9 +49,10 @@
 }
 
 /**
- * Lists the VMs that `self` passes a new revision on to: its children in the trees of its data
- * centre, one tree for each relay. A dead VM inside one tree is a leaf of another or a rare gap that
- * the next peer message closes.
+ * Lists the VMs that `self` relays a new revision to: its children in the trees of its data centre,
+ * one tree for each relay. A failed VM that has children in one tree is usually a leaf in another.
+ * In the rare case that it is not, its children learn of the revision from the next message of any
+ * peer.
  */
 export function listChildren(
   self: string,
