--- a/src/controller/drain/drain.ts
+++ b/src/controller/drain/drain.ts
@@ -1,43 +1,47 @@
 import { succeed, type Applied } from "../../model/index.js";
 
-/** How far a process is on its way out. */
+/** The state of a graceful shutdown; `since` is on the process's clock. */
 export type DrainState =
   | { readonly type: "serving" }
-  /** Not ready and announced as leaving, but still taking what arrives late. */
+  /** Not ready and announced as leaving, but still accepting callers and requests. */
   | { readonly type: "announcing"; readonly since: number }
-  /** No new callers; what is in flight finishes. */
+  /** No new callers are accepted; requests in flight finish. */
   | { readonly type: "draining"; readonly since: number }
   | { readonly type: "drained" };
 
-/** What happens; `now` is on the process's clock. */
+/** An input of the drain; `now` is on the process's clock. */
 export type DrainEvent =
+  /** A shutdown was requested. */
   | { readonly type: "asked"; readonly now: number }
+  /** A periodic count of the requests in flight. */
   | { readonly type: "counted"; readonly now: number; readonly inFlight: number };
 
-/** What is to be done outside. */
+/** An action that the caller carries out. */
 export type DrainEffect =
-  /** Turns not ready, tells the peers, hands ownership on. */
+  /** Reports not ready, tells the peers that this VM is leaving, and hands over ownership. */
   | { readonly type: "announce" }
-  /** Takes no new callers and ends idle sessions. */
+  /** Refuses new callers and ends idle sessions. */
   | { readonly type: "refuseNew" }
-  /** Everything has finished: the process may end. */
+  /** The drain is over: the process may end. */
   | { readonly type: "end" }
-  /** The longest wait is over with requests in flight, which are cut off. */
+  /** The time limit passed with requests still in flight, which are aborted. */
   | { readonly type: "cutOff"; readonly inFlight: number };
 
-/** Times of a drain in milliseconds. */
+/** Durations of a drain in milliseconds. */
 export interface DrainOptions {
+  /** How long callers and requests are still accepted after the announcement. */
   readonly announceMs: number;
+  /** How long requests in flight may take after that. */
   readonly limitMs: number;
 }
 
-/** What a process starts with. */
+/** The state of a process at the start. */
 export const initialDrainState: DrainState = { type: "serving" };
 
 /**
- * Applies one event. Callers that the balancer sends before it sees the page turn, and requests that
- * a peer forwards before it hears the news, still arrive for a while: refusing them at once would
- * break them, so nothing is refused until the announcement has had its time.
+ * Applies one event. For a while, callers still arrive from a load balancer that has not yet seen
+ * the readiness page change, and requests from peers that have not yet received the announcement.
+ * Refusing them at once would fail them, so nothing is refused until `announceMs` has passed.
  */
 export function applyDrainEvent(
   state: DrainState,
