--- a/test/failover/acknowledge.test.ts
+++ b/test/failover/acknowledge.test.ts
@@ -13,7 +13,7 @@
 const mark = { term: first, offset: 5 };
 const lineage = [{ term: first, start: 0 }];
 
-/** A write that was committed at 10, of a group whose primary is t1. */
+/** Begins the acknowledgement of a write committed at time 10, in a group whose primary is t1. */
 function begin(mode: Acknowledgement, targets = 3, safeguards = allAcknowledgeSafeguards) {
   const names = Array.from({ length: targets }, (_, i) => `t${i + 1}`);
   const write: PendingWrite = { primary: "t1", term: first, mark, mode, committedAt: 10 };
@@ -22,7 +22,7 @@
   return begun;
 }
 
-/** An answer of a target, fenced at `fencedAt`, that holds `offset` records. */
+/** Applies a status answer of a target that is fenced at `fencedAt` and has `offset` records. */
 function hear(
   state: AcknowledgementState,
   target: string,
@@ -42,7 +42,7 @@
   return heard;
 }
 
-test("a replicated write waits for a replica to hold it and then for the primary", () => {
+test("a replicated write waits until a replica has it and then for the primary", () => {
   const { state } = begin("replicated");
   const early = hear(state, "t2", 12, { offset: 4 });
   const held = hear(early.state, "t2", 9);
@@ -51,11 +51,11 @@
   expect(hear(held.state, "t1", 10).state.outcome).toBe("confirmed");
 });
 
-// The caller is told that its write is kept by a primary that had been replaced by then.
-// Commit's reply from t1; t1 and t3 fenced at term 2; t2, not fenced, tells that it holds the write.
-// If the commit's reply counted as t1's confirmation, the two would pass for a majority.
+// Guards against acknowledging a write on a primary that has been replaced. t1 replies to the
+// commit, then t1 and t3 are fenced at term 2, and t2, which is not fenced, reports that it has the
+// write. If the reply to the commit counted as t1's confirmation, t1 and t2 would form a majority.
 test.each([true, false])(
-  "a fence between commit and replica's answer, freshness %s",
+  "a fence between the commit and the replica's answer, freshness check %s",
   (freshness) => {
     const { state } = begin("replicated", 3, { ...allAcknowledgeSafeguards, freshness });
     const held = hear(state, "t2", 12).state;
@@ -64,23 +64,23 @@
   },
 );
 
-// The caller is told that its write is kept, and the new primary never had it.
-// t1 commits on the minority side; t2 and t3, fenced at term 2 since, had answered unfenced before.
-// Without freshness the old answers pass for confirmations.
-test.each([true, false])("answers asked for before the commit, freshness %s", (freshness) => {
+// Guards against acknowledging a write that the new primary never had. t1 commits on the minority
+// side of a partition. t2 and t3 answered before the commit, when they were not yet fenced at term
+// 2. Without the freshness check these old answers count as confirmations.
+test.each([true, false])("answers requested before the commit, freshness check %s", (freshness) => {
   const { state } = begin("witnessed", 3, { ...allAcknowledgeSafeguards, freshness });
   const stale = hear(state, "t2", 8, { offset: 2 }).state;
   expect(hear(stale, "t1", 11).state.outcome).toBe(freshness ? "waiting" : "confirmed");
 });
 
-// The caller is told that its write is kept by a primary that is cut off from all others.
-// Only t1 itself answers, and nobody has told it of the new term.
-test.each([true, false])("the primary alone confirms, majority %s", (confirmMajority) => {
+// Guards against acknowledging a write on a primary that is partitioned from all other targets.
+// Only t1 itself answers, and it does not know of the new term.
+test.each([true, false])("only the primary confirms, majority required %s", (confirmMajority) => {
   const { state } = begin("witnessed", 3, { ...allAcknowledgeSafeguards, confirmMajority });
   expect(hear(state, "t1", 11).state.outcome).toBe(confirmMajority ? "waiting" : "confirmed");
 });
 
-test("a witnessed write needs a majority, the primary in it, in any order", () => {
+test("a witnessed write needs answers of a majority with the primary, in any order", () => {
   const { state, effects } = begin("witnessed");
   expect(effects).toEqual([{ type: "ask", targets: ["t1", "t2", "t3"] }]);
   const others = hear(hear(state, "t2", 11, { offset: 0 }).state, "t3", 11, { offset: 0 }).state;
@@ -88,9 +88,10 @@
   expect(hear(others, "t1", 11).state.outcome).toBe("confirmed");
 });
 
-// With five targets the first replica may have been fenced while the second one caught up.
-// So the primary and one more must answer afresh after the last that was needed to hold the write.
-test("with five targets an early holder is asked again", () => {
+// With five targets, the first replica that has the write may be fenced while the second one
+// catches up. So the primary and one more target must answer a request sent after the last needed
+// replica reported the write.
+test("with five targets a replica that had the write early is asked again", () => {
   const { state } = begin("replicated", 5);
   const held = hear(hear(state, "t2", 11).state, "t3", 900);
   expect(held.effects).toEqual([{ type: "ask", targets: ["t1", "t2", "t4", "t5"] }]);
@@ -99,7 +100,7 @@
   expect(hear(primary, "t2", 901).state.outcome).toBe("confirmed");
 });
 
-test("a write is given up once the primary or a majority is past its term", () => {
+test("a write is superseded once the primary or a majority is fenced past its term", () => {
   const { state } = begin("replicated");
   expect(hear(state, "t1", 11, { fencedAt: second }).state.outcome).toBe("superseded");
   const one = hear(state, "t2", 11, { fencedAt: second }).state;
@@ -107,7 +108,7 @@
   expect(hear(one, "t3", 11, { fencedAt: second }).state.outcome).toBe("superseded");
 });
 
-test("a mark of another term proves nothing", () => {
+test("a write whose mark has another term is rejected", () => {
   const write: PendingWrite = {
     primary: "t1",
     term: second,
--- a/test/failover/age.test.ts
+++ b/test/failover/age.test.ts
@@ -4,18 +4,19 @@
 
 const replicas = (primary: string) => ["t1", "t2", "t3"].filter((t) => t !== primary);
 
-/** How old a target's data is: since when the first record that it lacks has been committed. */
+/** How old a target's data is: the time since the commit of the first record that it lacks. */
 function findTrueAge(
-  scene: FailoverScenario,
+  scenario: FailoverScenario,
   commits: ReadonlyMap<number, number>,
   name: string,
 ): number {
-  const missing = commits.get(scene.group.get(name).log.length + 1);
-  return missing === undefined ? 0 : scene.clock.now() - missing;
+  const missing = commits.get(scenario.group.get(name).log.length + 1);
+  return missing === undefined ? 0 : scenario.clock.now() - missing;
 }
 
-// A reader that accepts data of a stated age must never get older data, however far a replica lags.
-test("a replica's data is never older than its stated age", async () => {
+// Guards against stale reads: a reader that accepts data up to an age must never get older data,
+// however far a replica lags.
+test("a replica's data is never older than its reported age", async () => {
   const steps = fc.array(
     fc.record({
       waitMs: fc.integer({ min: 1, max: 400 }),
@@ -24,42 +25,42 @@
     { minLength: 5, maxLength: 30 },
   );
   const check = fc.asyncProperty(steps, async (run) => {
-    const scene = new FailoverScenario();
-    const primary = await scene.waitUntilSteady();
+    const scenario = new FailoverScenario();
+    const primary = await scenario.waitUntilSteady();
     const commits = new Map<number, number>();
     for (const [i, { waitMs, lagMs }] of run.entries()) {
-      for (const name of replicas(primary)) scene.group.get(name).lagMs = lagMs;
-      const mark = scene.group.get(primary).commit(`age${i}`);
-      scene.group.replicate();
-      if (mark !== undefined) commits.set(mark.offset, scene.clock.now());
-      await scene.clock.advance(waitMs);
+      for (const name of replicas(primary)) scenario.group.get(name).lagMs = lagMs;
+      const mark = scenario.group.get(primary).commit(`age${i}`);
+      scenario.group.replicate();
+      if (mark !== undefined) commits.set(mark.offset, scenario.clock.now());
+      await scenario.clock.advance(waitMs);
       for (const name of replicas(primary)) {
-        const age = scene.fleet.watch("v1").findAge(name, scene.clock.now()) ?? Infinity;
-        expect(age).toBeGreaterThanOrEqual(findTrueAge(scene, commits, name));
+        const age = scenario.fleet.watch("v1").findAge(name, scenario.clock.now()) ?? Infinity;
+        expect(age).toBeGreaterThanOrEqual(findTrueAge(scenario, commits, name));
       }
     }
-    await scene.end();
+    await scenario.end();
   });
   await fc.assert(check, { seed: 7, numRuns: 25 });
 });
 
-test("an idle group's replicas are known to be young", async () => {
-  const scene = new FailoverScenario();
-  const [name = ""] = replicas(await scene.waitUntilSteady());
-  await scene.clock.advance(3000);
-  expect(scene.fleet.watch("v1").findAge(name, scene.clock.now())).toBeLessThan(500);
-  await scene.end();
+test("the reported age of replicas stays low in an idle group", async () => {
+  const scenario = new FailoverScenario();
+  const [name = ""] = replicas(await scenario.waitUntilSteady());
+  await scenario.clock.advance(3000);
+  expect(scenario.fleet.watch("v1").findAge(name, scenario.clock.now())).toBeLessThan(500);
+  await scenario.end();
 });
 
-// A reader on the minority side would otherwise get data that the new primary has long replaced:
-// the old primary is still there, and shows an end of the log that is no longer the group's.
-test("ages grow at an observer that is parted from the majority", async () => {
-  const scene = new FailoverScenario();
-  const primary = await scene.waitUntilSteady();
-  await scene.clock.advance(1000);
-  scene.fleet.setPartition("v1", primary, true);
-  await scene.clock.advance(3000);
-  const age = scene.fleet.watch("v1").findAge(primary, scene.clock.now()) ?? Infinity;
+// Guards against stale reads on the minority side of a partition. The old primary still answers
+// there, but the end of its log is no longer the group's, since a new primary has taken over.
+test("reported ages increase at an observer that is partitioned from the majority", async () => {
+  const scenario = new FailoverScenario();
+  const primary = await scenario.waitUntilSteady();
+  await scenario.clock.advance(1000);
+  scenario.fleet.setPartition("v1", primary, true);
+  await scenario.clock.advance(3000);
+  const age = scenario.fleet.watch("v1").findAge(primary, scenario.clock.now()) ?? Infinity;
   expect(age).toBeGreaterThanOrEqual(2500);
-  await scene.end();
+  await scenario.end();
 });
--- a/test/failover/random.test.ts
+++ b/test/failover/random.test.ts
@@ -2,11 +2,11 @@
 import fc from "fast-check";
 import { drawSteps, runSteps } from "../../bench/failover/faultsteps.js";
 
-// Two VMs believe that they own a group while targets die and freeze, links are cut, lose answers or
-// go silent, VMs are paused, restarted or deaf, and writes go on in both modes.
-// What must hold is checked at each promotion and each acknowledgement, and after all faults have
-// ended both VMs must have writes acknowledged again.
-test("what must hold holds under any run of faults", async () => {
+// Two VMs both act as owner of a group under random faults: targets crash and freeze, links are
+// cut, lose answers or hang, and VMs are paused, restarted or cut off from their peers. Writes
+// continue in both acknowledgement modes. The invariants are checked at each promotion and each
+// acknowledgement. After all faults have ended, writes through both VMs must be acknowledged again.
+test("the invariants hold under random sequences of faults", async () => {
   const check = fc.asyncProperty(fc.nat(), drawSteps(40), async (seed, steps) => {
     const { violations, isHealed } = await runSteps(seed, steps);
     expect(violations).toEqual([]);
--- a/test/failover/scenario.ts
+++ b/test/failover/scenario.ts
@@ -5,7 +5,7 @@
 /** Longer than any failover that can succeed. */
 export const maxFailoverMs = 5000;
 
-/** A fleet on a virtual clock. */
+/** A simulated fleet and database group on a virtual clock. */
 export class FailoverScenario {
   readonly clock = new VirtualClock();
   readonly fleet: FakeFleet;
@@ -23,19 +23,19 @@
     return this.fleet.watch(vm).view().primary?.target;
   }
 
-  /** Lets time pass until a VM knows a primary other than `not`. */
-  async findPrimary(vm = "v1", not?: string): Promise<string> {
+  /** Advances the clock until a VM knows a primary other than `except`. */
+  async findPrimary(vm = "v1", except?: string): Promise<string> {
     await this.clock.advance(maxFailoverMs, () => {
       const primary = this.primary(vm);
-      return primary !== undefined && primary !== not;
+      return primary !== undefined && primary !== except;
     });
     const primary = this.primary(vm);
     expect(primary).toBeDefined();
-    expect(primary).not.toBe(not);
+    expect(primary).not.toBe(except);
     return primary ?? "";
   }
 
-  /** Writes through a VM and lets time pass until the caller has its answer. */
+  /** Writes through a VM and advances the clock until the caller has its answer. */
   async write(vm = "v1", mode: "replicated" | "witnessed" = "replicated", timeoutMs = 1000) {
     const answer: { value?: string } = {};
     this.written += 1;
@@ -45,14 +45,14 @@
     return answer.value;
   }
 
-  /** A group whose first primary has been found and whose replicas follow it. */
+  /** Waits until the first primary is known and its replicas follow it; returns the primary. */
   async waitUntilSteady(): Promise<string> {
     const primary = await this.findPrimary();
     expect(await this.write()).toBe("acknowledged");
     return primary;
   }
 
-  /** Ends the scene; nothing that must hold was broken. */
+  /** Ends the scenario and expects that no invariant was violated. */
   async end(): Promise<void> {
     const { violations } = this.fleet;
     await this.fleet.dispose();
--- a/test/fleet/merge.test.ts
+++ b/test/fleet/merge.test.ts
@@ -29,10 +29,10 @@
   expect(merge).toEqual({ type: "conflict", conflicts: [{ type: "team", name: "a" }] });
 });
 
-// Two operators each add a rule at the same place; only the first match counts.
-// Where a request could meet both rules, their order would decide its fate,
-// and neither operator chose it: that is a conflict, not a merge.
-test("rules added at one place merge only where their order means nothing", () => {
+// Two operators each add a rule at the same position, and the first matching rule applies. If a
+// request can match both rules, the result depends on an order that neither operator chose, so this
+// must be a conflict rather than a merge.
+test("rules added at one position merge only if their order does not matter", () => {
   const add = (rule: ReturnType<typeof refuse>) => draft(base.teams, [...base.rules, rule]);
   const apart = mergeDrafts(
     base,
@@ -60,14 +60,14 @@
   });
 });
 
-test("one side's new order is kept beside the other's new content", () => {
+test("one side's new order and the other's new content are both kept", () => {
   const mine = draft(base.teams, [...base.rules].reverse());
   const theirs = draft([...base.teams, team("c")], base.rules);
   const merge = mergeDrafts(base, mine, theirs);
   expect(merge.type === "merged" && names(merge.draft)).toEqual(["r2", "r1"]);
 });
 
-test("a delta gives the revision it was built from, and nothing on another base", () => {
+test("a delta yields the revision that it was built for and fails on another base", () => {
   const before = { revision: 4, changeId: "x", ...base };
   const after = {
     revision: 5,
