--- a/src/controller/configuration/tree.ts
+++ b/src/controller/configuration/tree.ts
@@ -11,10 +11,7 @@
   readonly fanout: number;
 }
 
-/**
- * Two relays, so that one may be down or cut off, and ten children, so that 1,000 VMs take 3
- * levels.
- */
+/** Two relays, so that one may be down or cut off; ten children, so that 1,000 VMs are 3 deep. */
 export const defaultTreeOptions: TreeOptions = { relaysPerDataCentre: 2, fanout: 10 };
 
 /**
--- a/src/controller/failover/answer.ts
+++ b/src/controller/failover/answer.ts
@@ -94,7 +94,8 @@
 }
 
 /**
- * Backs off when two targets are primary in one term. The election that follows keeps one of them.
+ * Backs off when two targets are primary in one term. The election that follows keeps the one with
+ * the longer log.
  */
 function resolveRivalPrimaries(state: FailoverState, { at, draw }: AnsweredEvent): Step {
   switch (state.phase.type) {
--- a/src/controller/failover/event.ts
+++ b/src/controller/failover/event.ts
@@ -66,7 +66,7 @@
 export type FailoverEffect =
   /** Sends a status request on a new connection. */
   | { readonly type: "probe"; readonly target: string; readonly timeoutMs: number }
-  /** Asks other VMs to check the target in the same way. */
+  /** Asks two other VMs to check the target in the same way. */
   | { readonly type: "askPeers"; readonly target: string; readonly timeoutMs: number }
   | { readonly type: "control"; readonly request: ControlRequest; readonly timeoutMs: number }
   /** Replaces the connection that carries the target's status answers. */
--- a/src/controller/failover/options.ts
+++ b/src/controller/failover/options.ts
@@ -41,7 +41,7 @@
 
 /**
  * Derives all times from the heartbeat. The heartbeat determines the cost of monitoring and,
- * together with the tolerated stall, how fast a silent primary is detected. See
+ * together with the tolerated stall, how fast a silent primary is detected. The measurements are in
  * docs/design/failover.md.
  */
 export function createTimings(heartbeatMs: number): FailoverTimings {
