--- a/src/controller/configuration/tree.ts
+++ b/src/controller/configuration/tree.ts
@@ -1,37 +1,43 @@
 import type { Vm } from "../../model/index.js";
 import { hashPair } from "../../policy/index.js";
 
-/** The shape of the trees. */
+/** The shape of the trees along which a new revision is distributed. */
 export interface TreeOptions {
-  /** VMs of each data centre that watch the store; each is the root of a tree over its own. */
-  readonly relays: number;
+  /**
+   * VMs in each data centre that watch the store. Each is the root of a tree over that data centre.
+   */
+  readonly relaysPerDataCentre: number;
+  /** Children of each VM in a tree. */
   readonly fanout: number;
 }
 
 /** Two relays, so that one may be down or cut off; ten children, so that 1,000 VMs are 3 deep. */
-export const treeOptions: TreeOptions = { relays: 2, fanout: 10 };
+export const defaultTreeOptions: TreeOptions = { relaysPerDataCentre: 2, fanout: 10 };
 
-/** Chooses the VMs that watch the store: by rendezvous hashing, the same on all that agree on `vms`. */
+/**
+ * Chooses the VMs that watch the store, by rendezvous hashing. All VMs that agree on `vms` choose
+ * the same relays.
+ */
 export function chooseRelays(
   vms: readonly Vm[],
-  { relays }: Pick<TreeOptions, "relays"> = treeOptions,
+  { relaysPerDataCentre }: Pick<TreeOptions, "relaysPerDataCentre"> = defaultTreeOptions,
 ): readonly Vm[] {
   const dataCentres = [...new Set(vms.map(({ dataCentre }) => dataCentre))];
   return dataCentres.flatMap((dataCentre) =>
-    rankRelays(vms.filter((vm) => vm.dataCentre === dataCentre)).slice(0, relays),
+    rankRelays(vms.filter((vm) => vm.dataCentre === dataCentre)).slice(0, relaysPerDataCentre),
   );
 }
 
-/** Whether `self` is one of its data centre's relays. Looks at that data centre only. */
+/** Whether `self` is a relay of its data centre. VMs of other data centres have no influence. */
 export function isRelay(
   self: string,
   vms: readonly Vm[],
-  { relays }: Pick<TreeOptions, "relays"> = treeOptions,
+  { relaysPerDataCentre }: Pick<TreeOptions, "relaysPerDataCentre"> = defaultTreeOptions,
 ): boolean {
   const dataCentre = vms.find(({ name }) => name === self)?.dataCentre;
-  const own = vms.filter((vm) => vm.dataCentre === dataCentre);
-  return rankRelays(own)
-    .slice(0, relays)
+  const local = vms.filter((vm) => vm.dataCentre === dataCentre);
+  return rankRelays(local)
+    .slice(0, relaysPerDataCentre)
     .some(({ name }) => name === self);
 }
 
@@ -40,32 +46,33 @@
 }
 
 /**
- * Lists the VMs that `self` passes a new revision on to: its children in the trees of its data
- * centre, one tree for each relay. A dead VM inside one tree is a leaf of another or a rare gap that
- * the next peer message closes.
+ * Lists the VMs that `self` relays a new revision to: its children in the trees of its data centre,
+ * one tree for each relay. A failed VM that has children in one tree is usually a leaf in another.
+ * In the rare case that it is not, its children learn of the revision from the next message of any
+ * peer.
  */
 export function listChildren(
   self: string,
   vms: readonly Vm[],
-  options: TreeOptions = treeOptions,
+  options: TreeOptions = defaultTreeOptions,
 ): readonly Vm[] {
   const dataCentre = vms.find(({ name }) => name === self)?.dataCentre;
-  const own = vms.filter((vm) => vm.dataCentre === dataCentre);
-  const roots = rankRelays(own).slice(0, options.relays);
-  const children = roots.flatMap((root) => listTreeChildren(self, own, root, options.fanout));
+  const local = vms.filter((vm) => vm.dataCentre === dataCentre);
+  const roots = rankRelays(local).slice(0, options.relaysPerDataCentre);
+  const children = roots.flatMap((root) => listTreeChildren(self, local, root, options.fanout));
   return [...new Map(children.map((vm) => [vm.name, vm])).values()];
 }
 
 function listTreeChildren(
   self: string,
-  own: readonly Vm[],
+  local: readonly Vm[],
   root: Vm,
   fanout: number,
 ): readonly Vm[] {
-  const rest = own.filter(({ name }) => name !== root.name);
+  const rest = local.filter(({ name }) => name !== root.name);
   const order = [root, ...orderByHash(rest, root.name)];
-  const at = order.findIndex(({ name }) => name === self);
-  return order.slice(at * fanout + 1, (at + 1) * fanout + 1);
+  const index = order.findIndex(({ name }) => name === self);
+  return order.slice(index * fanout + 1, (index + 1) * fanout + 1);
 }
 
 function orderByHash(vms: readonly Vm[], salt: string): readonly Vm[] {
