--- a/bench/failover/fakefleet.ts
+++ b/bench/failover/fakefleet.ts
@@ -1,6 +1,10 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { FailoverTimings } from "../../src/controller/failover/index.js";
-import { type GapSplit, GroupWatch, type WatchSafeguards } from "../../src/groupwatch/index.js";
+import {
+  type FailoverPhases,
+  GroupWatch,
+  type WatchSafeguards,
+} from "../../src/groupwatch/index.js";
 import { type Logger, silentLogger } from "../../src/log/index.js";
 import type { Acknowledgement, Clock, PeerClient, Random, Term } from "../../src/model/index.js";
 import { FakeGroup } from "./fakegroup.js";
@@ -27,7 +31,7 @@
   readonly timings?: FailoverTimings;
   readonly safeguards?: WatchSafeguards;
   readonly log?: Logger;
-  readonly onGap?: (vm: string, gapMs: number, split: GapSplit) => void;
+  readonly onGap?: (vm: string, gapMs: number, split: FailoverPhases) => void;
 }
 
 /** What came of a write. */
@@ -110,12 +114,12 @@
     timeoutMs: number,
   ): Promise<WriteOutcome> {
     const watch = this.watch(name);
-    const { primary } = watch.view();
+    const { primary } = watch.getView();
     if (primary === undefined) return "notRun";
     const vm = this.vm(name);
     const committed = await vm.hold(this.group.write(name, primary.target, write, statementMs));
     if (committed === undefined) {
-      watch.observeFailure(primary.target);
+      watch.reportConnectionFailure(primary.target);
       return "mayHaveRun";
     }
     const reading = await watch.readMark(primary.target, mode);
@@ -167,7 +171,7 @@
       clock: vm.clock,
       random: this.random,
       log: log ?? silentLogger,
-      findHelpers: () => this.vms.filter((v) => v !== vm),
+      listCheckerVms: () => this.vms.filter((v) => v !== vm),
       ...(timings === undefined ? {} : { timings }),
       ...(safeguards === undefined ? {} : { safeguards }),
       onGap: (gapMs, split) => onGap?.(vm.name, gapMs, split),
--- a/bench/failover/faultsteps.ts
+++ b/bench/failover/faultsteps.ts
@@ -134,7 +134,7 @@
       fleet.watch(step.vm);
       return;
     case "switch":
-      fleet.watch(step.vm).switchFrom(step.target);
+      fleet.watch(step.vm).requestSwitchover(step.target);
       return;
     case "fault":
       setFault(fleet, step.fault, true);
--- a/bench/failover/gaps.ts
+++ b/bench/failover/gaps.ts
@@ -1,4 +1,4 @@
-import type { GapSplit } from "../../src/groupwatch/index.js";
+import type { FailoverPhases } from "../../src/groupwatch/index.js";
 import type { Random } from "../../src/model/index.js";
 import type { Failure, GapListener, Rig } from "./rig.js";
 import { type Summary, summarise } from "./statistics.js";
@@ -25,7 +25,7 @@
   failovers: number,
   random: Random,
 ): Promise<GapReport> {
-  const splits: GapSplit[] = [];
+  const splits: FailoverPhases[] = [];
   const gaps: number[] = [];
   const rig = await create((_, split) => splits.push(split));
   await waitForPrimary(rig);
@@ -40,7 +40,7 @@
 function summariseGaps(
   failure: Failure,
   gaps: readonly number[],
-  splits: readonly GapSplit[],
+  splits: readonly FailoverPhases[],
 ): GapReport {
   if (splits.length !== gaps.length) throw new Error("a change of primary went unreported");
   const others = splits.map((s) => s.fencingMs + s.promotingMs + s.firstWriteMs);
@@ -60,7 +60,7 @@
 }
 
 async function failOnce(rig: Rig, failure: Failure): Promise<number> {
-  const old = rig.watch.view().primary?.target;
+  const old = rig.watch.getView().primary?.target;
   if (old === undefined) throw new Error("no primary to fail");
   void writeOnce(rig, "replicated");
   const failedAt = rig.clock.now();
@@ -76,7 +76,7 @@
 /** Waits until every target follows the primary or leads. */
 async function waitUntilWhole(rig: Rig): Promise<void> {
   for (;;) {
-    const { primary, targets } = rig.watch.view();
+    const { primary, targets } = rig.watch.getView();
     const statuses = Object.values(targets).flatMap((t) => (t === undefined ? [] : [t.status]));
     const name = primary?.target;
     const isWhole = statuses.every((s) => s.target === name || s.follows === name);
--- a/bench/failover/latency.ts
+++ b/bench/failover/latency.ts
@@ -44,7 +44,7 @@
 }
 
 async function writeDirect(rig: Rig): Promise<boolean> {
-  const { primary } = rig.watch.view();
+  const { primary } = rig.watch.getView();
   return primary !== undefined && rig.write(primary.target);
 }
 
--- a/bench/failover/rig.ts
+++ b/bench/failover/rig.ts
@@ -1,4 +1,4 @@
-import type { GapSplit, GroupWatch } from "../../src/groupwatch/index.js";
+import type { FailoverPhases, GroupWatch } from "../../src/groupwatch/index.js";
 import type { Clock, Disposable } from "../../src/model/index.js";
 import { FakeFleet } from "./fakefleet.js";
 import { createPreciseClock } from "./preciseclock.js";
@@ -7,7 +7,7 @@
 export type Failure = "kill" | "freeze";
 
 /** Hears of each change of primary. */
-export type GapListener = (gapMs: number, split: GapSplit) => void;
+export type GapListener = (gapMs: number, split: FailoverPhases) => void;
 
 /** A group with an owner's watch, and what a measurement does to it. */
 export interface Rig extends Disposable {
--- a/bench/failover/stalls.ts
+++ b/bench/failover/stalls.ts
@@ -48,7 +48,7 @@
     const fleet = new FakeFleet({ clock, seed: i, timings });
     const watch = fleet.watch("v1");
     await clock.advance(settleMs + random.draw() * timings.heartbeatMs);
-    const primary = watch.view().primary?.target;
+    const primary = watch.getView().primary?.target;
     if (primary === undefined) throw new Error("no primary");
     fleet.group.setState(primary, "frozen");
     await clock.advance(stallMs);
--- a/bench/failover/standinrig.ts
+++ b/bench/failover/standinrig.ts
@@ -1,5 +1,5 @@
 import pg from "pg";
-import { type GapSplit, GroupWatch } from "../../src/groupwatch/index.js";
+import { type FailoverPhases, GroupWatch } from "../../src/groupwatch/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import type { Clock, PeerCheck, Target, Vm } from "../../src/model/index.js";
 import { PgTargetControl } from "../../src/target/index.js";
@@ -57,7 +57,7 @@
   { control, peers }: { readonly control: PgTargetControl; readonly peers: PgTargetControl },
   clock: Clock,
   seed: number,
-  onGap: (gapMs: number, split: GapSplit) => void,
+  onGap: (gapMs: number, split: FailoverPhases) => void,
 ): GroupWatch {
   const checkTarget = async (
     _via: Vm,
@@ -77,7 +77,7 @@
     clock,
     random: createRandom(seed),
     log: silentLogger,
-    findHelpers: () => ["v2", "v3"].map((name) => ({ ...helper, name })),
+    listCheckerVms: () => ["v2", "v3"].map((name) => ({ ...helper, name })),
     onGap,
   });
   watch.start();
--- a/bench/failover/writer.ts
+++ b/bench/failover/writer.ts
@@ -5,10 +5,10 @@
 
 /** Writes as an owner's execution does; tells whether the write may be acknowledged. */
 export async function writeOnce(rig: Rig, mode: Acknowledgement): Promise<boolean> {
-  const { primary } = rig.watch.view();
+  const { primary } = rig.watch.getView();
   if (primary === undefined) return false;
   if (!(await rig.write(primary.target))) {
-    rig.watch.observeFailure(primary.target);
+    rig.watch.reportConnectionFailure(primary.target);
     return false;
   }
   return confirmOnce(rig, primary, mode);
@@ -30,7 +30,7 @@
 export function waitForPrimary(rig: Rig, not?: string): Promise<void> {
   return new Promise((resolve) => {
     const check = (): void => {
-      const { primary } = rig.watch.view();
+      const { primary } = rig.watch.getView();
       if (primary === undefined || primary.target === not) return;
       void subscription.dispose();
       resolve();
--- a/src/directpeer/client.ts
+++ b/src/directpeer/client.ts
@@ -5,7 +5,7 @@
 import type {
   LeadershipAnswer,
   LeadershipPeers,
-  LeadershipWord,
+  LeadershipUpdate,
   Proxy,
   TargetAnswer,
   TargetQuestion,
@@ -32,7 +32,7 @@
 
   async share(
     proxy: Proxy,
-    word: LeadershipWord,
+    word: LeadershipUpdate,
     timeoutMs: number,
   ): Promise<LeadershipAnswer | undefined> {
     const request = { vm: this.vm, ...encodeWord(word) };
--- a/src/directpeer/codec.ts
+++ b/src/directpeer/codec.ts
@@ -4,7 +4,7 @@
   emptyLeadership,
   encodeLeadership,
   type LeadershipAnswer,
-  type LeadershipWord,
+  type LeadershipUpdate,
   type TargetAnswer,
 } from "../leadership/index.js";
 import type {
@@ -16,7 +16,7 @@
 import type { TargetReport } from "../statement/index.js";
 
 /** The fields of a word in either direction. */
-export function encodeWord({ leadership, made }: LeadershipWord) {
+export function encodeWord({ leadership, promoted: made }: LeadershipUpdate) {
   return {
     version: leadership.version,
     document: JSON.stringify(encodeLeadership(leadership.document)),
@@ -25,14 +25,14 @@
 }
 
 /** Reads a word. A document that can't be read counts as none, of version 0. */
-export function decodeWord(message: ShareRequest | ShareResponse): LeadershipWord {
+export function decodeWord(message: ShareRequest | ShareResponse): LeadershipUpdate {
   const document = decodeLeadership(parseJson(message.document));
   const made = message.made.map(({ group, round, target }) => ({ group, round, target }));
   const leadership =
     document === undefined
       ? { version: 0, document: emptyLeadership }
       : { version: message.version, document };
-  return { leadership, made };
+  return { leadership, promoted: made };
 }
 
 /** Reads the answer to a word. */
--- a/src/directpeer/server.ts
+++ b/src/directpeer/server.ts
@@ -3,7 +3,7 @@
 import { connectNodeAdapter } from "@connectrpc/connect-node";
 import type {
   LeadershipAnswer,
-  LeadershipWord,
+  LeadershipUpdate,
   TargetAnswer,
   TargetQuestion,
 } from "../leadership/index.js";
@@ -14,7 +14,7 @@
 
 /** What a process does for its peers. */
 export interface DirectPeerHandlers {
-  takeWord(from: string, word: LeadershipWord): LeadershipAnswer;
+  takeWord(from: string, word: LeadershipUpdate): LeadershipAnswer;
   askTarget(question: TargetQuestion): Promise<TargetAnswer>;
   /** What this process knows of the scene, in JSON; empty when it knows nothing. */
   encodeScene(): string;
--- a/src/groupwatch/confirmations.ts
+++ b/src/groupwatch/confirmations.ts
@@ -28,15 +28,15 @@
   readonly targets: readonly string[];
   readonly safeguards: AcknowledgeSafeguards;
   /** Asks a target afresh; its answer comes back through `observe`. */
-  readonly ask: (target: string) => void;
+  readonly requestStatus: (target: string) => void;
   /** Between two fresh requests for the same write, where answers do not come by themselves. */
-  readonly askAgainMs: number;
+  readonly statusRetryMs: number;
   /** Whether a majority is known to be fenced past the term of the write. */
   readonly isSuperseded: (write: PendingWrite) => boolean;
 }
 
 /** The writes of one group that wait to be acknowledged. */
-export class Confirmations {
+export class WriteConfirmations {
   private readonly waiters = new Set<Waiter>();
 
   constructor(private readonly ports: ConfirmationPorts) {}
@@ -55,9 +55,9 @@
       this.waiters.add(waiter);
       const giveUp = (): void => this.end(waiter, { type: "timedOut" });
       signal.addEventListener("abort", giveUp, { once: true, signal: waiter.ended.signal });
-      for (const { targets } of begun.effects) targets.forEach(this.ports.ask);
+      for (const { targets } of begun.effects) targets.forEach(this.ports.requestStatus);
       for (const evidence of known) this.apply(waiter, evidence);
-      void this.askAgain(waiter);
+      void this.repeatStatusRequests(waiter);
     });
   }
 
@@ -74,7 +74,7 @@
     const applied = applyEvidence(waiter.state, evidence);
     if (applied.type === "failed") return;
     waiter.state = applied.state;
-    for (const { targets } of applied.effects) targets.forEach(this.ports.ask);
+    for (const { targets } of applied.effects) targets.forEach(this.ports.requestStatus);
     this.checkOutcome(waiter);
   }
 
@@ -83,7 +83,7 @@
       case "waiting":
         return;
       case "confirmed":
-        this.assertLeading(waiter.state.write);
+        this.assertNotSuperseded(waiter.state.write);
         this.end(waiter, { type: "confirmed" });
         return;
       case "superseded":
@@ -91,7 +91,7 @@
     }
   }
 
-  private assertLeading(write: PendingWrite): void {
+  private assertNotSuperseded(write: PendingWrite): void {
     const describe = (): string => `write at ${formatMark(write.mark)} of ${write.primary}`;
     assertInvariant("noSupersededAcknowledgement", !this.ports.isSuperseded(write), describe);
   }
@@ -103,12 +103,12 @@
   }
 
   /** A lost answer, or a stream that has gone silent, would leave the caller waiting for good. */
-  private async askAgain(waiter: Waiter): Promise<void> {
+  private async repeatStatusRequests(waiter: Waiter): Promise<void> {
     while (this.waiters.has(waiter)) {
       await this.ports.clock
-        .sleep(this.ports.askAgainMs, waiter.ended.signal)
+        .sleep(this.ports.statusRetryMs, waiter.ended.signal)
         .catch(() => undefined);
-      if (this.waiters.has(waiter)) this.ports.targets.forEach(this.ports.ask);
+      if (this.waiters.has(waiter)) this.ports.targets.forEach(this.ports.requestStatus);
     }
   }
 }
--- a/src/groupwatch/effects.ts
+++ b/src/groupwatch/effects.ts
@@ -1,18 +1,18 @@
 import type { ControlRequest, FailoverEffect, FailoverNote } from "../controller/failover/index.js";
 import { failoverEvents } from "../log/events/failover.js";
 import type { Clock, ControlResult, Target } from "../model/index.js";
-import { logNote } from "./notes.js";
-import { askPeers } from "./peers.js";
+import { logFailoverNote } from "./notes.js";
+import { checkThroughPeers } from "./peers.js";
 import type { WatchOptions } from "./ports.js";
-import type { BareEvent } from "./runner.js";
+import type { UntimedEvent } from "./runner.js";
 import type { StreamAnswer } from "./stream.js";
 
 /** What becomes of the effects' answers. */
 export interface EffectHooks {
-  readonly apply: (event: BareEvent) => void;
+  readonly apply: (event: UntimedEvent) => void;
   readonly onAnswer: (answer: StreamAnswer) => void;
   readonly onMiss: (target: string, reason: string) => void;
-  readonly renew: (target: string) => void;
+  readonly reconnect: (target: string) => void;
   readonly onNote: (note: FailoverNote, at: number) => void;
 }
 
@@ -30,16 +30,16 @@
         void this.probe(this.getTarget(effect.target), effect.timeoutMs);
         break;
       case "askPeers":
-        void this.askPeers(effect.target, effect.timeoutMs);
+        void this.checkThroughPeers(effect.target, effect.timeoutMs);
         break;
       case "control":
         void this.control(effect.request, effect.timeoutMs);
         break;
       case "renew":
-        this.hooks.renew(effect.target);
+        this.hooks.reconnect(effect.target);
         break;
       case "note":
-        logNote(this.options.log, this.options.group.name, effect.note);
+        logFailoverNote(this.options.log, this.options.group.name, effect.note);
         this.hooks.onNote(effect.note, at);
         break;
     }
@@ -58,8 +58,13 @@
     else this.hooks.onMiss(target.name, result.type === "refused" ? "refused" : result.reason);
   }
 
-  private async askPeers(target: string, timeoutMs: number): Promise<void> {
-    const finding = await askPeers(this.options, this.options.group.name, target, timeoutMs);
+  private async checkThroughPeers(target: string, timeoutMs: number): Promise<void> {
+    const finding = await checkThroughPeers(
+      this.options,
+      this.options.group.name,
+      target,
+      timeoutMs,
+    );
     this.hooks.apply({ type: "peersAnswered", target, finding });
   }
 
--- a/src/groupwatch/asker.ts
+++ b/src/groupwatch/freshstatus.ts
@@ -2,7 +2,7 @@
 import type { WatchPorts } from "./ports.js";
 
 /** An answer to a request, and when the request was sent. */
-export interface Asked {
+export interface TimedResult {
   readonly askedAt: number;
   readonly result: ControlResult;
 }
@@ -11,9 +11,9 @@
  * Fresh status requests to one target, one at a time. Whoever asks while one is under way shares the
  * next: its request is then sent after the question came up, and many writes cost one request.
  */
-export class FreshAsker {
-  private current: Promise<Asked> | undefined;
-  private next: Promise<Asked> | undefined;
+export class FreshStatusClient {
+  private current: Promise<TimedResult> | undefined;
+  private next: Promise<TimedResult> | undefined;
 
   constructor(
     private readonly target: Target,
@@ -22,7 +22,7 @@
   ) {}
 
   /** Asks in a request that is sent no earlier than this call. */
-  ask(): Promise<Asked> {
+  request(): Promise<TimedResult> {
     if (this.current === undefined) return this.send();
     this.next ??= this.current.then(() => {
       this.next = undefined;
@@ -31,7 +31,7 @@
     return this.next;
   }
 
-  private send(): Promise<Asked> {
+  private send(): Promise<TimedResult> {
     const askedAt = this.ports.clock.now();
     const asked = this.ports.control
       .status(this.target, { timeoutMs: this.timeoutMs })
--- a/src/groupwatch/gap.ts
+++ b/src/groupwatch/gap.ts
@@ -1,8 +1,8 @@
 import type { FailoverNote } from "../controller/failover/index.js";
 import { compareTerms, type Term } from "../model/index.js";
-import type { GapSplit } from "./ports.js";
+import type { FailoverPhases } from "./ports.js";
 
-interface Course {
+interface FailoverProgress {
   readonly failedAt: number;
   readonly fencingAt: number;
   readonly promotingAt?: number;
@@ -11,24 +11,24 @@
 
 /** Measures a change of primary that this VM orders, from the notes of the controller. */
 export class GapMeter {
-  private course: Course | undefined;
+  private progress: FailoverProgress | undefined;
 
-  constructor(private readonly report: (gapMs: number, split: GapSplit) => void) {}
+  constructor(private readonly report: (gapMs: number, split: FailoverPhases) => void) {}
 
   /** `heardAt` is when the primary last answered. */
-  note(note: FailoverNote, at: number, heardAt: number | undefined): void {
+  recordNote(note: FailoverNote, at: number, heardAt: number | undefined): void {
     switch (note.type) {
       case "fencing":
-        this.course = {
-          failedAt: this.course?.failedAt ?? heardAt ?? at,
-          fencingAt: this.course?.fencingAt ?? at,
+        this.progress = {
+          failedAt: this.progress?.failedAt ?? heardAt ?? at,
+          fencingAt: this.progress?.fencingAt ?? at,
         };
         break;
       case "promoting":
-        if (this.course !== undefined) this.course = { ...this.course, promotingAt: at };
+        if (this.progress !== undefined) this.progress = { ...this.progress, promotingAt: at };
         break;
       case "led":
-        this.noteLed(note.term, at);
+        this.recordNewPrimary(note.term, at);
         break;
       case "suspected":
       case "cleared":
@@ -39,11 +39,11 @@
   }
 
   /** A write of a term was acknowledged. */
-  noteWrite(term: Term, at: number): void {
-    const { course } = this;
+  recordWrite(term: Term, at: number): void {
+    const { progress: course } = this;
     if (course?.led === undefined || course.promotingAt === undefined) return;
     if (compareTerms(term, course.led.term) !== 0) return;
-    this.course = undefined;
+    this.progress = undefined;
     this.report(at - course.failedAt, {
       detectingMs: course.fencingAt - course.failedAt,
       fencingMs: course.promotingAt - course.fencingAt,
@@ -53,8 +53,8 @@
   }
 
   /** Another VM's primary ends the course: its gap is that VM's to tell. */
-  private noteLed(term: Term, at: number): void {
-    if (this.course?.promotingAt === undefined) this.course = undefined;
-    else this.course = { ...this.course, led: { at, term } };
+  private recordNewPrimary(term: Term, at: number): void {
+    if (this.progress?.promotingAt === undefined) this.progress = undefined;
+    else this.progress = { ...this.progress, led: { at, term } };
   }
 }
--- a/src/groupwatch/groupwatch.ts
+++ b/src/groupwatch/groupwatch.ts
@@ -17,23 +17,23 @@
   type Target,
   type Term,
 } from "../model/index.js";
-import { FreshAsker } from "./asker.js";
-import { StrictClock } from "./clock.js";
-import { type Confirmation, Confirmations } from "./confirmations.js";
+import { FreshStatusClient } from "./freshstatus.js";
+import { StrictlyIncreasingClock } from "./clock.js";
+import { type Confirmation, WriteConfirmations } from "./confirmations.js";
 import { EffectRunner } from "./effects.js";
 import { GapMeter } from "./gap.js";
 import { MarkHistory } from "./history.js";
 import type { WatchOptions } from "./ports.js";
-import { type MarkReading, toReading } from "./reading.js";
-import { type BareEvent, ControllerRunner } from "./runner.js";
+import { type MarkReading, interpretStatus } from "./reading.js";
+import { type UntimedEvent, ControllerRunner } from "./runner.js";
 import { type StreamAnswer, StatusStream } from "./stream.js";
-import { allWatchSafeguards, buildOptions } from "./setup.js";
-import { buildView, findBackedAt } from "./view.js";
+import { allWatchSafeguards, buildFailoverOptions } from "./setup.js";
+import { buildView, findMajorityConfirmedAt } from "./view.js";
 
-interface Watched {
+interface WatchedTarget {
   readonly target: Target;
   readonly stream: StatusStream;
-  readonly asker: FreshAsker;
+  readonly statusClient: FreshStatusClient;
 }
 
 /**
@@ -41,25 +41,25 @@
  * fails, and tells when a write may be acknowledged. Nothing breaks when two VMs watch one group.
  */
 export class GroupWatch implements Disposable {
-  private readonly owned = new DisposableStore();
-  private readonly clock: StrictClock;
+  private readonly disposables = new DisposableStore();
+  private readonly clock: StrictlyIncreasingClock;
   private readonly timings: FailoverTimings;
-  private readonly watched: ReadonlyMap<string, Watched>;
+  private readonly watchedTargets: ReadonlyMap<string, WatchedTarget>;
   private readonly effects: EffectRunner;
   private readonly runner: ControllerRunner;
-  private readonly confirmations: Confirmations;
+  private readonly confirmations: WriteConfirmations;
   private readonly history = new MarkHistory();
-  private readonly gap: GapMeter;
+  private readonly gapMeter: GapMeter;
   private readonly listeners = new Set<(view: GroupView) => void>();
   private current: GroupView;
   /** When the last known primary last answered. */
-  private heardAt: number | undefined;
+  private primaryAnsweredAt: number | undefined;
 
   constructor(private readonly options: WatchOptions) {
     const { group, random } = options;
     this.timings = options.timings ?? defaultTimings;
-    this.clock = new StrictClock(options.clock);
-    this.runner = new ControllerRunner(buildOptions(options), this.clock, random, {
+    this.clock = new StrictlyIncreasingClock(options.clock);
+    this.runner = new ControllerRunner(buildFailoverOptions(options), this.clock, random, {
       onEffect: (effect, at) => this.effects.execute(effect, at),
       onChange: (state) => this.handleChange(state),
     });
@@ -68,39 +68,39 @@
       apply: (event) => this.handleEvent(event),
       onAnswer: (answer) => this.handleAnswer(answer),
       onMiss: (target, reason) => this.handleMiss(target, reason, true),
-      renew: (target) => this.watched.get(target)?.stream.renew(),
-      onNote: (note, at) => this.gap.note(note, at, this.heardAt),
+      reconnect: (target) => this.watchedTargets.get(target)?.stream.reconnect(),
+      onNote: (note, at) => this.gapMeter.recordNote(note, at, this.primaryAnsweredAt),
     });
-    this.gap = new GapMeter((gapMs, split) => {
+    this.gapMeter = new GapMeter((gapMs, split) => {
       options.log.write(failoverEvents.gap, { group: group.name, gapMs, ...split });
       options.onGap?.(gapMs, split);
     });
-    this.confirmations = new Confirmations({
+    this.confirmations = new WriteConfirmations({
       clock: this.clock,
       targets: group.targets.map((t) => t.name),
       safeguards: options.safeguards ?? allWatchSafeguards,
-      ask: (target) => void this.askFresh(target),
-      askAgainMs: this.timings.heartbeatMs,
+      requestStatus: (target) => void this.requestFreshStatus(target),
+      statusRetryMs: this.timings.heartbeatMs,
       isSuperseded: (write) => isSuperseded(this.runner.state, write.term),
     });
-    this.watched = new Map(group.targets.map((t) => [t.name, this.watchTarget(t)]));
-    this.owned.add(this.runner);
-    this.owned.add(this.confirmations);
+    this.watchedTargets = new Map(group.targets.map((t) => [t.name, this.watchTarget(t)]));
+    this.disposables.add(this.runner);
+    this.disposables.add(this.confirmations);
   }
 
   /** Begins to watch. */
   start(): void {
-    for (const { stream } of this.watched.values()) stream.start();
+    for (const { stream } of this.watchedTargets.values()) stream.start();
     this.runner.apply({ type: "ticked" });
   }
 
   /** Stops for good; writes that wait for a confirmation hear `timedOut`. */
   dispose(): Promise<void> {
-    return this.owned.dispose();
+    return this.disposables.dispose();
   }
 
   /** The group as it is known now. */
-  view(): GroupView {
+  getView(): GroupView {
     return this.current;
   }
 
@@ -110,7 +110,7 @@
   }
 
   /** Whether new writes should wait, so that a replica can catch up in a planned switch. */
-  get isSwitching(): boolean {
+  get isSwitchingOver(): boolean {
     const { switching } = this.runner.state;
     return switching !== undefined && this.options.clock.now() < switching.until;
   }
@@ -127,10 +127,10 @@
    * same moment, so that their answers are there when `confirm` is called.
    */
   async readMark(target: string, mode: Acknowledgement = "replicated"): Promise<MarkReading> {
-    const reading = this.askFresh(target);
-    if (mode === "witnessed") this.askOthers(target);
+    const reading = this.requestFreshStatus(target);
+    if (mode === "witnessed") this.requestOtherStatuses(target);
     const asked = await reading;
-    return toReading(asked);
+    return interpretStatus(asked);
   }
 
   /**
@@ -152,28 +152,28 @@
     const known = Object.values(targets).flatMap((view) => view ?? []);
     const write = { primary: primary.target, term, mark, mode, committedAt };
     const confirmation = await this.confirmations.wait(write, known, signal);
-    if (confirmation.type === "confirmed") this.gap.noteWrite(term, this.clock.now());
+    if (confirmation.type === "confirmed") this.gapMeter.recordWrite(term, this.clock.now());
     return confirmation;
   }
 
   /** An upper bound in milliseconds of the age of a target's data at `now`, where one is known. */
-  findAge(target: string, now: number): number | undefined {
+  findMaxAgeMs(target: string, now: number): number | undefined {
     const status = this.current.targets[target]?.status;
-    const heldAt = status === undefined ? undefined : this.history.findHeldAt(status);
+    const heldAt = status === undefined ? undefined : this.history.findCaughtUpAt(status);
     return heldAt === undefined ? undefined : Math.max(0, now - heldAt);
   }
 
   /** A connection to the target broke. Hastens the checks and replaces none. */
-  observeFailure(target: string): void {
+  reportConnectionFailure(target: string): void {
     this.runner.apply({ type: "hinted", target });
   }
 
   /** Moves the primary role away from a target that is to leave, once a replica holds all it has. */
-  switchFrom(target: string): void {
+  requestSwitchover(target: string): void {
     this.runner.apply({ type: "switchAsked", target });
   }
 
-  private watchTarget(target: Target): Watched {
+  private watchTarget(target: Target): WatchedTarget {
     const { control } = this.options;
     const { clock, timings } = this;
     const { name } = target;
@@ -181,35 +181,36 @@
       target,
       control,
       clock,
-      findWaitMs: (role) => (role === "primary" ? timings.heartbeatMs : timings.replicaHeartbeatMs),
-      findPatienceMs: () => this.findPatience(name),
+      getHoldMs: (role) => (role === "primary" ? timings.heartbeatMs : timings.replicaHeartbeatMs),
+      getGraceMs: () => this.getGraceMs(name),
       retryMs: timings.heartbeatMs,
       onAnswer: (answer) => this.handleAnswer(answer),
       onMiss: (reason) => this.handleMiss(name, reason, false),
     });
-    this.owned.add(stream);
+    this.disposables.add(stream);
     return {
       target,
       stream,
-      asker: new FreshAsker(target, { control, clock }, timings.confirmMs),
+      statusClient: new FreshStatusClient(target, { control, clock }, timings.confirmMs),
     };
   }
 
   /** The controller checks a silent primary itself and then renews its stream. */
-  private findPatience(target: string): number {
+  private getGraceMs(target: string): number {
     const isPrimary = this.current.primary?.target === target;
     return isPrimary ? this.timings.maxAllowanceMs : getAllowance(this.runner.state, target);
   }
 
-  private askOthers(target: string): void {
-    for (const name of this.watched.keys()) if (name !== target) void this.askFresh(name);
+  private requestOtherStatuses(target: string): void {
+    for (const name of this.watchedTargets.keys())
+      if (name !== target) void this.requestFreshStatus(name);
   }
 
-  private async askFresh(name: string): ReturnType<FreshAsker["ask"]> {
-    const watched = this.watched.get(name);
+  private async requestFreshStatus(name: string): ReturnType<FreshStatusClient["request"]> {
+    const watched = this.watchedTargets.get(name);
     if (watched === undefined)
       throw new Error(`${name} is no target of ${this.options.group.name}`);
-    const asked = await watched.asker.ask();
+    const asked = await watched.statusClient.request();
     if (asked.result.type === "accepted")
       this.handleAnswer({ status: asked.result.status, askedAt: asked.askedAt });
     return asked;
@@ -220,7 +221,7 @@
     this.confirmations.observe({ ...answer, answeredAt: this.clock.now() });
   }
 
-  private handleEvent(event: BareEvent): void {
+  private handleEvent(event: UntimedEvent): void {
     this.runner.apply(event);
     if (event.type !== "controlled" || event.result.type !== "accepted") return;
     const { status } = event.result;
@@ -239,15 +240,16 @@
   private handleChange(state: FailoverState): void {
     this.current = buildView(state);
     const { primary } = this.current;
-    if (primary !== undefined) this.heardAt = this.current.targets[primary.target]?.answeredAt;
-    this.noteHistory();
+    if (primary !== undefined)
+      this.primaryAnsweredAt = this.current.targets[primary.target]?.answeredAt;
+    this.recordHistory();
     for (const listener of [...this.listeners]) listener(this.current);
   }
 
-  private noteHistory(): void {
+  private recordHistory(): void {
     const { primary, targets } = this.current;
-    const backedAt = findBackedAt(this.current, [...this.watched.keys()]);
+    const backedAt = findMajorityConfirmedAt(this.current, [...this.watchedTargets.keys()]);
     const mark = primary && targets[primary.target]?.status.mark;
-    if (backedAt !== undefined && mark !== undefined) this.history.note(backedAt, mark);
+    if (backedAt !== undefined && mark !== undefined) this.history.record(backedAt, mark);
   }
 }
--- a/src/groupwatch/history.ts
+++ b/src/groupwatch/history.ts
@@ -6,7 +6,7 @@
 }
 
 /** The least time between two samples that are kept, in milliseconds: what an age may be too great by. */
-const stepMs = 20;
+const minSampleIntervalMs = 20;
 
 /** Samples kept: enough for ages up to ten seconds while the group is written to all the time. */
 const maxSamples = 512;
@@ -19,18 +19,19 @@
   private samples: Sample[] = [];
 
   /** Notes that at `at` nothing beyond `mark` had been committed. */
-  note(at: number, mark: Mark): void {
+  record(at: number, mark: Mark): void {
     const last = this.samples.at(-1);
     const before = this.samples.at(-2);
     if (last !== undefined && at <= last.at) return;
-    const isClose = before !== undefined && last !== undefined && last.at - before.at < stepMs;
-    if (isClose || (last !== undefined && isSame(last.mark, mark))) this.samples.pop();
+    const isClose =
+      before !== undefined && last !== undefined && last.at - before.at < minSampleIntervalMs;
+    if (isClose || (last !== undefined && isSameMark(last.mark, mark))) this.samples.pop();
     this.samples.push({ at, mark });
     if (this.samples.length > maxSamples) this.samples.shift();
   }
 
   /** The latest instant up to which the target holds everything; `undefined` when none is known. */
-  findHeldAt(status: TargetStatus): number | undefined {
+  findCaughtUpAt(status: TargetStatus): number | undefined {
     const held = this.samples.findLast(
       ({ mark }) => compareMarks(status.lineage, status.mark, mark).type === "reached",
     );
@@ -38,6 +39,6 @@
   }
 }
 
-function isSame(a: Mark, b: Mark): boolean {
+function isSameMark(a: Mark, b: Mark): boolean {
   return a.offset === b.offset && a.term.round === b.term.round && a.term.vm === b.term.vm;
 }
--- a/src/groupwatch/index.ts
+++ b/src/groupwatch/index.ts
@@ -2,9 +2,9 @@
 export { GroupWatch } from "./groupwatch.js";
 export { type MarkReading } from "./reading.js";
 export {
-  type GapSplit,
+  type FailoverPhases,
   type WatchOptions,
   type WatchPorts,
   type WatchSafeguards,
 } from "./ports.js";
-export { findBackedAt } from "./view.js";
+export { findMajorityConfirmedAt } from "./view.js";
--- a/src/groupwatch/notes.ts
+++ b/src/groupwatch/notes.ts
@@ -3,7 +3,7 @@
 import { failoverEvents } from "../log/events/failover.js";
 
 /** Writes the line for a note of the controller. */
-export function logNote(log: Logger, group: string, note: FailoverNote): void {
+export function logFailoverNote(log: Logger, group: string, note: FailoverNote): void {
   const { type, ...fields } = note;
   log.write(failoverEvents[type], { group, ...fields });
 }
--- a/src/groupwatch/peers.ts
+++ b/src/groupwatch/peers.ts
@@ -3,16 +3,16 @@
 import type { WatchPorts } from "./ports.js";
 
 /** How many other VMs are asked about a suspected primary. */
-export const helpers = 2;
+export const maxCheckerVms = 2;
 
 /** Asks other VMs for a target; answers as soon as one has reached it, else when all have answered. */
-export async function askPeers(
+export async function checkThroughPeers(
   ports: WatchPorts,
   group: string,
   target: string,
   timeoutMs: number,
 ): Promise<PeerFinding> {
-  const vms = ports.findHelpers().slice(0, helpers);
+  const vms = ports.listCheckerVms().slice(0, maxCheckerVms);
   const checks = vms.map((vm) => ports.peers.checkTarget(vm, group, target, timeoutMs));
   const findings = checks.map((check) => check.then(classifyCheck));
   const reached = findings.map((f) =>
--- a/src/groupwatch/ports.ts
+++ b/src/groupwatch/ports.ts
@@ -11,11 +11,11 @@
   readonly random: Random;
   readonly log: Logger;
   /** Other VMs that may be asked to check a target, the best first; two of them are. */
-  readonly findHelpers: () => readonly Vm[];
+  readonly listCheckerVms: () => readonly Vm[];
 }
 
 /** How long each step of a change of primary took, in milliseconds. */
-export interface GapSplit {
+export interface FailoverPhases {
   /** From the old primary's last answer to the first fence. */
   readonly detectingMs: number;
   /** Until a majority was fenced. */
@@ -36,5 +36,5 @@
   readonly timings?: FailoverTimings;
   readonly safeguards?: WatchSafeguards;
   /** Hears of each change of primary that this VM ordered: the whole gap and its parts. */
-  readonly onGap?: (gapMs: number, split: GapSplit) => void;
+  readonly onGap?: (gapMs: number, split: FailoverPhases) => void;
 }
--- a/src/groupwatch/reading.ts
+++ b/src/groupwatch/reading.ts
@@ -1,6 +1,6 @@
 import { isLeading } from "../controller/failover/index.js";
 import type { Mark, Term } from "../model/index.js";
-import type { Asked } from "./asker.js";
+import type { TimedResult } from "./freshstatus.js";
 
 /** What a fresh look at a primary after a commit brought. */
 export type MarkReading =
@@ -11,7 +11,7 @@
   | { readonly type: "unreachable"; readonly reason: string };
 
 /** What a fresh answer says of a target that was thought to be primary. */
-export function toReading({ askedAt, result }: Asked): MarkReading {
+export function interpretStatus({ askedAt, result }: TimedResult): MarkReading {
   switch (result.type) {
     case "unreachable":
       return result;
--- a/src/groupwatch/runner.ts
+++ b/src/groupwatch/runner.ts
@@ -9,10 +9,10 @@
 } from "../controller/failover/index.js";
 import type { Clock, Random } from "../model/index.js";
 
-type Bare<T> = T extends unknown ? Omit<T, "at" | "draw"> : never;
+type WithoutTimeAndDraw<T> = T extends unknown ? Omit<T, "at" | "draw"> : never;
 
 /** An event before it is given its time and its draw. */
-export type BareEvent = Bare<FailoverEvent>;
+export type UntimedEvent = WithoutTimeAndDraw<FailoverEvent>;
 
 /** What the controller's effects are handed to. */
 export interface RunnerHooks {
@@ -39,7 +39,7 @@
     return this.current;
   }
 
-  apply(bare: BareEvent): void {
+  apply(bare: UntimedEvent): void {
     if (this.isStopped) return;
     const at = this.clock.now();
     const applied = applyEvent(this.current, { ...bare, at, draw: this.random.draw() });
--- a/src/groupwatch/setup.ts
+++ b/src/groupwatch/setup.ts
@@ -14,7 +14,7 @@
 };
 
 /** Builds what the group's controller is made of. */
-export function buildOptions(options: WatchOptions): FailoverOptions {
+export function buildFailoverOptions(options: WatchOptions): FailoverOptions {
   const { group, vm, random, timings, safeguards } = options;
   return {
     group: group.name,
--- a/src/groupwatch/stream.ts
+++ b/src/groupwatch/stream.ts
@@ -14,9 +14,9 @@
   readonly control: TargetControl;
   readonly clock: Clock;
   /** How long the target holds an answer back while nothing changes, by its last role. */
-  readonly findWaitMs: (role: TargetStatus["role"] | undefined) => number;
+  readonly getHoldMs: (role: TargetStatus["role"] | undefined) => number;
   /** How long after that an answer is still waited for on this connection. */
-  readonly findPatienceMs: () => number;
+  readonly getGraceMs: () => number;
   /** Between a failed request and the next. */
   readonly retryMs: number;
   readonly onAnswer: (answer: StreamAnswer) => void;
@@ -31,7 +31,7 @@
   private readonly stopped = new AbortController();
   private cancelWait: () => void = () => undefined;
   private last: TargetStatus | undefined;
-  private isFresh = false;
+  private isReconnectDue = false;
 
   constructor(private readonly options: StreamOptions) {}
 
@@ -40,8 +40,8 @@
   }
 
   /** Gives the connection up: a request that is still open on it is no longer waited for. */
-  renew(): void {
-    this.isFresh = true;
+  reconnect(): void {
+    this.isReconnectDue = true;
     this.cancelWait();
   }
 
@@ -54,7 +54,7 @@
     while (!this.stopped.signal.aborted) {
       const result = await this.askOnce();
       if (result === undefined || result.type === "accepted") continue;
-      this.isFresh = true;
+      this.isReconnectDue = true;
       await this.sleep();
     }
   }
@@ -74,12 +74,18 @@
   }
 
   private async ask(): Promise<ControlResult> {
-    const { control, clock, target, findWaitMs, findPatienceMs } = this.options;
+    const {
+      control,
+      clock,
+      target,
+      getHoldMs: findWaitMs,
+      getGraceMs: findPatienceMs,
+    } = this.options;
     const waitMs = findWaitMs(this.last?.role);
     const after = this.last;
     const askedAt = clock.now();
-    const isFresh = this.isFresh;
-    this.isFresh = false;
+    const isFresh = this.isReconnectDue;
+    this.isReconnectDue = false;
     const result = await control.status(target, {
       timeoutMs: waitMs + findPatienceMs(),
       ...(after === undefined
--- a/src/groupwatch/view.ts
+++ b/src/groupwatch/view.ts
@@ -26,7 +26,10 @@
  * none is. A primary that was superseded goes on showing an end of the log that is no longer the
  * group's, and ages told from it would be too small.
  */
-export function findBackedAt(view: GroupView, targets: readonly string[]): number | undefined {
+export function findMajorityConfirmedAt(
+  view: GroupView,
+  targets: readonly string[],
+): number | undefined {
   const { primary } = view;
   if (primary === undefined) return undefined;
   const asked = targets.flatMap((name) => {
--- a/src/leadership/decide.ts
+++ b/src/leadership/decide.ts
@@ -5,7 +5,7 @@
 /** Whether the proxies reach a primary, as far as they answered. */
 export interface Reachability {
   readonly reaching: number;
-  readonly missing: number;
+  readonly notReaching: number;
   /** Proxies that did not answer the question. */
   readonly silent: number;
 }
@@ -19,7 +19,7 @@
  * From this share of proxies on that can't reach a primary the role is moved: moving it costs all
  * callers about half a second, leaving it there costs theirs the whole cut.
  */
-const movingShare = 1 / 3;
+const minNotReachingShare = 1 / 3;
 
 /**
  * Decides whether a suspected primary is replaced. Not by a proxy that hears of less than half of the
@@ -31,20 +31,20 @@
   if (suspicion.type === "leaving") return { type: "change", reason: "the primary is leaving" };
   if (suspicion.type === "unlisted") return { type: "change", reason: "the primary is gone" };
   if (suspicion.type === "emptied") return { type: "change", reason: "the primary lost its log" };
-  const answered = reach.reaching + reach.missing;
+  const answered = reach.reaching + reach.notReaching;
   if (answered <= reach.silent) {
     return { type: "keep", reason: `${reach.silent} proxies do not say whether they reach it` };
   }
   if (reach.reaching === 0) return { type: "change", reason: "no proxy reaches the primary" };
-  const share = reach.missing / answered;
-  if (share >= movingShare) {
-    return { type: "change", reason: `${reach.missing} proxies can't reach the primary` };
+  const share = reach.notReaching / answered;
+  if (share >= minNotReachingShare) {
+    return { type: "change", reason: `${reach.notReaching} proxies can't reach the primary` };
   }
   return { type: "keep", reason: `${reach.reaching} proxies reach the primary` };
 }
 
 /** A target that may lead, with what it said of itself. */
-export interface Contender {
+export interface Candidate {
   readonly target: string;
   readonly isLeaving: boolean;
   readonly report: TargetReport;
@@ -56,20 +56,20 @@
  * an earlier change may have got that far. Else the one with the longest log, which loses least; a
  * target that is leaving only where there is no other.
  */
-export function chooseContender(
-  contenders: readonly Contender[],
+export function chooseCandidate(
+  candidates: readonly Candidate[],
   old: string,
-): Contender | undefined {
-  const staying = contenders.filter((c) => !c.isLeaving);
-  const pool = staying.length > 0 ? staying : contenders;
+): Candidate | undefined {
+  const staying = candidates.filter((c) => !c.isLeaving);
+  const pool = staying.length > 0 ? staying : candidates;
   const leader = pool.find((c) => c.report.role === "primary" && c.target !== old);
   if (leader !== undefined && pool.every((c) => c.report.round <= leader.report.round)) {
     return leader;
   }
-  return [...pool].sort(compareContenders)[0];
+  return [...pool].sort(compareCandidates)[0];
 }
 
-function compareContenders(a: Contender, b: Contender): number {
+function compareCandidates(a: Candidate, b: Candidate): number {
   const byLog = orderMarks(b.report.received, a.report.received);
   if (byLog !== 0) return byLog;
   if (a.report.lagMs !== b.report.lagMs) return a.report.lagMs - b.report.lagMs;
--- a/src/leadership/document.ts
+++ b/src/leadership/document.ts
@@ -1,7 +1,7 @@
 import type { Json } from "../model/index.js";
 
 /** The proxy that orders changes of primary now. One at a time, over all groups. */
-export interface DutyHolder {
+export interface LeaseHolder {
   readonly vm: string;
   /** Differs between two runs of the process on one VM. */
   readonly incarnation: string;
@@ -24,7 +24,7 @@
  * changed: its primary is the target that announces itself as such.
  */
 export interface LeadershipDocument {
-  readonly holder: DutyHolder | undefined;
+  readonly holder: LeaseHolder | undefined;
   readonly groups: Readonly<Record<string, GroupLeadership>>;
   /** Counts the holder's signs of life. */
   readonly renewals?: number;
@@ -66,8 +66,8 @@
   };
 }
 
-function decodeHolder(value: unknown): DutyHolder | undefined {
-  const { vm, incarnation } = (value ?? {}) as Partial<DutyHolder>;
+function decodeHolder(value: unknown): LeaseHolder | undefined {
+  const { vm, incarnation } = (value ?? {}) as Partial<LeaseHolder>;
   return typeof vm === "string" && typeof incarnation === "string"
     ? { vm, incarnation }
     : undefined;
--- a/src/leadership/index.ts
+++ b/src/leadership/index.ts
@@ -1,21 +1,21 @@
 export { PrimaryChanger } from "./changer.js";
 export {
   decodeLeadership,
-  type DutyHolder,
+  type LeaseHolder,
   emptyLeadership,
   encodeLeadership,
   type GroupLeadership,
   type LeadershipDocument,
   type VersionedLeadership,
 } from "./document.js";
-export { type Contender, chooseContender, decideChange } from "./decide.js";
-export { LeadershipKeeper } from "./keeper.js";
+export { type Candidate, chooseCandidate, decideChange } from "./decide.js";
+export { LeadershipTracker } from "./tracker.js";
 export {
   findWaitEnd,
   isConfirmedByPeers,
   isPermitted,
-  minorityWaitMs,
-  peerConfirmMs,
+  noMajorityWaitMs,
+  maxStoreAnswerAgeMs,
   permitMs,
 } from "./permit.js";
 export {
@@ -23,8 +23,8 @@
   type LeadershipPeers,
   type LeadershipPorts,
   type LeadershipStore,
-  type LeadershipWord,
-  type MadePrimary,
+  type LeadershipUpdate,
+  type PromotedPrimary,
   type PromoteOrder,
   type Promoter,
   type PromoteResult,
@@ -36,8 +36,8 @@
 export { StallDetector } from "./stall.js";
 export {
   findSuspicion,
-  noteContact,
-  noteSilence,
+  recordContact,
+  recordSilence,
   type PrimaryContact,
   type Suspicion,
 } from "./suspicion.js";
--- a/src/leadership/inquiry.ts
+++ b/src/leadership/inquirer.ts
@@ -5,27 +5,30 @@
 /** A status takes a round trip of 1 to 3 ms and a slot; twice the longest usual work. */
 const askTimeoutMs = 200;
 /** A question through another proxy takes a round trip more, on a busy one some tens of milliseconds. */
-const relayMs = 150;
+const relayTimeoutMs = 150;
 
 /** What an inquiry needs. */
-export type InquiryPorts = Pick<
+export type TargetInquirerPorts = Pick<
   LeadershipPorts,
-  "vm" | "peers" | "askTarget" | "listProxies" | "listHolders"
+  "vm" | "peers" | "askTarget" | "listProxies" | "listGroupProxies"
 >;
 
 /** Asks targets from here and through the other proxies. */
-export class Inquiry {
-  constructor(private readonly ports: InquiryPorts) {}
+export class TargetInquirer {
+  constructor(private readonly ports: TargetInquirerPorts) {}
 
   /** Asks every proxy that holds the group's connections, this one included, for a fresh answer of a primary. */
-  async measureReach(group: string, target: string): Promise<Reachability> {
+  async measureReachability(group: string, target: string): Promise<Reachability> {
     const question = { group, target, demoteRound: undefined };
-    const answers = await Promise.all([this.askHere(question), ...this.askThrough(question)]);
+    const answers = await Promise.all([
+      this.askDirectly(question),
+      ...this.askThroughOthers(question),
+    ]);
     const known = answers.filter((answer) => answer !== undefined);
-    const reaching = known.filter(isReached).length;
+    const reaching = known.filter(showsLeadingPrimary).length;
     return {
       reaching,
-      missing: known.length - reaching,
+      notReaching: known.length - reaching,
       silent: answers.length - known.length,
     };
   }
@@ -35,32 +38,34 @@
    * is being replaced is likely not to be reached from here: one after the other, each question to it
    * took 0.55 s.
    */
-  askAll(question: TargetQuestion): Promise<TargetReport | undefined> {
-    const answers = [this.askHere(question), ...this.askThrough(question)];
-    return findFirst(answers.map(async (answer) => findReport(await answer)));
+  askThroughAll(question: TargetQuestion): Promise<TargetReport | undefined> {
+    const answers = [this.askDirectly(question), ...this.askThroughOthers(question)];
+    return findFirstDefined(answers.map(async (answer) => findReport(await answer)));
   }
 
   /** Asks a target from here, else through the other proxies. */
-  async askAnyone(question: TargetQuestion): Promise<TargetReport | undefined> {
-    const own = findReport(await this.askHere(question));
+  async askWithFallback(question: TargetQuestion): Promise<TargetReport | undefined> {
+    const own = findReport(await this.askDirectly(question));
     if (own !== undefined) return own;
-    return findFirst(this.askThrough(question).map(async (answer) => findReport(await answer)));
+    return findFirstDefined(
+      this.askThroughOthers(question).map(async (answer) => findReport(await answer)),
+    );
   }
 
   /** The other proxies that are registered. */
-  listOthers(): readonly Proxy[] {
+  listOtherProxies(): readonly Proxy[] {
     return this.ports.listProxies().filter((proxy) => proxy.vm !== this.ports.vm);
   }
 
-  private askHere(question: TargetQuestion): Promise<TargetAnswer> {
+  private askDirectly(question: TargetQuestion): Promise<TargetAnswer> {
     return this.ports.askTarget(question, askTimeoutMs);
   }
 
-  private askThrough(question: TargetQuestion): readonly Promise<TargetAnswer | undefined>[] {
-    const { peers, vm, listHolders } = this.ports;
+  private askThroughOthers(question: TargetQuestion): readonly Promise<TargetAnswer | undefined>[] {
+    const { peers, vm, listGroupProxies: listHolders } = this.ports;
     // Others hold no connection to the target, and would open one each at the same time.
     const holders = listHolders(question.group).filter((proxy) => proxy.vm !== vm);
-    return holders.map((proxy) => peers.askTarget(proxy, question, askTimeoutMs + relayMs));
+    return holders.map((proxy) => peers.askTarget(proxy, question, askTimeoutMs + relayTimeoutMs));
   }
 }
 
@@ -72,7 +77,7 @@
  * Whether an answer shows that the primary runs and leads. One whose slots are all taken runs: taken as
  * gone, a primary would be replaced because much is asked of it, and the next one after it.
  */
-function isReached(answer: TargetAnswer): boolean {
+function showsLeadingPrimary(answer: TargetAnswer): boolean {
   switch (answer.type) {
     case "report":
       return answer.report.role === "primary";
@@ -84,7 +89,9 @@
 }
 
 /** The first of some answers that is one; none when all are over without. */
-async function findFirst<T>(answers: readonly Promise<T | undefined>[]): Promise<T | undefined> {
+async function findFirstDefined<T>(
+  answers: readonly Promise<T | undefined>[],
+): Promise<T | undefined> {
   const found = answers.map(async (answer) => {
     const value = await answer;
     if (value === undefined) throw new Error("no answer");
--- a/src/leadership/telling.ts
+++ b/src/leadership/notification.ts
@@ -1,40 +1,40 @@
-import type { LeadershipKeeper } from "./keeper.js";
+import type { LeadershipTracker } from "./tracker.js";
 import { findWaitEnd } from "./permit.js";
 import type { LeadershipPorts, Proxy } from "./ports.js";
 
 /** Telling another proxy takes a round trip; one that runs answers within this, busy or not. */
 const shareTimeoutMs = 150;
 /** Between two tries to tell those that did not answer: they may be back, or the cut may have healed. */
-const tellAgainMs = 100;
+const notifyRetryMs = 100;
 
 /** What came of telling the other proxies. */
-export interface Telling {
+export interface NotificationResult {
   /** When each that holds to the document now had answered, on this proxy's clock. */
-  readonly toldAt: readonly number[];
+  readonly notifiedAt: readonly number[];
   /** Those that did not answer, or hold to an older document. */
-  readonly missed: readonly Proxy[];
+  readonly unanswered: readonly Proxy[];
 }
 
-type TellingPorts = Pick<LeadershipPorts, "clock" | "peers">;
+type NotificationPorts = Pick<LeadershipPorts, "clock" | "peers">;
 
 /** Tells other proxies what is held of the leadership; each that answers acts on nothing older. */
-export async function tellProxies(
-  { clock, peers }: TellingPorts,
-  keeper: LeadershipKeeper,
+export async function notifyProxies(
+  { clock, peers }: NotificationPorts,
+  tracker: LeadershipTracker,
   others: readonly Proxy[],
-): Promise<Telling> {
-  const { word } = keeper;
+): Promise<NotificationResult> {
+  const { latestUpdate: word } = tracker;
   const { version } = word.leadership;
   const toldAt: number[] = [];
   const missed: Proxy[] = [];
   const tellOne = async (proxy: Proxy) => {
     const answer = await peers.share(proxy, word, shareTimeoutMs);
-    if (answer !== undefined) keeper.adopt(answer);
+    if (answer !== undefined) tracker.adopt(answer);
     if (answer === undefined || answer.leadership.version < version) missed.push(proxy);
     else toldAt.push(clock.now());
   };
   await Promise.all(others.map(tellOne));
-  return { toldAt, missed };
+  return { notifiedAt: toldAt, unanswered: missed };
 }
 
 /**
@@ -42,11 +42,11 @@
  * the cut that they were behind has healed, nothing need be waited for any more. `isListed` says
  * whether the proxies were read anew: one that is not known of may be there, as one that does not answer.
  */
-export async function waitOutSilent(
-  ports: TellingPorts,
-  keeper: LeadershipKeeper,
+export async function waitForPermitExpiry(
+  ports: NotificationPorts,
+  tracker: LeadershipTracker,
   begunAt: number,
-  { toldAt, missed }: Telling,
+  { notifiedAt: toldAt, unanswered: missed }: NotificationResult,
   isListed: boolean,
 ): Promise<void> {
   const { clock } = ports;
@@ -56,11 +56,12 @@
   let left = missed;
   let told = [begunAt, ...toldAt];
   for (;;) {
-    const leftMs = findWaitEnd({ begunAt, proxies, toldAt: told }) - clock.now();
+    const leftMs =
+      findWaitEnd({ startedAt: begunAt, proxyCount: proxies, notifiedAt: told }) - clock.now();
     if (leftMs <= 0) return;
-    await clock.sleep(Math.min(tellAgainMs, leftMs));
-    const telling = await tellProxies(ports, keeper, left);
-    left = telling.missed;
-    told = [...told, ...telling.toldAt];
+    await clock.sleep(Math.min(notifyRetryMs, leftMs));
+    const telling = await notifyProxies(ports, tracker, left);
+    left = telling.unanswered;
+    told = [...told, ...telling.notifiedAt];
   }
 }
--- a/src/leadership/permit.ts
+++ b/src/leadership/permit.ts
@@ -30,7 +30,7 @@
 }
 
 /** An answer of another proxy to the question who leads. */
-export interface PeerWord {
+export interface PeerVersion {
   /** The version of the document that it holds to. */
   readonly version: number;
 }
@@ -42,7 +42,7 @@
  * told of writes that are lost. Longer than an outage of the store usually lasts, 4 to 9 s, so that one
  * stops nobody; `minorityWaitMs` is what makes it enough.
  */
-export const peerConfirmMs = 10_000;
+export const maxStoreAnswerAgeMs = 10_000;
 
 /**
  * How long a change of primary waits at most for proxies of which it could not tell a majority, in
@@ -51,29 +51,33 @@
  * from before the change stood there; from then on they confirm one another for `peerConfirmMs`, and use
  * the last permission to its end. The rest is for the difference between two steady clocks.
  */
-export const minorityWaitMs = peerConfirmMs + permitMs + 400;
+export const noMajorityWaitMs = maxStoreAnswerAgeMs + permitMs + 400;
 /** Added to a permission's time, for the difference between two steady clocks and their timers. */
-const permitMarginMs = 150;
+const clockMarginMs = 150;
 
 /** What a change of primary knows of the proxies that it has to tell. Times are on its clock. */
-export interface TellingProgress {
-  readonly begunAt: number;
+export interface NotificationProgress {
+  readonly startedAt: number;
   /** All that are registered, the one that carries it out included. */
-  readonly proxies: number;
+  readonly proxyCount: number;
   /** When each that was told had answered, the one that carries it out included. */
-  readonly toldAt: readonly number[];
+  readonly notifiedAt: readonly number[];
 }
 
 /**
  * Until when a change of primary has to wait: not at all once all are told. With a majority told no
  * other majority confirms anybody any more, and permissions from before lapse.
  */
-export function findWaitEnd({ begunAt, proxies, toldAt }: TellingProgress): number {
+export function findWaitEnd({
+  startedAt: begunAt,
+  proxyCount: proxies,
+  notifiedAt: toldAt,
+}: NotificationProgress): number {
   if (toldAt.length >= proxies) return begunAt;
-  const longest = begunAt + minorityWaitMs;
+  const latestEnd = begunAt + noMajorityWaitMs;
   const majorityToldAt = [...toldAt].sort((a, b) => a - b)[Math.floor(proxies / 2)];
-  if (majorityToldAt === undefined) return longest;
-  return Math.min(longest, majorityToldAt + permitMs + permitMarginMs);
+  if (majorityToldAt === undefined) return latestEnd;
+  return Math.min(latestEnd, majorityToldAt + permitMs + clockMarginMs);
 }
 
 /**
@@ -84,12 +88,12 @@
  */
 export function isConfirmedByPeers(
   version: number,
-  answers: readonly PeerWord[],
-  proxies: number,
+  answers: readonly PeerVersion[],
+  proxyCount: number,
   storeAskedAt: number | undefined,
   now: number,
 ): boolean {
-  if (storeAskedAt === undefined || now - storeAskedAt > peerConfirmMs) return false;
+  if (storeAskedAt === undefined || now - storeAskedAt > maxStoreAnswerAgeMs) return false;
   const agreeing = answers.filter((answer) => answer.version <= version).length;
-  return agreeing === answers.length && agreeing + 1 > proxies / 2;
+  return agreeing === answers.length && agreeing + 1 > proxyCount / 2;
 }
--- a/src/leadership/ports.ts
+++ b/src/leadership/ports.ts
@@ -21,20 +21,20 @@
 }
 
 /** A primary that a change has made, before the store has the document that says so. */
-export interface MadePrimary {
+export interface PromotedPrimary {
   readonly group: string;
   readonly round: number;
   readonly target: string;
 }
 
 /** What one proxy tells another of the leadership. */
-export interface LeadershipWord {
+export interface LeadershipUpdate {
   readonly leadership: VersionedLeadership;
-  readonly made: readonly MadePrimary[];
+  readonly promoted: readonly PromotedPrimary[];
 }
 
 /** What a proxy answered. Ages are in milliseconds, as of its answer. */
-export interface LeadershipAnswer extends LeadershipWord {
+export interface LeadershipAnswer extends LeadershipUpdate {
   readonly vm: string;
   /** Whether it lists the asking proxy, and as one that nobody has missed. */
   readonly listsAsker: boolean;
@@ -52,7 +52,7 @@
 export interface LeadershipPeers {
   share(
     proxy: Proxy,
-    word: LeadershipWord,
+    word: LeadershipUpdate,
     timeoutMs: number,
   ): Promise<LeadershipAnswer | undefined>;
   /** With `demoteRound`, demotes the target unless it leads that term. */
@@ -124,7 +124,7 @@
   /** Writes down that a proxy did not answer, unless its entry has changed. */
   readonly markMissed: (proxy: Proxy) => Promise<void>;
   /** The registered proxies that hold a group's connections, which reach its targets or don't. */
-  readonly listHolders: (group: string) => readonly Proxy[];
+  readonly listGroupProxies: (group: string) => readonly Proxy[];
   readonly listTargets: (group: string) => readonly AnnouncedTarget[];
   /** The groups whose primaries this proxy looks after: those whose connections it holds. */
   readonly listGroups: () => readonly string[];
--- a/src/leadership/stall.ts
+++ b/src/leadership/stall.ts
@@ -1,6 +1,6 @@
 /** Reads the two clocks of a process, in milliseconds. */
 export interface ClockPair {
-  readonly steady: () => number;
+  readonly monotonic: () => number;
   readonly wall: () => number;
 }
 
@@ -17,12 +17,12 @@
   private offset: number;
 
   constructor(private readonly clocks: ClockPair) {
-    this.offset = clocks.wall() - clocks.steady();
+    this.offset = clocks.wall() - clocks.monotonic();
   }
 
   /** Whether the clocks have parted since the last question. */
-  check(): boolean {
-    const offset = this.clocks.wall() - this.clocks.steady();
+  detectStall(): boolean {
+    const offset = this.clocks.wall() - this.clocks.monotonic();
     const hasParted = Math.abs(offset - this.offset) > toleranceMs;
     this.offset = offset;
     return hasParted;
--- a/src/leadership/suspicion.ts
+++ b/src/leadership/suspicion.ts
@@ -3,8 +3,8 @@
   readonly target: string;
   readonly reachedAt: number | undefined;
   /** When the first of the failures since then began to count. */
-  readonly missingSince: number | undefined;
-  readonly misses: number;
+  readonly failingSince: number | undefined;
+  readonly failures: number;
 }
 
 /** Why a primary should be replaced, as one proxy sees it. */
@@ -18,29 +18,29 @@
   | { readonly type: "emptied" };
 
 /** Failures within this time are one event, such as a connection reset under several statements. */
-const suspectAfterMs = 250;
+const minFailureMs = 250;
 /** One lost answer is no evidence. */
-const suspectMisses = 2;
+const minFailures = 2;
 
 /** Notes that a statement to a primary went through, or did not. */
-export function noteContact(
+export function recordContact(
   contact: PrimaryContact | undefined,
   target: string,
   isReached: boolean,
   now: number,
 ): PrimaryContact {
-  if (isReached) return { target, reachedAt: now, missingSince: undefined, misses: 0 };
+  if (isReached) return { target, reachedAt: now, failingSince: undefined, failures: 0 };
   if (contact?.target !== target) {
-    return { target, reachedAt: undefined, missingSince: now, misses: 1 };
+    return { target, reachedAt: undefined, failingSince: now, failures: 1 };
   }
-  return { ...contact, missingSince: contact.missingSince ?? now, misses: contact.misses + 1 };
+  return { ...contact, failingSince: contact.failingSince ?? now, failures: contact.failures + 1 };
 }
 
 /**
  * Notes that a primary has left what was sent to it at `since` without an answer, and does not take a
  * new connection either. That is as much as several failures: no others need be waited for.
  */
-export function noteSilence(
+export function recordSilence(
   contact: PrimaryContact | undefined,
   target: string,
   since: number,
@@ -49,13 +49,13 @@
   return {
     target,
     reachedAt: known?.reachedAt,
-    missingSince: Math.min(known?.missingSince ?? since, since),
-    misses: Math.max(known?.misses ?? 0, suspectMisses),
+    failingSince: Math.min(known?.failingSince ?? since, since),
+    failures: Math.max(known?.failures ?? 0, minFailures),
   };
 }
 
 /** What a proxy sees of a group's primary when it asks whether to replace it. */
-export interface PrimarySight {
+export interface PrimaryObservation {
   readonly target: string;
   readonly isListed: boolean;
   readonly isLeaving: boolean;
@@ -64,13 +64,14 @@
 }
 
 /** Whether there is a reason to replace a primary. */
-export function findSuspicion(sight: PrimarySight, now: number): Suspicion | undefined {
-  if (!sight.isListed) return { type: "unlisted" };
-  if (sight.hasLostLog) return { type: "emptied" };
-  if (sight.isLeaving) return { type: "leaving" };
-  const { contact } = sight;
-  if (contact?.target !== sight.target || contact.missingSince === undefined) return undefined;
-  const sinceMs = now - contact.missingSince;
-  if (contact.misses < suspectMisses || sinceMs < suspectAfterMs) return undefined;
+export function findSuspicion(observation: PrimaryObservation, now: number): Suspicion | undefined {
+  if (!observation.isListed) return { type: "unlisted" };
+  if (observation.hasLostLog) return { type: "emptied" };
+  if (observation.isLeaving) return { type: "leaving" };
+  const { contact } = observation;
+  if (contact?.target !== observation.target || contact.failingSince === undefined)
+    return undefined;
+  const sinceMs = now - contact.failingSince;
+  if (contact.failures < minFailures || sinceMs < minFailureMs) return undefined;
   return { type: "unreachable", sinceMs };
 }
--- a/src/leadership/keeper.ts
+++ b/src/leadership/tracker.ts
@@ -4,20 +4,20 @@
 import type { Clock } from "../model/index.js";
 import { emptyLeadership, type GroupLeadership, type VersionedLeadership } from "./document.js";
 import { extendPermit, isPermitted, noPermit, type Permit } from "./permit.js";
-import type { LeadershipWord, MadePrimary } from "./ports.js";
+import type { LeadershipUpdate, PromotedPrimary } from "./ports.js";
 import type { StallDetector } from "./stall.js";
-import { noteContact, noteSilence, type PrimaryContact } from "./suspicion.js";
+import { recordContact, recordSilence, type PrimaryContact } from "./suspicion.js";
 
-/** What a keeper needs of the world. */
-export interface KeeperPorts {
+/** What a tracker needs of the world. */
+export interface LeadershipTrackerPorts {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly stalls: StallDetector;
+  readonly stallDetector: StallDetector;
   readonly listTargets: (group: string) => readonly AnnouncedTarget[];
   /** The process stood still: what was measured on its clock no longer holds. */
   readonly onStall: () => void;
   /** A primary has left a statement without an answer. */
-  readonly onMiss: () => void;
+  readonly onContactFailure: () => void;
   /** A primary is being replaced. */
   readonly onSuperseded: (group: string, target: string) => void;
   /** Nothing has come from a primary since `since`, when a statement was sent to it. */
@@ -30,22 +30,22 @@
 }
 
 /** The time from a change's beginning to its end that callers are told at first, in milliseconds. */
-const usualChangeMs = 900;
+const typicalChangeMs = 900;
 /** Callers are told to come back no sooner than this. */
-const leastBackMs = 50;
+const minRetryDelayMs = 50;
 /** Why no primary may be used, for the log and the text of refusals. */
-const beingMade = "a new primary is being made";
-const unpermitted = "this proxy may use no primary until it is confirmed who leads";
+const changeUnderWay = "a new primary is being made";
+const noPermitHeld = "this proxy may use no primary until it is confirmed who leads";
 const lostLog = "the primary has lost commits and is being replaced";
 /** The permission comes back with the next poll unless the store is away. */
-const permitBackMs = 150;
+const minPermitDelayMs = 150;
 
 /** What this proxy holds about who leads, and whether it may act on it. */
-export class LeadershipKeeper implements PrimarySource {
+export class LeadershipTracker implements PrimarySource {
   private current: VersionedLeadership = { version: 0, document: emptyLeadership };
-  private made: readonly MadePrimary[] = [];
+  private promoted: readonly PromotedPrimary[] = [];
   private permit: Permit = noPermit;
-  private storeAskedAt: number | undefined;
+  private lastStoreQueryAt: number | undefined;
   private hasPermit = false;
   private isRevoked = false;
   private permitLostAt: number | undefined;
@@ -55,14 +55,14 @@
   private readonly lostLogs = new Map<string, LostLog>();
   private readonly changingSince = new Map<string, number>();
 
-  constructor(private readonly ports: KeeperPorts) {}
+  constructor(private readonly ports: LeadershipTrackerPorts) {}
 
   get leadership(): VersionedLeadership {
     return this.current;
   }
 
-  get word(): LeadershipWord {
-    return { leadership: this.current, made: this.made };
+  get latestUpdate(): LeadershipUpdate {
+    return { leadership: this.current, promoted: this.promoted };
   }
 
   /** When the question was sent whose answer confirmed the leadership last. */
@@ -78,16 +78,16 @@
   }
 
   /** Takes in a document, and primaries made since. Older documents change nothing. */
-  adopt({ leadership, made }: LeadershipWord): void {
+  adopt({ leadership, promoted }: LeadershipUpdate): void {
     if (leadership.version > this.current.version) {
       this.current = leadership;
-      this.noteChanges();
+      this.trackGroupChanges();
       const { version } = leadership;
       const { holder } = leadership.document;
       this.ports.logger.write(leadershipEvents.adopted, { version, holder: holder?.vm ?? null });
     }
-    const fresh = made.filter((m) => !this.made.some((known) => isSame(known, m)));
-    this.made = [...this.made, ...fresh].filter((m) => this.isOpenRound(m));
+    const fresh = promoted.filter((m) => !this.promoted.some((known) => isSameRound(known, m)));
+    this.promoted = [...this.promoted, ...fresh].filter((m) => this.isPendingRound(m));
   }
 
   /** Notes that what is held was confirmed by the answer to a question sent at `askedAt`. */
@@ -103,17 +103,17 @@
   noteStoreAnswer(askedAt: number): void {
     this.checkStall();
     if (this.stalledAt !== undefined && askedAt <= this.stalledAt) return;
-    this.storeAskedAt = Math.max(this.storeAskedAt ?? askedAt, askedAt);
+    this.lastStoreQueryAt = Math.max(this.lastStoreQueryAt ?? askedAt, askedAt);
   }
 
   /** When the question was sent that the store answered last, as far as this process knows. */
-  get storeAnswerAskedAt(): number | undefined {
+  get lastAnsweredStoreQueryAt(): number | undefined {
     this.checkStall();
-    return this.storeAskedAt;
+    return this.lastStoreQueryAt;
   }
 
   /** Gives the permission up for good: this proxy is about to be one that nobody waits for. */
-  revoke(): void {
+  revokePermit(): void {
     this.isRevoked = true;
     this.permit = noPermit;
   }
@@ -132,7 +132,8 @@
       this.ports.logger.write(event, { version: this.current.version });
     }
     if (isNow) this.permitLostAt = undefined;
-    if (!isNow) return { type: "changing", backInMs: this.estimatePermitMs(), reason: unpermitted };
+    if (!isNow)
+      return { type: "changing", backInMs: this.estimatePermitDelayMs(), reason: noPermitHeld };
     return this.findLeader(group);
   }
 
@@ -140,21 +141,25 @@
   findLeader(group: string): PrimaryState {
     const entry = this.current.document.groups[group];
     if (entry === undefined) return this.findAnnounced(group);
-    const target = entry.type === "serving" ? entry.target : this.findMade(group, entry);
+    const target = entry.type === "serving" ? entry.target : this.findPromoted(group, entry);
     if (target === undefined) {
-      return { type: "changing", backInMs: this.estimateBackMs(group), reason: beingMade };
+      return {
+        type: "changing",
+        backInMs: this.estimateRemainingMs(group),
+        reason: changeUnderWay,
+      };
     }
     const isListed = this.ports.listTargets(group).some((t) => t.name === target);
     if (isListed && !this.hasLostLog(group, target)) return { type: "serving", target };
     const reason = isListed ? lostLog : "the primary's entry is missing";
-    return { type: "changing", backInMs: usualChangeMs, reason };
+    return { type: "changing", backInMs: typicalChangeMs, reason };
   }
 
   /** The primary of a group by what is held, listed or not. */
-  findHeldPrimary(group: string): string | undefined {
+  findKnownPrimary(group: string): string | undefined {
     const entry = this.current.document.groups[group];
     if (entry?.type === "serving") return entry.target;
-    if (entry?.type === "changing") return this.findMade(group, entry);
+    if (entry?.type === "changing") return this.findPromoted(group, entry);
     const announced = this.findAnnounced(group);
     if (announced.type === "serving") return announced.target;
     return this.lostLogs.get(group)?.target ?? this.contacts.get(group)?.target;
@@ -163,8 +168,8 @@
   noteContact(group: string, target: string, isReached: boolean): void {
     const { clock } = this.ports;
     const known = this.contacts.get(group);
-    this.contacts.set(group, noteContact(known, target, isReached, clock.now()));
-    if (!isReached) this.ports.onMiss();
+    this.contacts.set(group, recordContact(known, target, isReached, clock.now()));
+    if (!isReached) this.ports.onContactFailure();
   }
 
   noteLostLog(group: string, target: string): void {
@@ -177,7 +182,7 @@
     }
     if (known === undefined) this.ports.logger.write(leadershipEvents.logLost, { group, target });
     this.lostLogs.set(group, { target, round });
-    this.ports.onMiss();
+    this.ports.onContactFailure();
   }
 
   /** Whether the primary of the round in force has lost commits that it had acknowledged. */
@@ -201,13 +206,13 @@
    * Notes whether a primary that was silent since `since` took a new connection. One of which much is
    * asked may not do so in time, and answers statements all the while.
    */
-  noteProbe(group: string, target: string, since: number, isReached: boolean): void {
+  noteProbeResult(group: string, target: string, since: number, isReached: boolean): void {
     if (isReached) this.noteContact(group, target, true);
     else if (!this.hasReached(group, target, since))
-      this.contacts.set(group, noteSilence(this.contacts.get(group), target, since));
+      this.contacts.set(group, recordSilence(this.contacts.get(group), target, since));
   }
 
-  findContact(group: string): PrimaryContact | undefined {
+  getContact(group: string): PrimaryContact | undefined {
     return this.contacts.get(group);
   }
 
@@ -222,10 +227,10 @@
   }
 
   private checkStall(): void {
-    if (!this.ports.stalls.check()) return;
+    if (!this.ports.stallDetector.detectStall()) return;
     this.stalledAt = this.ports.clock.now();
     this.permit = noPermit;
-    this.storeAskedAt = undefined;
+    this.lastStoreQueryAt = undefined;
     this.ports.logger.write(leadershipEvents.stalled, {});
     this.ports.onStall();
   }
@@ -235,11 +240,15 @@
     const leaders = this.ports.listTargets(group).filter((t) => t.announcedRole === "primary");
     const [leader] = leaders;
     if (leader === undefined) {
-      return { type: "changing", backInMs: usualChangeMs, reason: "no target says that it leads" };
+      return {
+        type: "changing",
+        backInMs: typicalChangeMs,
+        reason: "no target says that it leads",
+      };
     }
     if (leaders.length > 1) return { type: "unknown", reason: "two targets claim to be primary" };
     if (this.hasLostLog(group, leader.name)) {
-      return { type: "changing", backInMs: usualChangeMs, reason: lostLog };
+      return { type: "changing", backInMs: typicalChangeMs, reason: lostLog };
     }
     return { type: "serving", target: leader.name };
   }
@@ -249,24 +258,24 @@
    * later. Callers that a proxy which is cut off told to wait would do so in vain; refused at once they try
    * again elsewhere.
    */
-  private estimatePermitMs(): number {
+  private estimatePermitDelayMs(): number {
     const now = this.ports.clock.now();
     this.permitLostAt ??= now;
-    return Math.max(permitBackMs, 2 * (now - this.permitLostAt));
+    return Math.max(minPermitDelayMs, 2 * (now - this.permitLostAt));
   }
 
-  private findMade(group: string, entry: GroupLeadership): string | undefined {
-    return this.made.find((m) => m.group === group && m.round === entry.round)?.target;
+  private findPromoted(group: string, entry: GroupLeadership): string | undefined {
+    return this.promoted.find((m) => m.group === group && m.round === entry.round)?.target;
   }
 
   /** Whether a primary that was made belongs to the change that is under way. */
-  private isOpenRound({ group, round }: MadePrimary): boolean {
+  private isPendingRound({ group, round }: PromotedPrimary): boolean {
     const entry = this.current.document.groups[group];
     if (entry === undefined) return true;
     return entry.type === "changing" ? round >= entry.round : round > entry.round;
   }
 
-  private noteChanges(): void {
+  private trackGroupChanges(): void {
     const now = this.ports.clock.now();
     for (const [group, entry] of Object.entries(this.current.document.groups)) {
       this.forgetLostLog(group, entry);
@@ -278,14 +287,14 @@
     }
   }
 
-  private estimateBackMs(group: string): number {
+  private estimateRemainingMs(group: string): number {
     const since = this.changingSince.get(group) ?? this.ports.clock.now();
     const goneMs = this.ports.clock.now() - since;
     // One that takes longer than usual is likely to go on for a while: half as long again.
-    return Math.max(leastBackMs, usualChangeMs - goneMs, goneMs / 2);
+    return Math.max(minRetryDelayMs, typicalChangeMs - goneMs, goneMs / 2);
   }
 }
 
-function isSame(a: MadePrimary, b: MadePrimary): boolean {
+function isSameRound(a: PromotedPrimary, b: PromotedPrimary): boolean {
   return a.group === b.group && a.round === b.round;
 }
--- a/src/leadership/writer.ts
+++ b/src/leadership/writer.ts
@@ -1,14 +1,14 @@
 import { emptyLeadership, encodeLeadership } from "./document.js";
 import type { LeadershipDocument, VersionedLeadership } from "./document.js";
-import type { LeadershipKeeper } from "./keeper.js";
+import type { LeadershipTracker } from "./tracker.js";
 import type { LeadershipPorts } from "./ports.js";
 
 /** Tries of one write against others' writes and lost answers. */
-const maxWriteTries = 6;
-const writePauseMs = 60;
+const maxWriteAttempts = 6;
+const writeRetryMs = 60;
 
 /** Makes the next document of the one that the store holds, or nothing when that bars it. */
-export type Edit = (document: LeadershipDocument) => LeadershipDocument | undefined;
+export type DocumentEdit = (document: LeadershipDocument) => LeadershipDocument | undefined;
 
 /** A document that was written, and when its write was sent at the earliest, on this proxy's clock. */
 export interface WrittenLeadership {
@@ -23,19 +23,19 @@
  */
 export async function editLeadership(
   { clock, store }: Pick<LeadershipPorts, "clock" | "store">,
-  keeper: LeadershipKeeper,
-  edit: Edit,
+  tracker: LeadershipTracker,
+  edit: DocumentEdit,
   onRead: () => void = () => undefined,
 ): Promise<WrittenLeadership | undefined> {
   let attempted: LeadershipDocument | undefined;
-  for (let tries = 0; tries < maxWriteTries; tries += 1) {
-    if (tries > 0) await clock.sleep(writePauseMs * tries);
+  for (let tries = 0; tries < maxWriteAttempts; tries += 1) {
+    if (tries > 0) await clock.sleep(writeRetryMs * tries);
     const askedAt = clock.now();
     const read = await store.read();
     if (read.type === "unavailable") continue;
     const held = read.type === "found" ? read.value : { version: 0, document: emptyLeadership };
-    keeper.adopt({ leadership: held, made: [] });
-    keeper.confirm(askedAt);
+    tracker.adopt({ leadership: held, promoted: [] });
+    tracker.confirm(askedAt);
     onRead();
     if (attempted !== undefined && isSameDocument(attempted, held.document)) {
       return { leadership: held, sentAt: askedAt };
@@ -47,7 +47,7 @@
     attempted = next;
     if (result.type !== "written") continue;
     const leadership = { version: result.object.version, document: next };
-    keeper.adopt({ leadership, made: [] });
+    tracker.adopt({ leadership, promoted: [] });
     onRead();
     return { leadership, sentAt };
   }
--- a/src/node/confirmer.ts
+++ b/src/node/confirmer.ts
@@ -2,7 +2,7 @@
 import {
   isConfirmedByPeers,
   type LeadershipAnswer,
-  type LeadershipKeeper,
+  type LeadershipTracker,
 } from "../leadership/index.js";
 import type { Clock } from "../model/index.js";
 import type { Members } from "./members.js";
@@ -16,7 +16,7 @@
 export interface PeerConfirmerPorts {
   readonly vm: string;
   readonly peers: Pick<DirectPeerClient, "share">;
-  readonly keeper: LeadershipKeeper;
+  readonly keeper: LeadershipTracker;
   readonly members: Members;
   readonly clock: Pick<Clock, "now">;
 }
@@ -33,7 +33,9 @@
     if (confirmedAt !== undefined && askedAt - confirmedAt < askPeersAfterMs) return [];
     const others = members.list().filter((proxy) => proxy.vm !== vm);
     const answers = (
-      await Promise.all(others.map((proxy) => peers.share(proxy, keeper.word, peerTimeoutMs)))
+      await Promise.all(
+        others.map((proxy) => peers.share(proxy, keeper.latestUpdate, peerTimeoutMs)),
+      )
     ).filter((answer) => answer !== undefined);
     for (const answer of answers) keeper.adopt(answer);
     if (members.isMemberBefore(askedAt)) this.confirmBy(answers, askedAt);
@@ -57,7 +59,7 @@
     }
     if (!members.isWhole) return;
     const words = listing.map((answer) => ({ version: answer.leadership.version }));
-    const storeAskedAt = keeper.storeAnswerAskedAt;
+    const storeAskedAt = keeper.lastAnsweredStoreQueryAt;
     if (isConfirmedByPeers(version, words, members.list().length, storeAskedAt, askedAt)) {
       keeper.confirm(askedAt);
     }
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -2,7 +2,7 @@
 import type { DirectPeerClient } from "../directpeer/index.js";
 import type { RouteTable } from "../feed/index.js";
 import { countMemberQuota } from "../gateway/index.js";
-import type { LeadershipAnswer, LeadershipKeeper, Proxy } from "../leadership/index.js";
+import type { LeadershipAnswer, LeadershipTracker, Proxy } from "../leadership/index.js";
 import { leadershipEvents } from "../log/events/leadership.js";
 import { nodeEvents } from "../log/events/node.js";
 import type { Logger } from "../log/index.js";
@@ -31,7 +31,7 @@
   readonly settings: NodeSettings;
   readonly store: NodeStore;
   readonly peers: DirectPeerClient;
-  readonly keeper: LeadershipKeeper;
+  readonly keeper: LeadershipTracker;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
@@ -134,7 +134,7 @@
    */
   async leave(): Promise<void> {
     this.stop();
-    this.ports.keeper.revoke();
+    this.ports.keeper.revokePermit();
     await this.members.deregister();
   }
 
@@ -214,7 +214,7 @@
    */
   private async lookThroughUpstream(): Promise<boolean> {
     const { keeper, clock } = this.ports;
-    const answer = await this.reader.askUpstream(this.members.list(), keeper.word);
+    const answer = await this.reader.askUpstream(this.members.list(), keeper.latestUpdate);
     switch (answer.type) {
       case "silent":
         return false;
@@ -234,7 +234,7 @@
   private async lookThroughReader(): Promise<boolean> {
     const { keeper } = this.ports;
     if (keeper.confirmedAt === undefined) return false;
-    const look = await this.reader.ask(this.members.list(), keeper.word);
+    const look = await this.reader.ask(this.members.list(), keeper.latestUpdate);
     if (look === undefined || !(await this.takeLook(look))) return false;
     const { confirmedAt, answer } = look;
     const isCurrent = answer.leadership.version >= keeper.leadership.version;
@@ -303,7 +303,7 @@
     this.isAway = false;
     this.keptScene.noteStoreAnswer(askedAt);
     if (beat.value.leadership !== undefined) {
-      keeper.adopt({ leadership: beat.value.leadership, made: [] });
+      keeper.adopt({ leadership: beat.value.leadership, promoted: [] });
     }
     const isListed = await this.readChanges(beat.value, routes);
     const { revision } = beat.value;
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -8,11 +8,11 @@
 import { DirectPeerClient, DirectPeerServer } from "../directpeer/index.js";
 import { DrainKeeper } from "../fleet/drain.js";
 import {
-  LeadershipKeeper,
+  LeadershipTracker,
   PrimaryChanger,
   StallDetector,
   type LeadershipAnswer,
-  type LeadershipWord,
+  type LeadershipUpdate,
 } from "../leadership/index.js";
 import { LineServer } from "../lines/index.js";
 import { nodeEvents } from "../log/events/node.js";
@@ -61,7 +61,7 @@
 export class Node {
   private readonly owned = new DisposableStore();
   private readonly metrics: Metrics;
-  private readonly keeper: LeadershipKeeper;
+  private readonly keeper: LeadershipTracker;
   private readonly questioner: TargetQuestioner;
   private readonly changer: PrimaryChanger;
   private readonly follower: StoreFollower;
@@ -84,13 +84,13 @@
     const { settings, adapter, clock, random, logger } = options;
     this.metrics = createMetrics({ process: true });
     this.drainPlan = planDrain(settings.graceMs);
-    this.keeper = new LeadershipKeeper({
+    this.keeper = new LeadershipTracker({
       clock,
       logger,
-      stalls: new StallDetector({ steady: () => clock.now(), wall: options.wallClock }),
+      stallDetector: new StallDetector({ monotonic: () => clock.now(), wall: options.wallClock }),
       listTargets: (group) => this.listTargets(group),
       onStall: () => this.noteStall(),
-      onMiss: () => this.lookSoon(),
+      onContactFailure: () => this.lookSoon(),
       onSuperseded: (group, target) => this.groups.find(group)?.evict(target),
       onSilence: (group, target, since) => void this.probe(group, target, since),
     });
@@ -167,7 +167,7 @@
         listProxies: () => this.follower.members.list(),
         refreshProxies: () => this.follower.members.refresh(),
         markMissed: (proxy) => adapter.store.markMissed(proxy),
-        listHolders: (group) => this.forwarding.listHolders(group),
+        listGroupProxies: (group) => this.forwarding.listHolders(group),
         listTargets: (group) => this.listTargets(group),
         listGroups: () => this.forwarding.listOwnGroups(),
       },
@@ -258,7 +258,7 @@
     const { members, isReading } = this.follower;
     this.rates.look();
     if (!members.isRegistered()) return;
-    this.changer.look();
+    this.changer.checkGroups();
     if (this.forwarding.isOn) this.watch.look(members.list(), isReading);
   }
 
@@ -295,17 +295,17 @@
     await this.owned.add(server).listen();
   }
 
-  private takeWord(from: string, word: LeadershipWord): LeadershipAnswer {
+  private takeWord(from: string, word: LeadershipUpdate): LeadershipAnswer {
     this.keeper.adopt(word);
     this.watch.hear(from);
     const { clock, settings } = this.options;
     const findAge = (at: number | undefined) => (at === undefined ? undefined : clock.now() - at);
     return {
-      ...this.keeper.word,
+      ...this.keeper.latestUpdate,
       vm: settings.vm,
       listsAsker: this.follower.members.has(from),
       confirmedAgoMs: findAge(this.keeper.confirmedAt),
-      storeAgoMs: findAge(this.keeper.storeAnswerAskedAt),
+      storeAgoMs: findAge(this.keeper.lastAnsweredStoreQueryAt),
       storeRevision: this.follower.known?.revision,
       lookedAgoMs: findAge(this.follower.known?.askedAt),
     };
@@ -351,7 +351,7 @@
   private lookSoon(): void {
     this.missTimer ??= setTimeout(() => {
       this.missTimer = undefined;
-      this.changer.look();
+      this.changer.checkGroups();
     }, missLookMs).unref();
   }
 
@@ -369,8 +369,8 @@
     this.probing.add(group);
     const isReached = await this.questioner.probe(group, target);
     this.probing.delete(group);
-    this.keeper.noteProbe(group, target, since, isReached);
-    if (!isReached) this.changer.look();
+    this.keeper.noteProbeResult(group, target, since, isReached);
+    if (!isReached) this.changer.checkGroups();
   }
 
   private noteStall(): void {
@@ -385,7 +385,7 @@
 
   private countInFlight(): number {
     return (
-      this.callers.countBusy() + this.forwarding.countBusy() + (this.changer.isWorking ? 1 : 0)
+      this.callers.countBusy() + this.forwarding.countBusy() + (this.changer.isChanging ? 1 : 0)
     );
   }
 }
--- a/src/node/rates.ts
+++ b/src/node/rates.ts
@@ -1,6 +1,6 @@
 import type { Scene, TeamRoster } from "../direct/index.js";
 import type { DirectPeerClient } from "../directpeer/index.js";
-import type { LeadershipKeeper, Proxy } from "../leadership/index.js";
+import type { LeadershipTracker, Proxy } from "../leadership/index.js";
 import type { Logger } from "../log/index.js";
 import type { Clock, Disposable, Random } from "../model/index.js";
 import {
@@ -25,7 +25,7 @@
 export interface NodeRatesPorts {
   readonly settings: Pick<NodeSettings, "vm" | "peers" | "rateBounds">;
   readonly peers: Pick<DirectPeerClient, "takeTokens">;
-  readonly keeper: Pick<LeadershipKeeper, "confirmedAt" | "hasStalledSince">;
+  readonly keeper: Pick<LeadershipTracker, "confirmedAt" | "hasStalledSince">;
   readonly members: () => Pick<Members, "list">;
   /** When the question was sent whose answer showed the list of proxies to be current. */
   readonly findLookedAt: () => number | undefined;
--- a/src/node/reader.ts
+++ b/src/node/reader.ts
@@ -1,5 +1,5 @@
 import type { DirectPeerClient } from "../directpeer/index.js";
-import type { LeadershipAnswer, LeadershipWord, Proxy } from "../leadership/index.js";
+import type { LeadershipAnswer, LeadershipUpdate, Proxy } from "../leadership/index.js";
 import type { Clock } from "../model/index.js";
 import { hashPair } from "../policy/index.js";
 
@@ -87,7 +87,7 @@
   constructor(private readonly ports: ReaderPorts) {}
 
   /** The reader's last look; nothing where this proxy has to look for itself. */
-  async ask(proxies: readonly Proxy[], word: LeadershipWord): Promise<ReaderLook | undefined> {
+  async ask(proxies: readonly Proxy[], word: LeadershipUpdate): Promise<ReaderLook | undefined> {
     const { vm, dataCentre, peers, clock } = this.ports;
     const askedAt = clock.now();
     const isPassedOver = (name: string) => (this.passedOverUntil.get(name) ?? 0) > askedAt;
@@ -101,7 +101,7 @@
   }
 
   /** Asks a listed proxy on behalf of this one, which is not listed. */
-  async askUpstream(proxies: readonly Proxy[], word: LeadershipWord): Promise<UpstreamAnswer> {
+  async askUpstream(proxies: readonly Proxy[], word: LeadershipUpdate): Promise<UpstreamAnswer> {
     const { vm, dataCentre, peers, clock } = this.ports;
     const askedAt = clock.now();
     const isPassedOver = (name: string) => (this.passedOverUntil.get(name) ?? 0) > askedAt;
--- a/src/node/watch.ts
+++ b/src/node/watch.ts
@@ -1,4 +1,4 @@
-import type { LeadershipKeeper, LeadershipPeers, Proxy } from "../leadership/index.js";
+import type { LeadershipTracker, LeadershipPeers, Proxy } from "../leadership/index.js";
 import { nodeEvents } from "../log/events/node.js";
 import type { Logger } from "../log/index.js";
 import type { Clock } from "../model/index.js";
@@ -30,7 +30,7 @@
   readonly vm: string;
   readonly dataCentre: string;
   readonly peers: Pick<LeadershipPeers, "share">;
-  readonly keeper: Pick<LeadershipKeeper, "word">;
+  readonly keeper: Pick<LeadershipTracker, "latestUpdate">;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly markMissed: (proxy: Proxy) => Promise<void>;
@@ -75,7 +75,7 @@
     this.probing.add(proxy.vm);
     try {
       for (let tries = 0; tries < probeTries; tries += 1) {
-        if ((await peers.share(proxy, keeper.word, probeMs)) === undefined) continue;
+        if ((await peers.share(proxy, keeper.latestUpdate, probeMs)) === undefined) continue;
         this.hear(proxy.vm);
         return;
       }
--- a/src/owner/confirmer.ts
+++ b/src/owner/confirmer.ts
@@ -30,7 +30,7 @@
   /** A mark at or beyond every write acknowledged so far, as a majority vouches for it. */
   async findFloor(signal: AbortSignal): Promise<Mark | undefined> {
     await this.waitForPrimary(signal);
-    const { primary } = this.watch.view();
+    const { primary } = this.watch.getView();
     if (primary === undefined) return undefined;
     const reading = await this.watch.readMark(primary.target);
     if (reading.type !== "read" || compareTerms(reading.term, primary.term) !== 0) return undefined;
--- a/src/owner/group.ts
+++ b/src/owner/group.ts
@@ -1,5 +1,5 @@
 import { SlotQueue, type SlotResult } from "../capacity/index.js";
-import { findBackedAt, GroupWatch } from "../groupwatch/index.js";
+import { findMajorityConfirmedAt, GroupWatch } from "../groupwatch/index.js";
 import { ownerEvents } from "../log/events/owner.js";
 import {
   compareTerms,
@@ -54,7 +54,7 @@
   ) {
     const { clock, random, logger, hooks } = ports;
     this.slots = this.owned.add(new SlotQueue(clock));
-    this.scene = new SceneKeeper(group, findBackedAt);
+    this.scene = new SceneKeeper(group, findMajorityConfirmedAt);
     this.watch = this.owned.add(
       new GroupWatch({
         group,
@@ -64,7 +64,7 @@
         clock,
         random,
         log: logger,
-        findHelpers: ports.findHelpers,
+        listCheckerVms: ports.findHelpers,
         onGap: (gapMs, split) => {
           hooks.onGap(group.name, gapMs, split);
         },
@@ -75,7 +75,7 @@
     for (const target of group.targets) this.addPool(target);
     this.expectation = this.owned.add(
       new PrimaryExpectation(clock, () => {
-        this.observe(this.watch.view());
+        this.observe(this.watch.getView());
       }),
     );
     this.owned.add(
@@ -92,7 +92,7 @@
   start(): void {
     this.expectation.open();
     this.ports.logger.write(ownerEvents.groupOpened, { group: this.name });
-    this.observe(this.watch.view());
+    this.observe(this.watch.getView());
     this.watch.start();
   }
 
@@ -101,7 +101,7 @@
     const stayed = this.group.targets.filter((t) => t.isLeaving !== true).map((t) => t.name);
     this.group = group;
     this.scene.setGroup(group);
-    this.observe(this.watch.view());
+    this.observe(this.watch.getView());
     for (const { name, isLeaving } of group.targets) {
       if (isLeaving === true && stayed.includes(name)) this.pools.get(name)?.drain();
     }
@@ -114,10 +114,11 @@
    */
   switchFromLeaving(): void {
     const { primary } = this.view();
-    if (primary === undefined || !this.isLeaving(primary.target) || this.watch.isSwitching) return;
+    if (primary === undefined || !this.isLeaving(primary.target) || this.watch.isSwitchingOver)
+      return;
     const hasTime = this.expectation.measureGapMs() < transactionGraceMs;
     const isBusy = (this.transactions.get(primary.target) ?? 0) > 0;
-    if (!isBusy || !hasTime) this.watch.switchFrom(primary.target);
+    if (!isBusy || !hasTime) this.watch.requestSwitchover(primary.target);
   }
 
   isLeaving(target: string): boolean {
@@ -136,7 +137,7 @@
   }
 
   view(): GroupView {
-    return this.watch.view();
+    return this.watch.getView();
   }
 
   route(request: Request, patienceMs: number): ReadRoute {
@@ -242,7 +243,7 @@
   }
 
   noteBroken(target: string): void {
-    this.watch.observeFailure(target);
+    this.watch.reportConnectionFailure(target);
   }
 
   /** Requests that wait for a slot. */
--- a/src/owner/hooks.ts
+++ b/src/owner/hooks.ts
@@ -1,11 +1,11 @@
-import type { GapSplit } from "../groupwatch/index.js";
+import type { FailoverPhases } from "../groupwatch/index.js";
 import type { Outcome, Request } from "../model/index.js";
 
 /** What a process counts of its groups' work. */
 export interface OwnerHooks {
   readonly onOutcome: (request: Request, outcome: Outcome) => void;
   readonly onQueueWait: (request: Request, waitMs: number) => void;
-  readonly onGap: (group: string, gapMs: number, split: GapSplit) => void;
+  readonly onGap: (group: string, gapMs: number, split: FailoverPhases) => void;
 }
 
 /** Counts nothing. */
--- a/test/failover/age.test.ts
+++ b/test/failover/age.test.ts
@@ -30,7 +30,7 @@
       if (mark !== undefined) commits.set(mark.offset, scene.clock.now());
       await scene.clock.advance(waitMs);
       for (const name of replicas(primary)) {
-        const age = scene.fleet.watch("v1").findAge(name, scene.clock.now()) ?? Infinity;
+        const age = scene.fleet.watch("v1").findMaxAgeMs(name, scene.clock.now()) ?? Infinity;
         expect(age).toBeGreaterThanOrEqual(findTrueAge(scene, commits, name));
       }
     }
@@ -43,7 +43,7 @@
   const scene = new Scene();
   const [name = ""] = replicas(await scene.settle());
   await scene.clock.advance(3000);
-  expect(scene.fleet.watch("v1").findAge(name, scene.clock.now())).toBeLessThan(500);
+  expect(scene.fleet.watch("v1").findMaxAgeMs(name, scene.clock.now())).toBeLessThan(500);
   await scene.end();
 });
 
@@ -55,7 +55,7 @@
   await scene.clock.advance(1000);
   scene.fleet.setPartition("v1", primary, true);
   await scene.clock.advance(3000);
-  const age = scene.fleet.watch("v1").findAge(primary, scene.clock.now()) ?? Infinity;
+  const age = scene.fleet.watch("v1").findMaxAgeMs(primary, scene.clock.now()) ?? Infinity;
   expect(age).toBeGreaterThanOrEqual(2500);
   await scene.end();
 });
--- a/test/failover/faults.test.ts
+++ b/test/failover/faults.test.ts
@@ -130,7 +130,7 @@
   const next = await scene.findPrimary("v1", old);
   const last = scene.group.get(replicas(old).find((t) => t !== next) ?? "");
   const follow = jest.spyOn(last, "follow");
-  scene.fleet.watch("v1").observeFailure(next);
+  scene.fleet.watch("v1").reportConnectionFailure(next);
   await scene.clock.advance(100);
   expect(follow).toHaveBeenCalledTimes(1);
   await scene.end();
@@ -187,7 +187,7 @@
 test("a planned switch moves the role away from a leaving target", async () => {
   const scene = new Scene();
   const old = await scene.settle();
-  scene.fleet.watch("v1").switchFrom(old);
+  scene.fleet.watch("v1").requestSwitchover(old);
   await scene.findPrimary("v1", old);
   expect(await scene.write()).toBe("acknowledged");
   await scene.end();
--- a/test/failover/scene.ts
+++ b/test/failover/scene.ts
@@ -20,7 +20,7 @@
   }
 
   primary(vm = "v1"): string | undefined {
-    return this.fleet.watch(vm).view().primary?.target;
+    return this.fleet.watch(vm).getView().primary?.target;
   }
 
   /** Lets time pass until a VM knows a primary other than `not`. */
--- a/test/leadership/decisions.test.ts
+++ b/test/leadership/decisions.test.ts
@@ -1,6 +1,6 @@
 import { expect, test } from "@jest/globals";
 import {
-  chooseContender,
+  chooseCandidate,
   decideChange,
   decodeLeadership,
   encodeLeadership,
@@ -8,15 +8,15 @@
   findWaitEnd,
   isConfirmedByPeers,
   isPermitted,
-  minorityWaitMs,
-  noteContact,
-  noteSilence,
+  noMajorityWaitMs,
+  recordContact,
+  recordSilence,
   permitMs,
   StallDetector,
-  type Contender,
+  type Candidate,
 } from "../../src/leadership/index.js";
 
-const contender = (target: string, offset: number, change: object = {}): Contender => ({
+const createCandidate = (target: string, offset: number, change: object = {}): Candidate => ({
   target,
   isLeaving: false,
   report: {
@@ -29,27 +29,27 @@
 });
 
 test("the longest log leads; a leaving target only where there is no other", () => {
-  const short = contender("a", 3);
-  const long = contender("b", 5);
-  expect(chooseContender([short, long], "old")?.target).toBe("b");
-  expect(chooseContender([short, { ...long, isLeaving: true }], "old")?.target).toBe("a");
-  expect(chooseContender([{ ...long, isLeaving: true }], "old")?.target).toBe("b");
-  expect(chooseContender([], "old")).toBeUndefined();
+  const short = createCandidate("a", 3);
+  const long = createCandidate("b", 5);
+  expect(chooseCandidate([short, long], "old")?.target).toBe("b");
+  expect(chooseCandidate([short, { ...long, isLeaving: true }], "old")?.target).toBe("a");
+  expect(chooseCandidate([{ ...long, isLeaving: true }], "old")?.target).toBe("b");
+  expect(chooseCandidate([], "old")).toBeUndefined();
 });
 
 // An earlier change got as far as the promotion and its holder died. Another promotion would cut off
 // what the new primary acknowledged since; so it is kept, though another log may be as long.
 test("a target that leads a newer term already is kept", () => {
-  const made = contender("b", 5, { role: "primary", round: 2 });
-  expect(chooseContender([contender("a", 9), made], "old")?.target).toBe("b");
+  const made = createCandidate("b", 5, { role: "primary", round: 2 });
+  expect(chooseCandidate([createCandidate("a", 9), made], "old")?.target).toBe("b");
 });
 
 test("a primary that most reach stays; one that a third can't reach goes", () => {
   const unreachable = { type: "unreachable", sinceMs: 300 } as const;
-  expect(decideChange(unreachable, { reaching: 6, missing: 1, silent: 0 }).type).toBe("keep");
-  expect(decideChange(unreachable, { reaching: 4, missing: 3, silent: 0 }).type).toBe("change");
-  expect(decideChange(unreachable, { reaching: 0, missing: 1, silent: 0 }).type).toBe("change");
-  expect(decideChange({ type: "leaving" }, { reaching: 7, missing: 0, silent: 0 }).type).toBe(
+  expect(decideChange(unreachable, { reaching: 6, notReaching: 1, silent: 0 }).type).toBe("keep");
+  expect(decideChange(unreachable, { reaching: 4, notReaching: 3, silent: 0 }).type).toBe("change");
+  expect(decideChange(unreachable, { reaching: 0, notReaching: 1, silent: 0 }).type).toBe("change");
+  expect(decideChange({ type: "leaving" }, { reaching: 7, notReaching: 0, silent: 0 }).type).toBe(
     "change",
   );
 });
@@ -58,25 +58,25 @@
 // before its peers. On its own word alone it would take the primary from all those who use it.
 test("a proxy that hears of less than half of the others replaces nobody", () => {
   const unreachable = { type: "unreachable", sinceMs: 3000 } as const;
-  expect(decideChange(unreachable, { reaching: 0, missing: 1, silent: 7 }).type).toBe("keep");
-  expect(decideChange(unreachable, { reaching: 0, missing: 3, silent: 4 }).type).toBe("keep");
-  expect(decideChange(unreachable, { reaching: 0, missing: 4, silent: 3 }).type).toBe("change");
-  expect(decideChange({ type: "unlisted" }, { reaching: 0, missing: 0, silent: 0 }).type).toBe(
+  expect(decideChange(unreachable, { reaching: 0, notReaching: 1, silent: 7 }).type).toBe("keep");
+  expect(decideChange(unreachable, { reaching: 0, notReaching: 3, silent: 4 }).type).toBe("keep");
+  expect(decideChange(unreachable, { reaching: 0, notReaching: 4, silent: 3 }).type).toBe("change");
+  expect(decideChange({ type: "unlisted" }, { reaching: 0, notReaching: 0, silent: 0 }).type).toBe(
     "change",
   );
 });
 
 test("one lost answer is no suspicion; several over a while are", () => {
   const sight = { target: "p", isListed: true, isLeaving: false, hasLostLog: false };
-  const first = noteContact(undefined, "p", false, 0);
+  const first = recordContact(undefined, "p", false, 0);
   expect(findSuspicion({ ...sight, contact: first }, 1000)).toBeUndefined();
-  const second = noteContact(first, "p", false, 10);
+  const second = recordContact(first, "p", false, 10);
   expect(findSuspicion({ ...sight, contact: second }, 100)).toBeUndefined();
   expect(findSuspicion({ ...sight, contact: second }, 300)).toEqual({
     type: "unreachable",
     sinceMs: 300,
   });
-  const reached = noteContact(second, "p", true, 310);
+  const reached = recordContact(second, "p", true, 310);
   expect(findSuspicion({ ...sight, contact: reached }, 900)).toBeUndefined();
   expect(findSuspicion({ ...sight, isListed: false, contact: reached }, 0)?.type).toBe("unlisted");
 });
@@ -111,7 +111,9 @@
     if (isConfirmedByPeers(5, others, 9, lastAnswer, now)) lastUse = now + permitMs;
   }
   const toldAt = [begunAt, begunAt + 5, begunAt + 6, begunAt + 7];
-  expect(findWaitEnd({ begunAt, proxies: 9, toldAt })).toBeGreaterThan(lastUse);
+  expect(findWaitEnd({ startedAt: begunAt, proxyCount: 9, notifiedAt: toldAt })).toBeGreaterThan(
+    lastUse,
+  );
   expect(isConfirmedByPeers(5, others, 9, undefined, begunAt)).toBe(false);
 });
 
@@ -120,8 +122,8 @@
 test("a change waits no longer than those need that it has not told", () => {
   const begunAt = 1000;
   const wait = (...toldAt: readonly number[]) =>
-    findWaitEnd({ begunAt, proxies: 5, toldAt: [begunAt, ...toldAt] });
-  expect(wait(1010)).toBe(begunAt + minorityWaitMs);
+    findWaitEnd({ startedAt: begunAt, proxyCount: 5, notifiedAt: [begunAt, ...toldAt] });
+  expect(wait(1010)).toBe(begunAt + noMajorityWaitMs);
   expect(wait(1010, 3000)).toBe(3000 + permitMs + 150);
   expect(wait(1010, 3000, 3100)).toBe(3000 + permitMs + 150);
   expect(wait(1010, 3000, 3100, 3200)).toBe(begunAt);
@@ -132,15 +134,15 @@
 test("a stall shows as clocks that have parted, also through a step of the time of day", () => {
   let steady = 0;
   let wall = 1_000_000;
-  const detector = new StallDetector({ steady: () => steady, wall: () => wall });
+  const detector = new StallDetector({ monotonic: () => steady, wall: () => wall });
   steady += 500;
   wall += 503;
-  expect(detector.check()).toBe(false);
+  expect(detector.detectStall()).toBe(false);
   wall += 3000;
-  expect(detector.check()).toBe(true);
-  expect(detector.check()).toBe(false);
+  expect(detector.detectStall()).toBe(true);
+  expect(detector.detectStall()).toBe(false);
   wall += 3500 - 2400;
-  expect(detector.check()).toBe(true);
+  expect(detector.detectStall()).toBe(true);
 });
 
 test("a document survives the store, and what can't be read is none", () => {
@@ -164,12 +166,12 @@
 // second failure comes before that has run out of its time; a probe that fails says as much.
 test("a primary that is silent to a probe too is suspected at once", () => {
   const sight = { target: "p", isListed: true, isLeaving: false, hasLostLog: false };
-  const reached = noteContact(undefined, "p", true, 50);
-  const silent = noteSilence(reached, "p", 100);
+  const reached = recordContact(undefined, "p", true, 50);
+  const silent = recordSilence(reached, "p", 100);
   expect(findSuspicion({ ...sight, contact: silent }, 450)).toEqual({
     type: "unreachable",
     sinceMs: 350,
   });
-  const back = noteContact(silent, "p", true, 460);
+  const back = recordContact(silent, "p", true, 460);
   expect(findSuspicion({ ...sight, contact: back }, 900)).toBeUndefined();
 });
--- a/test/leadership/scene.ts
+++ b/test/leadership/fixture.ts
@@ -1,6 +1,6 @@
-import { Duty } from "../../src/leadership/duty.js";
+import { ChangeLease } from "../../src/leadership/lease.js";
 import {
-  LeadershipKeeper,
+  LeadershipTracker,
   PrimaryChanger,
   StallDetector,
   type LeadershipDocument,
@@ -12,36 +12,36 @@
 import { FakeClock, makeRandom } from "../fleet/fakes.js";
 
 /** The store's one document, and what each proxy needs to take the duty by it. */
-export class Scene {
+export class LeadershipFixture {
   readonly clock = new FakeClock();
-  held: VersionedLeadership | undefined;
-  readonly lines: { readonly event: LogEvent; readonly fields: LogFields }[] = [];
+  stored: VersionedLeadership | undefined;
+  readonly logLines: { readonly event: LogEvent; readonly fields: LogFields }[] = [];
   /** What the target says to whoever asks. */
-  answer: TargetAnswer = { type: "silent" };
-  orders = 0;
+  targetAnswer: TargetAnswer = { type: "silent" };
+  promotionCount = 0;
   private version = 10;
 
   makeProxy(vm: string, wall: () => number = () => this.clock.now()) {
     const { clock } = this;
     const logger = {
-      write: (event: LogEvent, fields: LogFields = {}) => this.lines.push({ event, fields }),
+      write: (event: LogEvent, fields: LogFields = {}) => this.logLines.push({ event, fields }),
     };
-    const keeper = new LeadershipKeeper({
+    const tracker = new LeadershipTracker({
       clock,
       logger,
-      stalls: new StallDetector({ steady: () => clock.now(), wall }),
+      stallDetector: new StallDetector({ monotonic: () => clock.now(), wall }),
       listTargets,
       onStall: () => undefined,
-      onMiss: () => undefined,
+      onContactFailure: () => undefined,
       onSuperseded: () => undefined,
       onSilence: () => undefined,
     });
     const store: LeadershipPorts["store"] = {
       read: () =>
         Promise.resolve(
-          this.held === undefined ? { type: "absent" } : { type: "found", value: this.held },
+          this.stored === undefined ? { type: "absent" } : { type: "found", value: this.stored },
         ),
-      write: (document) => Promise.resolve(this.put(document)),
+      write: (document) => Promise.resolve(this.writeDocument(document)),
     };
     const ports: LeadershipPorts = {
       vm,
@@ -51,27 +51,31 @@
         share: () => Promise.resolve(undefined),
         askTarget: () => Promise.resolve(undefined),
       },
-      askTarget: () => Promise.resolve(this.answer),
+      askTarget: () => Promise.resolve(this.targetAnswer),
       promote: () => {
-        this.orders += 1;
+        this.promotionCount += 1;
         return Promise.resolve({ type: "accepted" });
       },
       clock,
       random: makeRandom(1),
       logger,
       listProxies: () => [],
-      listHolders: () => [],
+      listGroupProxies: () => [],
       refreshProxies: () => Promise.resolve(true),
       markMissed: () => Promise.resolve(),
       listTargets,
       listGroups: () => ["ledger"],
     };
-    return { duty: new Duty(ports, keeper), changer: new PrimaryChanger(ports, keeper), keeper };
+    return {
+      lease: new ChangeLease(ports, tracker),
+      changer: new PrimaryChanger(ports, tracker),
+      tracker,
+    };
   }
 
-  private put(document: LeadershipDocument) {
+  private writeDocument(document: LeadershipDocument) {
     this.version += 1;
-    this.held = { version: this.version, document };
+    this.stored = { version: this.version, document };
     const object = { kind: "leadership", name: "current", version: this.version, value: null };
     return { type: "written", object } as const;
   }
--- a/test/node/follower.test.ts
+++ b/test/node/follower.test.ts
@@ -2,7 +2,7 @@
 import type { AnnouncedTarget } from "../../src/direct/index.js";
 import { DirectPeerClient } from "../../src/directpeer/index.js";
 import { encodeSnapshot, firstFeedState } from "../../src/feed/index.js";
-import { emptyLeadership, LeadershipKeeper, StallDetector } from "../../src/leadership/index.js";
+import { emptyLeadership, LeadershipTracker, StallDetector } from "../../src/leadership/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import type { NodeSettings, NodeStore } from "../../src/node/index.js";
 import { StoreFollower } from "../../src/node/follower.js";
@@ -97,13 +97,13 @@
 test("a node that starts while the store is away knows the scene soon after its return", async () => {
   const clock = new FakeClock();
   const store = new AwayStore(clock, 1000);
-  const keeper = new LeadershipKeeper({
+  const keeper = new LeadershipTracker({
     clock,
     logger: silentLogger,
-    stalls: new StallDetector({ steady: () => clock.now(), wall: () => clock.now() }),
+    stallDetector: new StallDetector({ monotonic: () => clock.now(), wall: () => clock.now() }),
     listTargets: () => [],
     onStall: () => undefined,
-    onMiss: () => undefined,
+    onContactFailure: () => undefined,
     onSuperseded: () => undefined,
     onSilence: () => undefined,
   });
@@ -164,13 +164,13 @@
   store.listProxies = () => found(full);
   const old = new Map([["gone", { group: "ledger", target: target("gone") }]]);
   const scene = encodeSnapshot({ ...firstFeedState, routes, targets: old, hasTargets: true });
-  const keeper = new LeadershipKeeper({
+  const keeper = new LeadershipTracker({
     clock,
     logger: silentLogger,
-    stalls: new StallDetector({ steady: () => clock.now(), wall: () => clock.now() }),
+    stallDetector: new StallDetector({ monotonic: () => clock.now(), wall: () => clock.now() }),
     listTargets: () => [],
     onStall: () => undefined,
-    onMiss: () => undefined,
+    onContactFailure: () => undefined,
     onSuperseded: () => undefined,
     onSilence: () => undefined,
   });
@@ -204,13 +204,16 @@
   const clock = new FakeClock();
   const store = new CountingStore();
   let wall = 0;
-  const keeper = new LeadershipKeeper({
+  const keeper = new LeadershipTracker({
     clock,
     logger: silentLogger,
-    stalls: new StallDetector({ steady: () => clock.now(), wall: () => clock.now() + wall }),
+    stallDetector: new StallDetector({
+      monotonic: () => clock.now(),
+      wall: () => clock.now() + wall,
+    }),
     listTargets: () => [],
     onStall: () => follower.wake(),
-    onMiss: () => undefined,
+    onContactFailure: () => undefined,
     onSuperseded: () => undefined,
     onSilence: () => undefined,
   });
--- a/test/node/reader.test.ts
+++ b/test/node/reader.test.ts
@@ -32,7 +32,10 @@
   expect(chooseReader("x", proxies, nobody)).toBeUndefined();
 });
 
-const word = { leadership: { version: 3, document: { holder: undefined, groups: {} } }, made: [] };
+const word = {
+  leadership: { version: 3, document: { holder: undefined, groups: {} } },
+  promoted: [],
+};
 const answer = (change: Partial<LeadershipAnswer>): LeadershipAnswer => ({
   ...word,
   vm: "b",
--- a/test/node/watch.test.ts
+++ b/test/node/watch.test.ts
@@ -7,7 +7,12 @@
 import { makeProxy } from "../gateway/builders.js";
 
 const leadership = { version: 0, document: emptyLeadership };
-const answer = { leadership, made: [], vm: "", listsAsker: true } as unknown as LeadershipAnswer;
+const answer = {
+  leadership,
+  promoted: [],
+  vm: "",
+  listsAsker: true,
+} as unknown as LeadershipAnswer;
 
 /** A reader of data centre a, with the proxies that answer it. */
 function start(alive: readonly string[]) {
@@ -23,7 +28,7 @@
         return Promise.resolve(alive.includes(vm) ? answer : undefined);
       },
     },
-    keeper: { word: { leadership, made: [] } },
+    keeper: { latestUpdate: { leadership, promoted: [] } },
     clock,
     logger: silentLogger,
     markMissed: ({ vm }) => {
