--- a/src/groupwatch/clock.ts
+++ b/src/groupwatch/clock.ts
@@ -1,12 +1,11 @@
 import type { Clock } from "../model/index.js";
 
-/** Far below any step of a real clock, and above the resolution of a number for centuries. */
+/** Far below the resolution of a real clock; a `number` of milliseconds can represent it for centuries. */
 const minStepMs = 1e-5;
 
 /**
- * A clock whose every reading is later than the one before. Two events in one tick of a coarse clock
- * would read the same time, and a request sent just before a commit's reply would then count as sent
- * after it.
+ * A clock whose readings strictly increase. With a coarse clock, two events could get the same time, and a request
+ * sent just before a commit's reply would count as sent after it.
  */
 export class StrictlyIncreasingClock implements Clock {
   private last = -Infinity;
--- a/src/groupwatch/confirmations.ts
+++ b/src/groupwatch/confirmations.ts
@@ -8,12 +8,12 @@
 } from "../controller/acknowledge/index.js";
 import { assertInvariant, type Clock, formatMark } from "../model/index.js";
 
-/** Whether a committed write may be acknowledged. */
+/** The result of waiting until a committed write may be acknowledged. */
 export type Confirmation =
   | { readonly type: "confirmed" }
-  /** A newer term is under way: this primary can't vouch for the write, which may have run. */
+  /** A newer term has begun: this primary can't guarantee that the write, which may have run, is kept. */
   | { readonly type: "superseded" }
-  /** The signal was aborted, or the watch disposed of, before it could be told. */
+  /** The signal was aborted, or the watch was disposed, before the result was known. */
   | { readonly type: "timedOut" };
 
 interface Waiter {
@@ -22,26 +22,26 @@
   readonly resolve: (confirmation: Confirmation) => void;
 }
 
-/** What confirmations need of the group. */
+/** Dependencies of `WriteConfirmations`. */
 export interface ConfirmationPorts {
   readonly clock: Clock;
   readonly targets: readonly string[];
   readonly safeguards: AcknowledgeSafeguards;
-  /** Asks a target afresh; its answer comes back through `observe`. */
+  /** Sends a new status request to a target; the answer is passed to `observe`. */
   readonly requestStatus: (target: string) => void;
-  /** Between two fresh requests for the same write, where answers do not come by themselves. */
+  /** Interval of repeated status requests while a write is not decided. */
   readonly statusRetryMs: number;
-  /** Whether a majority is known to be fenced past the term of the write. */
+  /** Whether a majority is known to be fenced at a term newer than the write's. */
   readonly isSuperseded: (write: PendingWrite) => boolean;
 }
 
-/** The writes of one group that wait to be acknowledged. */
+/** Tracks the writes of one group that wait to be acknowledged. */
 export class WriteConfirmations {
   private readonly waiters = new Set<Waiter>();
 
   constructor(private readonly ports: ConfirmationPorts) {}
 
-  /** Waits until the write may be acknowledged or never can be by this primary. */
+  /** Waits until the write may be acknowledged, or until this primary can no longer confirm it. */
   wait(
     write: PendingWrite,
     known: readonly Evidence[],
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Takes in an answer of a target. */
+  /** Applies a target's answer to all waiting writes. */
   observe(evidence: Evidence): void {
     for (const waiter of [...this.waiters]) this.apply(waiter, evidence);
   }
@@ -102,7 +102,7 @@
     waiter.resolve(confirmation);
   }
 
-  /** A lost answer, or a stream that has gone silent, would leave the caller waiting for good. */
+  /** Repeats status requests, since a lost answer or a silent stream would leave the caller waiting forever. */
   private async repeatStatusRequests(waiter: Waiter): Promise<void> {
     while (this.waiters.has(waiter)) {
       await this.ports.clock
--- a/src/groupwatch/effects.ts
+++ b/src/groupwatch/effects.ts
@@ -7,7 +7,7 @@
 import type { UntimedEvent } from "./runner.js";
 import type { StreamAnswer } from "./stream.js";
 
-/** What becomes of the effects' answers. */
+/** Receivers of the answers to executed effects. */
 export interface EffectHooks {
   readonly apply: (event: UntimedEvent) => void;
   readonly onAnswer: (answer: StreamAnswer) => void;
@@ -16,7 +16,7 @@
   readonly onNote: (note: FailoverNote, at: number) => void;
 }
 
-/** Does at the ports what the controller of a group asks for. */
+/** Executes the effects of a group's failover controller through the ports. */
 export class EffectRunner {
   constructor(
     private readonly options: WatchOptions,
@@ -47,7 +47,8 @@
 
   private getTarget(name: string): Target {
     const target = this.options.group.targets.find((t) => t.name === name);
-    if (target === undefined) throw new Error(`${name} is no target of the group`);
+    if (target === undefined)
+      throw new Error(`${name} is not a target of group ${this.options.group.name}`);
     return target;
   }
 
--- a/src/groupwatch/freshstatus.ts
+++ b/src/groupwatch/freshstatus.ts
@@ -1,15 +1,15 @@
 import type { ControlResult, Target } from "../model/index.js";
 import type { WatchPorts } from "./ports.js";
 
-/** An answer to a request, and when the request was sent. */
+/** The result of a request, and when the request was sent. */
 export interface TimedResult {
   readonly askedAt: number;
   readonly result: ControlResult;
 }
 
 /**
- * Fresh status requests to one target, one at a time. Whoever asks while one is under way shares the
- * next: its request is then sent after the question came up, and many writes cost one request.
+ * Sends status requests to one target, one at a time. Calls made while a request is in flight share the next
+ * one, which is sent after each of these calls, so that many concurrent writes need only one request.
  */
 export class FreshStatusClient {
   private current: Promise<TimedResult> | undefined;
@@ -21,7 +21,7 @@
     private readonly timeoutMs: number,
   ) {}
 
-  /** Asks in a request that is sent no earlier than this call. */
+  /** Requests the status in a request that is sent no earlier than this call. */
   request(): Promise<TimedResult> {
     if (this.current === undefined) return this.send();
     this.next ??= this.current.then(() => {
@@ -33,13 +33,13 @@
 
   private send(): Promise<TimedResult> {
     const askedAt = this.ports.clock.now();
-    const asked = this.ports.control
+    const pending = this.ports.control
       .status(this.target, { timeoutMs: this.timeoutMs })
       .then((result) => {
-        if (this.current === asked) this.current = undefined;
+        if (this.current === pending) this.current = undefined;
         return { askedAt, result };
       });
-    this.current = asked;
-    return asked;
+    this.current = pending;
+    return pending;
   }
 }
--- a/src/groupwatch/gap.ts
+++ b/src/groupwatch/gap.ts
@@ -9,18 +9,18 @@
   readonly led?: { readonly at: number; readonly term: Term };
 }
 
-/** Measures a change of primary that this VM orders, from the notes of the controller. */
+/** Measures the failovers that this VM carries out, from the controller's notes. */
 export class GapMeter {
   private progress: FailoverProgress | undefined;
 
   constructor(private readonly report: (gapMs: number, split: FailoverPhases) => void) {}
 
-  /** `heardAt` is when the primary last answered. */
-  recordNote(note: FailoverNote, at: number, heardAt: number | undefined): void {
+  /** Records a note that the controller issued at `at`. `answeredAt` is when the primary last answered. */
+  recordNote(note: FailoverNote, at: number, answeredAt: number | undefined): void {
     switch (note.type) {
       case "fencing":
         this.progress = {
-          failedAt: this.progress?.failedAt ?? heardAt ?? at,
+          failedAt: this.progress?.failedAt ?? answeredAt ?? at,
           fencingAt: this.progress?.fencingAt ?? at,
         };
         break;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** A write of a term was acknowledged. */
+  /** Records that a write of a term was acknowledged; the first one of the new term completes the measurement. */
   recordWrite(term: Term, at: number): void {
     const { progress: course } = this;
     if (course?.led === undefined || course.promotingAt === undefined) return;
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Another VM's primary ends the course: its gap is that VM's to tell. */
+  /** Records a new primary. One promoted by another VM ends the measurement: that VM reports the gap. */
   private recordNewPrimary(term: Term, at: number): void {
     if (this.progress?.promotingAt === undefined) this.progress = undefined;
     else this.progress = { ...this.progress, led: { at, term } };
--- a/src/groupwatch/groupwatch.ts
+++ b/src/groupwatch/groupwatch.ts
@@ -37,8 +37,8 @@
 }
 
 /**
- * Watches one group from its owner: keeps its positions up to date, changes its primary when that
- * fails, and tells when a write may be acknowledged. Nothing breaks when two VMs watch one group.
+ * Monitors one group at the VM that owns it: keeps the targets' positions up to date, replaces a failed primary,
+ * and determines when a write may be acknowledged. It is safe for two VMs to watch the same group.
  */
 export class GroupWatch implements Disposable {
   private readonly disposables = new DisposableStore();
@@ -52,7 +52,7 @@
   private readonly gapMeter: GapMeter;
   private readonly listeners = new Set<(view: GroupView) => void>();
   private current: GroupView;
-  /** When the last known primary last answered. */
+  /** When the last known primary most recently answered. */
   private primaryAnsweredAt: number | undefined;
 
   constructor(private readonly options: WatchOptions) {
@@ -88,28 +88,28 @@
     this.disposables.add(this.confirmations);
   }
 
-  /** Begins to watch. */
+  /** Starts the status streams and the failover controller. */
   start(): void {
     for (const { stream } of this.watchedTargets.values()) stream.start();
     this.runner.apply({ type: "ticked" });
   }
 
-  /** Stops for good; writes that wait for a confirmation hear `timedOut`. */
+  /** Stops for good; pending calls of `confirm` resolve to `timedOut`. */
   dispose(): Promise<void> {
     return this.disposables.dispose();
   }
 
-  /** The group as it is known now. */
+  /** Returns the current view of the group. */
   getView(): GroupView {
     return this.current;
   }
 
-  /** Whether this VM is cut off from a primary that others may reach: another VM should own the group. */
+  /** Whether this VM is cut off from a primary that others may reach, so that another VM should own the group. */
   get isCutOff(): boolean {
     return isCutOff(this.runner.state);
   }
 
-  /** Whether new writes should wait, so that a replica can catch up in a planned switch. */
+  /** Whether new writes should wait so that a replica can catch up during a planned switchover. */
   get isSwitchingOver(): boolean {
     const { switching } = this.runner.state;
     return switching !== undefined && this.options.clock.now() < switching.until;
@@ -122,21 +122,21 @@
   }
 
   /**
-   * Reads a fresh mark of the primary. Called after a commit's reply, the mark is at or after the
-   * commit; give `term` and `askedAt` on to `confirm`. With `witnessed` the others are asked in the
-   * same moment, so that their answers are there when `confirm` is called.
+   * Reads the primary's current mark. If called after a commit's reply, the mark is at or after the commit; pass its
+   * `term` and `askedAt` to `confirm`. With `witnessed`, the other targets are asked in parallel, so that their
+   * answers are available when `confirm` is called.
    */
   async readMark(target: string, mode: Acknowledgement = "replicated"): Promise<MarkReading> {
     const reading = this.requestFreshStatus(target);
     if (mode === "witnessed") this.requestOtherStatuses(target);
-    const asked = await reading;
-    return interpretStatus(asked);
+    const timed = await reading;
+    return interpretStatus(timed);
   }
 
   /**
-   * Waits until a write of `term`, committed at or before `mark`, may be acknowledged. `term` is the
-   * one of the view by which the write was sent; `committedAt` a time by which its commit was known
-   * here, as `readMark` gives it.
+   * Waits until a write of `term`, committed at or before `mark`, may be acknowledged. `term` is that of the view
+   * used to send the write. `committedAt` is a time at which the commit was already known to this VM, such as the
+   * `askedAt` that `readMark` returns.
    */
   async confirm(
     term: Term,
@@ -156,19 +156,19 @@
     return confirmation;
   }
 
-  /** An upper bound in milliseconds of the age of a target's data at `now`, where one is known. */
+  /** Finds an upper bound of the age of a target's data at `now`; `undefined` if none is known. */
   findMaxAgeMs(target: string, now: number): number | undefined {
     const status = this.current.targets[target]?.status;
-    const heldAt = status === undefined ? undefined : this.history.findCaughtUpAt(status);
-    return heldAt === undefined ? undefined : Math.max(0, now - heldAt);
+    const caughtUpAt = status === undefined ? undefined : this.history.findCaughtUpAt(status);
+    return caughtUpAt === undefined ? undefined : Math.max(0, now - caughtUpAt);
   }
 
-  /** A connection to the target broke. Hastens the checks and replaces none. */
+  /** Reports that a connection to the target broke. This makes the controller check the target earlier. */
   reportConnectionFailure(target: string): void {
     this.runner.apply({ type: "hinted", target });
   }
 
-  /** Moves the primary role away from a target that is to leave, once a replica holds all it has. */
+  /** Moves the primary role away from a target that is to be removed, once a replica has its whole log. */
   requestSwitchover(target: string): void {
     this.runner.apply({ type: "switchAsked", target });
   }
@@ -182,7 +182,7 @@
       control,
       clock,
       getHoldMs: (role) => (role === "primary" ? timings.heartbeatMs : timings.replicaHeartbeatMs),
-      getGraceMs: () => this.getGraceMs(name),
+      getGraceMs: () => this.findGraceMs(name),
       retryMs: timings.heartbeatMs,
       onAnswer: (answer) => this.handleAnswer(answer),
       onMiss: (reason) => this.handleMiss(name, reason, false),
@@ -195,8 +195,8 @@
     };
   }
 
-  /** The controller checks a silent primary itself and then renews its stream. */
-  private getGraceMs(target: string): number {
+  /** A primary gets the maximum: the controller itself checks a silent one and then reconnects its stream. */
+  private findGraceMs(target: string): number {
     const isPrimary = this.current.primary?.target === target;
     return isPrimary ? this.timings.maxAllowanceMs : getAllowance(this.runner.state, target);
   }
@@ -209,11 +209,11 @@
   private async requestFreshStatus(name: string): ReturnType<FreshStatusClient["request"]> {
     const watched = this.watchedTargets.get(name);
     if (watched === undefined)
-      throw new Error(`${name} is no target of ${this.options.group.name}`);
-    const asked = await watched.statusClient.request();
-    if (asked.result.type === "accepted")
-      this.handleAnswer({ status: asked.result.status, askedAt: asked.askedAt });
-    return asked;
+      throw new Error(`${name} is not a target of group ${this.options.group.name}`);
+    const timed = await watched.statusClient.request();
+    if (timed.result.type === "accepted")
+      this.handleAnswer({ status: timed.result.status, askedAt: timed.askedAt });
+    return timed;
   }
 
   private handleAnswer(answer: StreamAnswer): void {
@@ -248,8 +248,8 @@
 
   private recordHistory(): void {
     const { primary, targets } = this.current;
-    const backedAt = findMajorityConfirmedAt(this.current, [...this.watchedTargets.keys()]);
+    const confirmedAt = findMajorityConfirmedAt(this.current, [...this.watchedTargets.keys()]);
     const mark = primary && targets[primary.target]?.status.mark;
-    if (backedAt !== undefined && mark !== undefined) this.history.record(backedAt, mark);
+    if (confirmedAt !== undefined && mark !== undefined) this.history.record(confirmedAt, mark);
   }
 }
--- a/src/groupwatch/history.ts
+++ b/src/groupwatch/history.ts
@@ -5,20 +5,20 @@
   readonly mark: Mark;
 }
 
-/** The least time between two samples that are kept, in milliseconds: what an age may be too great by. */
+/** The minimum time between two stored samples; a reported age may be too great by this much. */
 const minSampleIntervalMs = 20;
 
-/** Samples kept: enough for ages up to ten seconds while the group is written to all the time. */
+/** Enough samples for ages up to ten seconds under continuous writes. */
 const maxSamples = 512;
 
 /**
- * Marks of a group's primary and instants at which its log was no longer than that. Bounded; a
- * sample that is left out makes ages greater and never smaller.
+ * Marks of a group's primary, each with a time at which its log did not extend beyond the mark. The number of
+ * samples is bounded; dropping a sample can only make a reported age greater, never smaller.
  */
 export class MarkHistory {
   private samples: Sample[] = [];
 
-  /** Notes that at `at` nothing beyond `mark` had been committed. */
+  /** Records that at time `at` nothing beyond `mark` had been committed. */
   record(at: number, mark: Mark): void {
     const last = this.samples.at(-1);
     const before = this.samples.at(-2);
@@ -30,12 +30,12 @@
     if (this.samples.length > maxSamples) this.samples.shift();
   }
 
-  /** The latest instant up to which the target holds everything; `undefined` when none is known. */
+  /** Finds the latest known time up to which the target has all commits; `undefined` if there is none. */
   findCaughtUpAt(status: TargetStatus): number | undefined {
-    const held = this.samples.findLast(
+    const sample = this.samples.findLast(
       ({ mark }) => compareMarks(status.lineage, status.mark, mark).type === "reached",
     );
-    return held?.at;
+    return sample?.at;
   }
 }
 
--- a/src/groupwatch/peers.ts
+++ b/src/groupwatch/peers.ts
@@ -2,10 +2,10 @@
 import type { PeerCheck } from "../model/index.js";
 import type { WatchPorts } from "./ports.js";
 
-/** How many other VMs are asked about a suspected primary. */
+/** How many other VMs are asked to check a suspected primary. */
 export const maxCheckerVms = 2;
 
-/** Asks other VMs for a target; answers as soon as one has reached it, else when all have answered. */
+/** Asks other VMs to check a target. Resolves as soon as one has reached it, otherwise once all have answered. */
 export async function checkThroughPeers(
   ports: WatchPorts,
   group: string,
--- a/src/groupwatch/ports.ts
+++ b/src/groupwatch/ports.ts
@@ -3,20 +3,20 @@
 import type { Logger } from "../log/index.js";
 import type { Clock, Group, PeerClient, Random, TargetControl, Vm } from "../model/index.js";
 
-/** What a group's watch needs of the world. */
+/** Dependencies of a `GroupWatch`. */
 export interface WatchPorts {
   readonly control: TargetControl;
   readonly peers: Pick<PeerClient, "checkTarget">;
   readonly clock: Clock;
   readonly random: Random;
   readonly log: Logger;
-  /** Other VMs that may be asked to check a target, the best first; two of them are. */
+  /** Other VMs that can check a target, in order of preference. Only the first two are asked. */
   readonly listCheckerVms: () => readonly Vm[];
 }
 
-/** How long each step of a change of primary took, in milliseconds. */
+/** Durations of the phases of a failover, in milliseconds. */
 export interface FailoverPhases {
-  /** From the old primary's last answer to the first fence. */
+  /** From the old primary's last answer to the first fence request. */
   readonly detectingMs: number;
   /** Until a majority was fenced. */
   readonly fencingMs: number;
@@ -26,15 +26,15 @@
   readonly firstWriteMs: number;
 }
 
-/** Rules that safety rests on, all in force but where a test shows that one is needed. */
+/** Safety rules, all enabled except in tests that show that a rule is needed. */
 export type WatchSafeguards = FailoverSafeguards & AcknowledgeSafeguards;
 
-/** What a group's watch is made of. */
+/** Options of a `GroupWatch`. */
 export interface WatchOptions extends WatchPorts {
   readonly group: Group;
   readonly vm: string;
   readonly timings?: FailoverTimings;
   readonly safeguards?: WatchSafeguards;
-  /** Hears of each change of primary that this VM ordered: the whole gap and its parts. */
+  /** Called after each failover that this VM carried out, with the time without a primary and its phases. */
   readonly onGap?: (gapMs: number, split: FailoverPhases) => void;
 }
--- a/src/groupwatch/reading.ts
+++ b/src/groupwatch/reading.ts
@@ -2,15 +2,15 @@
 import type { Mark, Term } from "../model/index.js";
 import type { TimedResult } from "./freshstatus.js";
 
-/** What a fresh look at a primary after a commit brought. */
+/** The result of a status request sent to a primary after a commit. */
 export type MarkReading =
-  /** `askedAt` is when the request was sent, for `confirm`. */
+  /** `askedAt` is when the request was sent; it is passed to `confirm`. */
   | { readonly type: "read"; readonly term: Term; readonly mark: Mark; readonly askedAt: number }
-  /** It leads no more: what was committed there may be lost. */
+  /** The target is no longer primary; commits made there may be lost. */
   | { readonly type: "notPrimary"; readonly fencedAt: Term }
   | { readonly type: "unreachable"; readonly reason: string };
 
-/** What a fresh answer says of a target that was thought to be primary. */
+/** Interprets the answer of a target that was believed to be primary. */
 export function interpretStatus({ askedAt, result }: TimedResult): MarkReading {
   switch (result.type) {
     case "unreachable":
--- a/src/groupwatch/runner.ts
+++ b/src/groupwatch/runner.ts
@@ -11,16 +11,16 @@
 
 type WithoutTimeAndDraw<T> = T extends unknown ? Omit<T, "at" | "draw"> : never;
 
-/** An event before it is given its time and its draw. */
+/** An event without its time and random draw, which the runner adds. */
 export type UntimedEvent = WithoutTimeAndDraw<FailoverEvent>;
 
-/** What the controller's effects are handed to. */
+/** Receivers of the controller's effects and state changes. */
 export interface RunnerHooks {
   readonly onEffect: (effect: FailoverEffect, at: number) => void;
   readonly onChange: (state: FailoverState) => void;
 }
 
-/** Applies events to one group's controller in the order in which they come, and ticks it. */
+/** Applies events to one group's controller in order of arrival, and drives its timer. */
 export class ControllerRunner {
   private current: FailoverState;
   private timer: { readonly at: number; readonly stop: AbortController } | undefined;
@@ -39,10 +39,10 @@
     return this.current;
   }
 
-  apply(bare: UntimedEvent): void {
+  apply(event: UntimedEvent): void {
     if (this.isStopped) return;
     const at = this.clock.now();
-    const applied = applyEvent(this.current, { ...bare, at, draw: this.random.draw() });
+    const applied = applyEvent(this.current, { ...event, at, draw: this.random.draw() });
     if (applied.type === "failed") return;
     const isChanged = applied.state !== this.current;
     this.current = applied.state;
@@ -56,7 +56,7 @@
     this.timer?.stop.abort();
   }
 
-  /** A timer that is due earlier than needed stays: its tick does nothing and sets the next. */
+  /** Sets the timer for the next tick. An earlier timer is kept: its tick has no effect and sets the timer again. */
   private setTimer(now: number): void {
     const at = Math.max(findWakeAt(this.current), now + 1);
     if (this.isStopped || (this.timer !== undefined && this.timer.at <= at)) return;
--- a/src/groupwatch/setup.ts
+++ b/src/groupwatch/setup.ts
@@ -7,13 +7,13 @@
 import type { Random } from "../model/index.js";
 import type { WatchOptions, WatchSafeguards } from "./ports.js";
 
-/** Everything on. */
+/** All safety rules enabled. */
 export const allWatchSafeguards: WatchSafeguards = {
   ...allFailoverSafeguards,
   ...allAcknowledgeSafeguards,
 };
 
-/** Builds what the group's controller is made of. */
+/** Builds the options of the group's failover controller. */
 export function buildFailoverOptions(options: WatchOptions): FailoverOptions {
   const { group, vm, random, timings, safeguards } = options;
   return {
@@ -25,7 +25,7 @@
   };
 }
 
-/** The part of a promoter's name that differs between two runs on one VM. */
+/** Draws the suffix of a promoter's name that distinguishes two runs of the process on one VM. */
 function drawNonce(random: Random): string {
   return Math.floor(random.draw() * 2 ** 32)
     .toString(16)
--- a/src/groupwatch/stream.ts
+++ b/src/groupwatch/stream.ts
@@ -1,31 +1,31 @@
 import type { Clock, ControlResult, Target, TargetControl, TargetStatus } from "../model/index.js";
 
-/** An answer that came on a stream. */
+/** A status answer received from a target. */
 export interface StreamAnswer {
   readonly status: TargetStatus;
   readonly askedAt: number;
-  /** Absent where the target answered because something had changed. */
+  /** How late the answer was; absent if the target answered early because of a change. */
   readonly latenessMs?: number;
 }
 
-/** What a stream is made of. */
+/** Options of a `StatusStream`. */
 export interface StreamOptions {
   readonly target: Target;
   readonly control: TargetControl;
   readonly clock: Clock;
-  /** How long the target holds an answer back while nothing changes, by its last role. */
+  /** How long the target may hold its answer back while nothing changes, by its last known role. */
   readonly getHoldMs: (role: TargetStatus["role"] | undefined) => number;
-  /** How long after that an answer is still waited for on this connection. */
+  /** How much longer an answer is awaited on the connection. */
   readonly getGraceMs: () => number;
-  /** Between a failed request and the next. */
+  /** Delay between a failed request and the next one. */
   readonly retryMs: number;
   readonly onAnswer: (answer: StreamAnswer) => void;
   readonly onMiss: (reason: string) => void;
 }
 
 /**
- * Status requests to one target, one after the other, each answered when the position or the fence
- * changes: positions arrive as they change, on one request per target instead of one per write.
+ * Follows one target's status by long polling: one request after the other, each answered when the position or
+ * the fence changes. Position changes arrive at once, with one open request per target instead of one per write.
  */
 export class StatusStream {
   private readonly stopped = new AbortController();
@@ -39,7 +39,7 @@
     void this.run();
   }
 
-  /** Gives the connection up: a request that is still open on it is no longer waited for. */
+  /** Abandons the open request; the next one uses a new connection. */
   reconnect(): void {
     this.isReconnectDue = true;
     this.cancelWait();
@@ -74,26 +74,20 @@
   }
 
   private async ask(): Promise<ControlResult> {
-    const {
-      control,
-      clock,
-      target,
-      getHoldMs: findWaitMs,
-      getGraceMs: findPatienceMs,
-    } = this.options;
-    const waitMs = findWaitMs(this.last?.role);
+    const { control, clock, target, getHoldMs, getGraceMs } = this.options;
+    const holdMs = getHoldMs(this.last?.role);
     const after = this.last;
     const askedAt = clock.now();
     const isFresh = this.isReconnectDue;
     this.isReconnectDue = false;
     const result = await control.status(target, {
-      timeoutMs: waitMs + findPatienceMs(),
+      timeoutMs: holdMs + getGraceMs(),
       ...(after === undefined
         ? {}
-        : { after: { mark: after.mark, fencedAt: after.fencedAt }, waitMs }),
+        : { after: { mark: after.mark, fencedAt: after.fencedAt }, waitMs: holdMs }),
       ...(isFresh ? { fresh: true } : {}),
     });
-    if (!this.stopped.signal.aborted) this.report(result, askedAt, after, waitMs);
+    if (!this.stopped.signal.aborted) this.report(result, askedAt, after, holdMs);
     return result;
   }
 
@@ -101,7 +95,7 @@
     result: ControlResult,
     askedAt: number,
     after: TargetStatus | undefined,
-    waitMs: number,
+    holdMs: number,
   ): void {
     if (result.type !== "accepted") {
       this.options.onMiss(result.type === "refused" ? "refused" : result.reason);
@@ -110,7 +104,7 @@
     const { status } = result;
     this.last = status;
     const isUnchanged = after?.mark.offset === status.mark.offset;
-    const latenessMs = Math.max(0, this.options.clock.now() - askedAt - waitMs);
+    const latenessMs = Math.max(0, this.options.clock.now() - askedAt - holdMs);
     this.options.onAnswer({ status, askedAt, ...(isUnchanged ? { latenessMs } : {}) });
   }
 }
--- a/src/groupwatch/view.ts
+++ b/src/groupwatch/view.ts
@@ -6,7 +6,7 @@
 } from "../controller/failover/index.js";
 import { compareTerms, countMajority, type GroupView, type TargetView } from "../model/index.js";
 
-/** The group as others see it. No primary is named while this VM is cut off from it. */
+/** Builds the view of a group for subscribers. It has no primary while this VM is cut off from the group. */
 export function buildView(state: FailoverState): GroupView {
   const targets: Record<string, TargetView> = {};
   for (const name of state.options.targets) {
@@ -22,9 +22,9 @@
 }
 
 /**
- * The latest instant at which the primary is known to have had a majority with it; `undefined` when
- * none is. A primary that was superseded goes on showing an end of the log that is no longer the
- * group's, and ages told from it would be too small.
+ * Finds the latest time at which the primary is known to have had the support of a majority; `undefined` if there
+ * is none. A superseded primary still reports the end of its own log, which is no longer the group's, so that data
+ * ages derived from it would be too small.
  */
 export function findMajorityConfirmedAt(
   view: GroupView,
@@ -32,12 +32,14 @@
 ): number | undefined {
   const { primary } = view;
   if (primary === undefined) return undefined;
-  const asked = targets.flatMap((name) => {
+  const askedTimes = targets.flatMap((name) => {
     const target = view.targets[name];
     if (target === undefined) return [];
     return compareTerms(target.status.fencedAt, primary.term) > 0 ? [] : [target.askedAt];
   });
-  const backedAt = asked.sort((a, b) => b - a)[countMajority(targets.length) - 1];
-  const ownAt = view.targets[primary.target]?.askedAt;
-  return backedAt === undefined || ownAt === undefined ? undefined : Math.min(backedAt, ownAt);
+  const majorityAt = askedTimes.sort((a, b) => b - a)[countMajority(targets.length) - 1];
+  const primaryAskedAt = view.targets[primary.target]?.askedAt;
+  return majorityAt === undefined || primaryAskedAt === undefined
+    ? undefined
+    : Math.min(majorityAt, primaryAskedAt);
 }
