--- a/src/leadership/changer.ts
+++ b/src/leadership/changer.ts
@@ -9,25 +9,25 @@
 import { findSuspicion, type Suspicion } from "./suspicion.js";
 import { notifyProxies, waitForPermitExpiry, type NotificationResult } from "./notification.js";
 
-/** How long a planned change lets statements on their way end before the old primary steps back. */
+/** How long a planned change lets statements in flight end before it demotes the old primary. */
 const statementDrainMs = 60;
-/** A replica gets what the old primary holds within a few times its lag of 60 to 150 ms. */
+/** A replica receives the rest of the old primary's log within a few times its lag of 60 to 150 ms. */
 const catchUpTimeoutMs = 1500;
 const catchUpPollMs = 25;
-/** The platform takes some hundred milliseconds to promote, at times a second. */
+/** The platform needs some hundred milliseconds for a promotion, sometimes a second. */
 const promoteTimeoutMs = 1500;
 const servingTimeoutMs = 4000;
 const servingPollMs = 25;
-/** Targets that may turn out not to run, one after the other. */
+/** How many chosen targets may turn out not to run before a change is given up. */
 const maxPromotionCandidates = 3;
-/** Between two looks at one group that was kept or could not be changed. */
+/** Delay until a group is checked again after its primary was kept, replaced or could not be replaced. */
 const recheckDelayMs = 400;
-/** A target announces a change of its role at once; a group without a primary for longer has none. */
+/** Targets announce a change of role at once, so a group in which none is primary for longer has lost its primary. */
 const leaderlessTimeoutMs = 2000;
-/** Proxies that see the same failure begin at drawn times, so that one is first. */
+/** Upper limit of a random delay, so that of several proxies that see the same failure one starts first. */
 const maxStartDelayMs = 80;
 
-/** Replaces primaries: suspects, asks the others, takes the duty, and carries the change out. */
+/** Replaces primaries: detects a failure, asks the other proxies, acquires the lease and carries out the change. */
 export class PrimaryChanger {
   private readonly changingGroups = new Set<string>();
   private readonly nextCheckAt = new Map<string, number>();
@@ -44,14 +44,14 @@
     this.inquirer = new TargetInquirer(ports);
   }
 
-  /** Looks at every group; changes begin in the background. */
+  /** Checks every group; changes run in the background. */
   checkGroups(): void {
     if (this.isStopped) return;
     this.lease.observeDocument();
     for (const group of this.ports.listGroups()) this.checkGroup(group);
   }
 
-  /** Begins no further changes; those under way go on. */
+  /** Prevents further changes; those under way continue. */
   stop(): void {
     this.isStopped = true;
   }
@@ -70,17 +70,17 @@
       if (this.lease.canTakeOver()) this.startChange(group, entry.from, { type: "unlisted" });
       return;
     }
-    const old = this.tracker.findKnownPrimary(group);
-    if (old === undefined) {
+    const oldTarget = this.tracker.findKnownPrimary(group);
+    if (oldTarget === undefined) {
       this.checkLeaderlessGroup(group);
       return;
     }
     this.leaderlessSince.delete(group);
-    const suspicion = this.findSuspicion(group, old);
-    if (suspicion !== undefined) this.startChange(group, old, suspicion);
+    const suspicion = this.findSuspicion(group, oldTarget);
+    if (suspicion !== undefined) this.startChange(group, oldTarget, suspicion);
   }
 
-  /** A group whose primary went before this process knew it: nobody else may be left who did. */
+  /** Handles a group whose primary failed before this process knew it; perhaps no remaining proxy knew it. */
   private checkLeaderlessGroup(group: string): void {
     const now = this.ports.clock.now();
     const since = this.leaderlessSince.get(group) ?? now;
@@ -90,21 +90,21 @@
       this.startChange(group, "", { type: "unlisted" });
   }
 
-  private findSuspicion(group: string, old: string): Suspicion | undefined {
-    const listed = this.ports.listTargets(group).find((t) => t.name === old);
-    const sight = {
-      target: old,
+  private findSuspicion(group: string, oldTarget: string): Suspicion | undefined {
+    const listed = this.ports.listTargets(group).find((t) => t.name === oldTarget);
+    const observation = {
+      target: oldTarget,
       isListed: listed !== undefined,
       isLeaving: listed?.isLeaving === true,
-      hasLostLog: this.tracker.hasLostLog(group, old),
+      hasLostLog: this.tracker.hasLostLog(group, oldTarget),
       contact: this.tracker.getContact(group),
     };
-    return findSuspicion(sight, this.ports.clock.now());
+    return findSuspicion(observation, this.ports.clock.now());
   }
 
-  private startChange(group: string, old: string, suspicion: Suspicion): void {
+  private startChange(group: string, oldTarget: string, suspicion: Suspicion): void {
     this.changingGroups.add(group);
-    void this.runChange(group, old, suspicion)
+    void this.runChange(group, oldTarget, suspicion)
       .catch((error: unknown) => {
         this.ports.logger.write(leadershipEvents.changeBarred, { group, reason: String(error) });
       })
@@ -114,77 +114,79 @@
       });
   }
 
-  private async runChange(group: string, old: string, suspicion: Suspicion): Promise<void> {
+  private async runChange(group: string, oldTarget: string, suspicion: Suspicion): Promise<void> {
     const { clock, random, logger } = this.ports;
     const startedAt = clock.now();
     const seen = this.tracker.leadership.document.groups[group];
-    logger.write(leadershipEvents.suspected, { group, target: old, reason: suspicion.type });
+    logger.write(leadershipEvents.suspected, { group, target: oldTarget, reason: suspicion.type });
     await clock.sleep(random.draw() * maxStartDelayMs);
     const isResumed = seen?.type === "changing";
-    const reach = isResumed ? undefined : await this.measureReachability(group, old, suspicion);
+    const reach = isResumed
+      ? undefined
+      : await this.measureReachability(group, oldTarget, suspicion);
     if (reach !== undefined) {
       const decision = decideChange(suspicion, reach);
       if (decision.type === "keep") {
-        logger.write(leadershipEvents.kept, { group, target: old, reason: decision.reason });
+        logger.write(leadershipEvents.kept, { group, target: oldTarget, reason: decision.reason });
         return;
       }
     }
-    const round = await this.lease.beginChange(group, old, seen?.round ?? 0);
+    const round = await this.lease.beginChange(group, oldTarget, seen?.round ?? 0);
     if (round === undefined) return;
-    const target = await this.executeChange(group, old, suspicion);
+    const target = await this.executeChange(group, oldTarget, suspicion);
     if (target === undefined) return;
     await this.finishChange(group, round, target);
     const ms = Math.round(clock.now() - startedAt);
     logger.write(leadershipEvents.changeDone, { group, target, ms });
   }
 
-  /** Nobody need be asked about a primary that is gone or leaving. */
+  /** Asks the other proxies only if the primary is unreachable; the other reasons do not depend on them. */
   private measureReachability(
     group: string,
-    old: string,
+    oldTarget: string,
     { type }: Suspicion,
   ): Promise<Reachability> {
-    const nobody = { reaching: 0, notReaching: 0, silent: 0 };
+    const noAnswers = { reaching: 0, notReaching: 0, silent: 0 };
     return type === "unreachable"
-      ? this.inquirer.measureReachability(group, old)
-      : Promise.resolve(nobody);
+      ? this.inquirer.measureReachability(group, oldTarget)
+      : Promise.resolve(noAnswers);
   }
 
-  /** Carries a change out; gives the target that leads, or nothing when it had to stop. */
+  /** Carries out a change; resolves to the new primary, or to `undefined` if the change was given up. */
   private async executeChange(
     group: string,
-    old: string,
+    oldTarget: string,
     suspicion: Suspicion,
   ): Promise<string | undefined> {
-    const begunAt = this.ports.clock.now();
+    const changeStartedAt = this.ports.clock.now();
     const isListed = await this.ports.refreshProxies();
-    const telling = await this.notifyOthers();
+    const notified = await this.notifyOthers();
     if (suspicion.type === "leaving") await this.ports.clock.sleep(statementDrainMs);
-    const oldReport = await this.demoteOldPrimary(group, old);
-    await waitForPermitExpiry(this.ports, this.tracker, begunAt, telling, isListed);
-    return this.promoteBestCandidate(group, old, oldReport);
+    const oldReport = await this.demoteOldPrimary(group, oldTarget);
+    await waitForPermitExpiry(this.ports, this.tracker, changeStartedAt, notified, isListed);
+    return this.promoteBestCandidate(group, oldTarget, oldReport);
   }
 
-  /** Promotes the best target that runs; gives the one that leads. */
+  /** Promotes the best running target and resolves to it, or to `undefined` if none became primary. */
   private async promoteBestCandidate(
     group: string,
-    old: string,
+    oldTarget: string,
     oldReport: TargetReport | undefined,
   ): Promise<string | undefined> {
     let reason = "no target could be promoted";
-    for (let tries = 0; tries < maxPromotionCandidates; tries += 1) {
-      const target = await this.chooseTarget(group, old, oldReport);
+    for (let attempt = 0; attempt < maxPromotionCandidates; attempt += 1) {
+      const target = await this.chooseTarget(group, oldTarget, oldReport);
       if (target === undefined) {
         reason = "no target answers";
         break;
       }
       if (await this.promote(group, target)) {
         if (await this.waitUntilServing(group, target)) return target;
-        reason = "the new primary does not serve";
+        reason = "the promoted target does not report itself as primary";
         break;
       }
       if (!this.lease.isHeld) {
-        reason = "the duty has gone to another proxy";
+        reason = "the lease was lost to another proxy";
         break;
       }
     }
@@ -192,51 +194,54 @@
     return undefined;
   }
 
-  /** Tells all proxies to use the old primary no more; gives how many did not answer. */
+  /** Sends the leadership state to all other proxies, so that they stop using an old primary. */
   private async notifyOthers(): Promise<NotificationResult> {
     const { version } = this.tracker.leadership;
-    const telling = await notifyProxies(this.ports, this.tracker, this.inquirer.listOtherProxies());
-    const told = telling.notifiedAt.length;
-    const silent = telling.unanswered.length;
+    const outcome = await notifyProxies(this.ports, this.tracker, this.inquirer.listOtherProxies());
+    const told = outcome.notifiedAt.length;
+    const silent = outcome.unanswered.length;
     this.ports.logger.write(leadershipEvents.proxiesTold, { version, told, silent });
-    return telling;
+    return outcome;
   }
 
-  /** Makes the old primary step back, by whoever reaches it; gives where its log ended. */
-  private async demoteOldPrimary(group: string, old: string): Promise<TargetReport | undefined> {
+  /** Demotes the old primary through any proxy that reaches it; resolves to its report, with the end of its log. */
+  private async demoteOldPrimary(
+    group: string,
+    oldTarget: string,
+  ): Promise<TargetReport | undefined> {
     const status = await this.inquirer.askThroughAll({
       group,
-      target: old,
+      target: oldTarget,
       demoteRound: undefined,
     });
     if (status === undefined) return undefined;
     const report = await this.inquirer.askThroughAll({
       group,
-      target: old,
+      target: oldTarget,
       demoteRound: status.round + 1,
     });
     const position = report === undefined ? null : formatReport(report);
-    this.ports.logger.write(leadershipEvents.demoted, { group, target: old, position });
+    this.ports.logger.write(leadershipEvents.demoted, { group, target: oldTarget, position });
     return report;
   }
 
-  /** Waits until a replica holds what the old primary held, if that is known, and chooses. */
+  /** Chooses a target, after waiting until one has the old primary's whole log, if the end of that log is known. */
   private async chooseTarget(
     group: string,
-    old: string,
+    oldTarget: string,
     oldReport: TargetReport | undefined,
   ): Promise<string | undefined> {
     const { clock, logger } = this.ports;
     const until = clock.now() + catchUpTimeoutMs;
     for (;;) {
-      const silent = oldReport === undefined ? old : undefined;
-      const contenders = await this.listCandidates(group, silent);
-      const chosen = chooseCandidate(contenders, old);
+      const silent = oldReport === undefined ? oldTarget : undefined;
+      const candidates = await this.listCandidates(group, silent);
+      const chosen = chooseCandidate(candidates, oldTarget);
       const isWhole =
         oldReport === undefined ||
         (chosen !== undefined && orderMarks(chosen.report.received, oldReport.received) >= 0);
       if (isWhole || clock.now() >= until) {
-        const positions = contenders.map((c) => `${c.target} ${formatReport(c.report)}`);
+        const positions = candidates.map((c) => `${c.target} ${formatReport(c.report)}`);
         logger.write(leadershipEvents.chosen, { group, target: chosen?.target ?? null, positions });
         return chosen?.target;
       }
@@ -244,7 +249,7 @@
     }
   }
 
-  /** Asks the targets that may lead; an old primary that nobody reached is not asked again. */
+  /** Asks the targets that may become primary. `silent` is an old primary that no proxy reached; it is skipped. */
   private async listCandidates(group: string, silent?: string): Promise<readonly Candidate[]> {
     const targets = this.ports.listTargets(group).filter(({ name }) => name !== silent);
     const asked = targets.map(async ({ name, isLeaving }) => {
@@ -258,9 +263,9 @@
     return (await Promise.all(asked)).flat();
   }
 
-  /** Orders the promotion, again while the answer is lost: the same order twice changes nothing. */
+  /** Orders the promotion, and repeats the order if its answer is lost; a promotion is idempotent. */
   private async promote(group: string, target: string): Promise<boolean> {
-    for (let tries = 0; tries < 4; tries += 1) {
+    for (let attempt = 0; attempt < 4; attempt += 1) {
       const token = await this.lease.renew();
       if (token === undefined) return false;
       const order = { group, target, holder: this.ports.vm, token };
@@ -272,7 +277,7 @@
     return false;
   }
 
-  /** Waits until the target says that it leads. */
+  /** Waits until the target reports itself as primary. */
   private async waitUntilServing(group: string, target: string): Promise<boolean> {
     const { clock } = this.ports;
     const until = clock.now() + servingTimeoutMs;
@@ -284,16 +289,16 @@
     return false;
   }
 
-  /** Tells everybody who leads, before the store has it: each answer lets callers go on. */
+  /** Announces the new primary before the store records it, so that the other proxies can serve callers sooner. */
   private async finishChange(group: string, round: number, target: string): Promise<void> {
     const { leadership } = this.tracker;
     this.tracker.adopt({ leadership, promoted: [{ group, round, target }] });
-    const telling = this.notifyOthers();
+    const notified = this.notifyOthers();
     await this.lease.endChange(group, round, target);
-    await telling;
-    const { unanswered: missed } = await this.notifyOthers();
-    // One that has ended for good would be waited out by each change from now on.
-    await Promise.all(missed.map((proxy) => this.ports.markMissed(proxy)));
+    await notified;
+    const { unanswered } = await this.notifyOthers();
+    // Without the mark, every later change would wait for a proxy that has terminated.
+    await Promise.all(unanswered.map((proxy) => this.ports.markMissed(proxy)));
   }
 }
 
--- a/src/leadership/decide.ts
+++ b/src/leadership/decide.ts
@@ -2,38 +2,42 @@
 import type { TargetReport } from "../statement/index.js";
 import type { Suspicion } from "./suspicion.js";
 
-/** Whether the proxies reach a primary, as far as they answered. */
+/** The numbers of proxies that do and do not reach a primary. */
 export interface Reachability {
   readonly reaching: number;
   readonly notReaching: number;
-  /** Proxies that did not answer the question. */
+  /** Proxies that did not answer. */
   readonly silent: number;
 }
 
-/** What to do about a suspected primary. */
+/** Whether a suspected primary is kept or replaced. The reason is logged. */
 export type ChangeDecision =
   | { readonly type: "keep"; readonly reason: string }
   | { readonly type: "change"; readonly reason: string };
 
 /**
- * From this share of proxies on that can't reach a primary the role is moved: moving it costs all
- * callers about half a second, leaving it there costs theirs the whole cut.
+ * A primary is replaced if at least this share of the proxies can't reach it. A change interrupts all callers
+ * for about half a second; without one, the callers of those proxies are interrupted for the whole partition.
  */
 const minNotReachingShare = 1 / 3;
 
 /**
- * Decides whether a suspected primary is replaced. Not by a proxy that hears of less than half of the
- * others: it is most likely the one that is cut off. Once a cut has healed one that
- * reaches the store before its peers would begin a change on its own word, and the primary that all others
- * use would stand unused until the end of that.
+ * Decides whether a suspected primary is replaced. A proxy that hears from no more than half of the proxies does
+ * not replace one that it cannot reach: it is most likely the one that is cut off. Otherwise, when a partition heals
+ * and it reaches the store before its peers, it would begin a change on its own observation, and nobody could use a
+ * healthy primary until that change is over.
  */
 export function decideChange(suspicion: Suspicion, reach: Reachability): ChangeDecision {
   if (suspicion.type === "leaving") return { type: "change", reason: "the primary is leaving" };
-  if (suspicion.type === "unlisted") return { type: "change", reason: "the primary is gone" };
-  if (suspicion.type === "emptied") return { type: "change", reason: "the primary lost its log" };
+  if (suspicion.type === "unlisted")
+    return { type: "change", reason: "the primary is no longer listed" };
+  if (suspicion.type === "emptied") return { type: "change", reason: "the primary lost commits" };
   const answered = reach.reaching + reach.notReaching;
   if (answered <= reach.silent) {
-    return { type: "keep", reason: `${reach.silent} proxies do not say whether they reach it` };
+    return {
+      type: "keep",
+      reason: `${reach.silent} proxies did not answer whether they reach the primary`,
+    };
   }
   if (reach.reaching === 0) return { type: "change", reason: "no proxy reaches the primary" };
   const share = reach.notReaching / answered;
@@ -43,7 +47,7 @@
   return { type: "keep", reason: `${reach.reaching} proxies reach the primary` };
 }
 
-/** A target that may lead, with what it said of itself. */
+/** A target that may become primary, with its status report. */
 export interface Candidate {
   readonly target: string;
   readonly isLeaving: boolean;
@@ -51,18 +55,18 @@
 }
 
 /**
- * The target that should lead. One that started again with nothing has the shortest log, so that it
- * leads only where no other runs. One that leads a newer term than all others already is taken first:
- * an earlier change may have got that far. Else the one with the longest log, which loses least; a
- * target that is leaving only where there is no other.
+ * Chooses the target that becomes primary. A target that is already primary of the newest round comes first, since
+ * an earlier change may have been interrupted after its promotion. Otherwise the one with the longest log is
+ * chosen, which loses the fewest commits; a target that restarted empty has the shortest log and is chosen
+ * only if no other one runs. A target that is leaving is chosen only if there is no other.
  */
 export function chooseCandidate(
   candidates: readonly Candidate[],
-  old: string,
+  oldTarget: string,
 ): Candidate | undefined {
   const staying = candidates.filter((c) => !c.isLeaving);
   const pool = staying.length > 0 ? staying : candidates;
-  const leader = pool.find((c) => c.report.role === "primary" && c.target !== old);
+  const leader = pool.find((c) => c.report.role === "primary" && c.target !== oldTarget);
   if (leader !== undefined && pool.every((c) => c.report.round <= leader.report.round)) {
     return leader;
   }
--- a/src/leadership/document.ts
+++ b/src/leadership/document.ts
@@ -1,45 +1,45 @@
 import type { Json } from "../model/index.js";
 
-/** The proxy that orders changes of primary now. One at a time, over all groups. */
+/** The proxy that currently holds the change lease. There is at most one, across all groups. */
 export interface LeaseHolder {
   readonly vm: string;
-  /** Differs between two runs of the process on one VM. */
+  /** Distinguishes two runs of the process on one VM. */
   readonly incarnation: string;
 }
 
-/** Who leads one group. `round` grows with each change, begun or done. */
+/** The primary of one group. `round` increases with each change, whether completed or not. */
 export type GroupLeadership =
   | {
       readonly type: "serving";
       readonly round: number;
       readonly target: string;
-      /** The VM of the proxy that made it primary; absent where an earlier version of the program did. */
+      /** The VM of the proxy that changed the primary; absent if an earlier program version wrote the entry. */
       readonly by?: string;
     }
-  /** The holder is making a new primary; nobody may use the one before. */
+  /** The lease holder is replacing the primary; the previous one (`from`) must not be used. */
   | { readonly type: "changing"; readonly round: number; readonly from: string };
 
 /**
- * Who leads the groups, as one object of the platform's store. A group that is missing was never
- * changed: its primary is the target that announces itself as such.
+ * The primaries of all groups, kept as one object in the platform's store. A group without an entry
+ * has never been changed: its primary is the target that announces itself as one.
  */
 export interface LeadershipDocument {
   readonly holder: LeaseHolder | undefined;
   readonly groups: Readonly<Record<string, GroupLeadership>>;
-  /** Counts the holder's signs of life. */
+  /** Incremented by the holder to renew its lease. */
   readonly renewals?: number;
 }
 
-/** A document with its version in the store: greater ones replace smaller ones everywhere. */
+/** A document and its version in the store. Every proxy replaces a lower version by a higher one. */
 export interface VersionedLeadership {
   readonly version: number;
   readonly document: LeadershipDocument;
 }
 
-/** Before any change of a primary. */
+/** The document before the first change of a primary. */
 export const emptyLeadership: LeadershipDocument = { holder: undefined, groups: {} };
 
-/** What the store holds of a document. */
+/** Converts a document to the JSON value that is stored. */
 export function encodeLeadership({ holder, groups, renewals }: LeadershipDocument): Json {
   return {
     holder: holder === undefined ? null : { vm: holder.vm, incarnation: holder.incarnation },
@@ -48,7 +48,7 @@
   };
 }
 
-/** Reads a document; none comes of what another version of the program may have written. */
+/** Parses a stored document; `undefined` if the format is unknown, such as one of another program version. */
 export function decodeLeadership(value: unknown): LeadershipDocument | undefined {
   if (typeof value !== "object" || value === null) return undefined;
   const { holder, groups, renewals } = value as Readonly<Record<string, unknown>>;
--- a/src/leadership/inquirer.ts
+++ b/src/leadership/inquirer.ts
@@ -2,22 +2,22 @@
 import type { Reachability } from "./decide.js";
 import type { LeadershipPorts, Proxy, TargetAnswer, TargetQuestion } from "./ports.js";
 
-/** A status takes a round trip of 1 to 3 ms and a slot; twice the longest usual work. */
+/** A status request takes a round trip of 1 to 3 ms and a slot; this is twice the longest usual use of a slot. */
 const askTimeoutMs = 200;
-/** A question through another proxy takes a round trip more, on a busy one some tens of milliseconds. */
+/** Added for a request through another proxy: one more round trip, some tens of milliseconds if that proxy is busy. */
 const relayTimeoutMs = 150;
 
-/** What an inquiry needs. */
+/** Dependencies of a `TargetInquirer`. */
 export type TargetInquirerPorts = Pick<
   LeadershipPorts,
   "vm" | "peers" | "askTarget" | "listProxies" | "listGroupProxies"
 >;
 
-/** Asks targets from here and through the other proxies. */
+/** Sends status requests to targets, directly and through other proxies. */
 export class TargetInquirer {
   constructor(private readonly ports: TargetInquirerPorts) {}
 
-  /** Asks every proxy that holds the group's connections, this one included, for a fresh answer of a primary. */
+  /** Counts the proxies that reach a primary now, among those that hold the group's connections (this one included). */
   async measureReachability(group: string, target: string): Promise<Reachability> {
     const question = { group, target, demoteRound: undefined };
     const answers = await Promise.all([
@@ -34,16 +34,16 @@
   }
 
   /**
-   * Asks a target from here and through all others that hold its connections at once, for the first answer. A primary that
-   * is being replaced is likely not to be reached from here: one after the other, each question to it
-   * took 0.55 s.
+   * Asks a target directly and through all other proxies that hold its connections, and resolves to the first report.
+   * The requests run in parallel since a primary that is being replaced is often unreachable from this proxy: in
+   * sequence, each question to it took 0.55 s.
    */
   askThroughAll(question: TargetQuestion): Promise<TargetReport | undefined> {
     const answers = [this.askDirectly(question), ...this.askThroughOthers(question)];
     return findFirstDefined(answers.map(async (answer) => findReport(await answer)));
   }
 
-  /** Asks a target from here, else through the other proxies. */
+  /** Asks a target directly, and through the other proxies only if that yields no report. */
   async askWithFallback(question: TargetQuestion): Promise<TargetReport | undefined> {
     const own = findReport(await this.askDirectly(question));
     if (own !== undefined) return own;
@@ -52,7 +52,7 @@
     );
   }
 
-  /** The other proxies that are registered. */
+  /** All registered proxies except this one. */
   listOtherProxies(): readonly Proxy[] {
     return this.ports.listProxies().filter((proxy) => proxy.vm !== this.ports.vm);
   }
@@ -63,7 +63,7 @@
 
   private askThroughOthers(question: TargetQuestion): readonly Promise<TargetAnswer | undefined>[] {
     const { peers, vm, listGroupProxies: listHolders } = this.ports;
-    // Others hold no connection to the target, and would open one each at the same time.
+    // Proxies outside this list hold no connection to the target; asking them would make each of them open one at once.
     const holders = listHolders(question.group).filter((proxy) => proxy.vm !== vm);
     return holders.map((proxy) => peers.askTarget(proxy, question, askTimeoutMs + relayTimeoutMs));
   }
@@ -74,8 +74,8 @@
 }
 
 /**
- * Whether an answer shows that the primary runs and leads. One whose slots are all taken runs: taken as
- * gone, a primary would be replaced because much is asked of it, and the next one after it.
+ * Whether an answer shows that the target is running as primary. One whose slots are all in use counts as
+ * running: otherwise an overloaded primary would be replaced, and then its successor under the same load.
  */
 function showsLeadingPrimary(answer: TargetAnswer): boolean {
   switch (answer.type) {
@@ -88,7 +88,7 @@
   }
 }
 
-/** The first of some answers that is one; none when all are over without. */
+/** Resolves to the first defined value, or to `undefined` if there is none. */
 async function findFirstDefined<T>(
   answers: readonly Promise<T | undefined>[],
 ): Promise<T | undefined> {
@@ -97,6 +97,6 @@
     if (value === undefined) throw new Error("no answer");
     return value;
   });
-  // All were over without an answer: that is no fault of this program.
+  // `any` rejects if no promise yields a value, which is a regular outcome here.
   return Promise.any(found).catch(() => undefined);
 }
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -5,28 +5,29 @@
 import { editLeadership, type DocumentEdit } from "./writer.js";
 
 /**
- * A holder that has written nothing for this long may be replaced, in milliseconds; longer than the
- * holder itself acts without a write, twice over, for clocks and calls that are slow.
+ * Another proxy may take the lease if its holder has not written for this long. This is more than twice the time
+ * for which the holder acts without a write, to allow for slow clocks and calls.
  */
 const takeOverAfterMs = 5000;
-/** A holder gives no order when its last write is older than this: it writes again first. */
+/** A holder whose last write is older than this renews the lease before it sends an order. */
 const renewAfterMs = 1500;
 /**
- * A group's primary is not changed by another proxy before this, in milliseconds, from when that one saw who
- * leads now. Two that take turns within a lease each act on what the other has just ended.
+ * How long a proxy waits before it replaces a primary that another proxy has installed, from when it saw the new
+ * entry. Without the delay, two proxies could alternate, each replacing the primary that the other has just made.
  */
 const otherProxyDelayMs = 3200;
+
 /**
- * The duty to order changes of primary: one holder at a time over all groups, by conditional updates
- * of the leadership document. The token is the store's version of the write that took the duty: no two
- * writes have the same, and later ones have greater ones.
+ * The lease on changes of primary: at most one proxy holds it, for all groups, by conditional updates of the
+ * leadership document. Its fencing token is the store's version of the write that acquired the lease; versions
+ * are unique and increase with each write.
  */
 export class ChangeLease {
   private token: number | undefined;
   private lastWriteAt = -Infinity;
   private seenVersion = 0;
   private seenAt = -Infinity;
-  /** By group: the round in which it is served, and since when that is seen. */
+  /** By group: the round of the serving primary, and when this proxy first saw it. */
   private readonly servingSince = new Map<
     string,
     { readonly round: number; readonly since: number }
@@ -41,11 +42,11 @@
     return this.token !== undefined;
   }
 
-  /** Notes since when the document that is held has stayed the same. */
+  /** Records when the known document and its serving primaries last changed. */
   observeDocument(): void {
     const { version } = this.tracker.leadership;
     if (version === this.seenVersion) return;
-    // What a process finds at its start is older than a lease: it has just taken longer to come up.
+    // Entries found at startup count as older than `otherProxyDelayMs`: starting the process takes longer than that.
     const since = this.seenVersion === 0 ? -Infinity : this.ports.clock.now();
     this.seenVersion = version;
     this.seenAt = this.ports.clock.now();
@@ -58,7 +59,7 @@
     }
   }
 
-  /** Whether this proxy may change a group's primary, or another has just done so. */
+  /** Whether this proxy may change a group's primary; false for `otherProxyDelayMs` after another proxy did so. */
   canChangeGroup(group: string): boolean {
     const entry = this.tracker.leadership.document.groups[group];
     if (entry?.type !== "serving" || entry.by === undefined || entry.by === this.ports.vm)
@@ -67,7 +68,7 @@
     return this.ports.clock.now() - since >= otherProxyDelayMs;
   }
 
-  /** Whether the duty may be taken: nobody holds it, or its holder has been silent for too long. */
+  /** Whether the lease may be acquired: it is free or own, or its holder has written nothing for `takeOverAfterMs`. */
   canTakeOver(): boolean {
     const { holder } = this.tracker.leadership.document;
     if (holder === undefined || this.isOwnHolder(holder)) return true;
@@ -75,14 +76,15 @@
   }
 
   /**
-   * Takes the duty and begins a change; gives its round, or nothing when another is at it.
+   * Acquires the lease and begins a change. Resolves to its round, or to `undefined` if another proxy holds the
+   * lease or has changed the group.
    *
-   * `seenRound` is the round that was suspected. Of two proxies that suspect the same primary one may be
-   * done before the other begins, with the same target leading again; on the old suspicion the second
-   * would replace what the first has just made.
+   * `seenRound` is the round whose primary is suspected. If two proxies suspect the same primary, one may complete
+   * its change before the other begins, with the same target as primary again. Without this check, the second would
+   * replace the primary that the first has just installed.
    *
-   * A token is kept only from a turn that has gone on since: another proxy may have had the duty
-   * meanwhile, with a greater one, and an order under the old token would be lower than one given already.
+   * An earlier token is kept only if the stored document still names this process as holder. Otherwise another proxy
+   * may have held the lease since, and orders with the old token would be lower than those already given.
    */
   async beginChange(group: string, from: string, seenRound: number): Promise<number | undefined> {
     const { vm, incarnation, logger } = this.ports;
@@ -100,7 +102,10 @@
       return { holder: { vm, incarnation }, groups };
     });
     if (written === undefined) {
-      logger.write(leadershipEvents.changeBarred, { group, reason: "another proxy is at it" });
+      logger.write(leadershipEvents.changeBarred, {
+        group,
+        reason: "another proxy holds the lease or has changed the group",
+      });
       return undefined;
     }
     const token = kept ?? written.version;
@@ -109,14 +114,14 @@
     return round;
   }
 
-  /** The token for an order now; nothing when the duty is lost. Writes first when that is due. */
+  /** Gets the token for an order, renewing the lease if necessary; `undefined` if the lease is lost. */
   async renew(): Promise<number | undefined> {
     if (this.token === undefined) return undefined;
     const isFresh = this.ports.clock.now() - this.lastWriteAt < renewAfterMs;
-    // While the process stands still its clock may too: another may have had the duty meanwhile.
+    // The monotonic clock may stop while the process is suspended, and another proxy may take the lease meanwhile.
     const isUnbroken = !this.tracker.hasStalledSince(this.lastWriteAt);
     if (isFresh && isUnbroken && !this.isLost()) return this.token;
-    // Written with a changed document, since one that is the same leaves the version as it is.
+    // The counter makes the document differ: writing an equal one would not change its version.
     const written = await this.write((document) => {
       const { holder } = document;
       if (holder === undefined || !this.isOwnHolder(holder)) return undefined;
@@ -127,7 +132,7 @@
     return this.token;
   }
 
-  /** Ends a change: the target leads. Gives the duty back unless another change is under way. */
+  /** Records the target as primary. Releases the lease unless another group is still being changed. */
   async endChange(group: string, round: number, target: string): Promise<void> {
     const written = await this.write((document) => {
       const { holder } = document;
--- a/src/leadership/permit.ts
+++ b/src/leadership/permit.ts
@@ -1,24 +1,25 @@
 /**
- * How long a proxy may act on what it last confirmed of the leadership, in milliseconds. A change of
- * primary waits this long for a proxy that does not answer; a look at the store every 0.7 s may fail once.
+ * How long a proxy may use primaries after its leadership state was last confirmed. A change of primary
+ * waits this long for a proxy that does not answer. Proxies read the store every 0.7 s, so that one read may fail.
  */
 export const permitMs = 1600;
 
 /**
- * The permission to use primaries. A proxy that is cut off from the others could go on reading at a
- * primary that was replaced, and see none of the commits since. So each relies on the leadership only
- * for a while after it was confirmed by the store or by a majority of proxies, and whoever replaces a
- * primary first hears from every proxy or waits until that while is over.
+ * The time-limited permit to use primaries. Without it, a proxy behind a network partition could go on
+ * reading from a primary that has been replaced and miss every later commit. A permit expires `permitMs`
+ * after the store or a majority of proxies confirmed the leadership state. A change promotes
+ * a new primary only once every proxy has acknowledged the change or its permit has expired, so that no proxy uses
+ * the old primary afterwards.
  */
 export interface Permit {
-  /** When the question was sent whose answer confirmed the leadership last. */
+  /** When the last request was sent whose answer confirmed the leadership state. */
   readonly confirmedAt: number | undefined;
 }
 
-/** Nothing is confirmed yet. */
+/** The permit before the first confirmation. */
 export const noPermit: Permit = { confirmedAt: undefined };
 
-/** Extends the permission; an older confirmation does not shorten it. */
+/** Extends the permit; an older confirmation does not shorten it. */
 export function extendPermit(permit: Permit, confirmedAt: number): Permit {
   const known = permit.confirmedAt;
   return known !== undefined && known >= confirmedAt ? permit : { confirmedAt };
@@ -29,62 +30,57 @@
   return confirmedAt !== undefined && now - confirmedAt < permitMs;
 }
 
-/** An answer of another proxy to the question who leads. */
+/** Another proxy's answer, as far as a confirmation needs it. */
 export interface PeerVersion {
-  /** The version of the document that it holds to. */
+  /** The version of its leadership document. */
   readonly version: number;
 }
 
 /**
- * How long after the store's last answer to any of them proxies may confirm one another, in
- * milliseconds. Without a bound those in the larger part of a cut would do so for as long as it lasts, while
- * the smaller part replaces a primary that they go on using; callers would read old data there and be
- * told of writes that are lost. Longer than an outage of the store usually lasts, 4 to 9 s, so that one
- * stops nobody; `minorityWaitMs` is what makes it enough.
+ * How long proxies may confirm one another after the store last answered any of them. Without this bound, the
+ * majority side of a network partition would do so for as long as the partition lasts, while the minority side
+ * reaches the store and replaces a primary that the majority still uses: callers there would read old data and
+ * get acknowledgements for writes that are lost. Store outages usually last 4 to 9 s; this is longer, so that they
+ * do not interrupt service. It suffices because a change that cannot notify a majority waits `noMajorityWaitMs`.
  */
 export const maxStoreAnswerAgeMs = 10_000;
 
 /**
- * How long a change of primary waits at most for proxies of which it could not tell a majority, in
- * milliseconds. Those, cut off from the store and from whoever carries the change out, may confirm one
- * another and go on using the old primary. The store's last answer to any of them was to a question
- * from before the change stood there; from then on they confirm one another for `peerConfirmMs`, and use
- * the last permission to its end. The rest is for the difference between two steady clocks.
+ * How long a change of primary waits if it cannot notify a majority of proxies. The proxies that are cut off from
+ * the store and from this one may confirm one another and go on using the old primary. The store last answered them
+ * before the change was stored; they confirm one another for at most `maxStoreAnswerAgeMs` from then, and the last
+ * permit gained that way lasts `permitMs`. The remainder allows for differences between the proxies' monotonic clocks.
  */
 export const noMajorityWaitMs = maxStoreAnswerAgeMs + permitMs + 400;
-/** Added to a permission's time, for the difference between two steady clocks and their timers. */
+/** Added to a permit's duration for differences between the proxies' monotonic clocks and timers. */
 const clockMarginMs = 150;
 
-/** What a change of primary knows of the proxies that it has to tell. Times are on its clock. */
+/** Which proxies a change of primary has notified. Times are on the clock of the proxy that carries it out. */
 export interface NotificationProgress {
   readonly startedAt: number;
-  /** All that are registered, the one that carries it out included. */
+  /** The number of registered proxies, including the one that carries out the change. */
   readonly proxyCount: number;
-  /** When each that was told had answered, the one that carries it out included. */
+  /** When each notified proxy had answered, including the one that carries out the change. */
   readonly notifiedAt: readonly number[];
 }
 
 /**
- * Until when a change of primary has to wait: not at all once all are told. With a majority told no
- * other majority confirms anybody any more, and permissions from before lapse.
+ * Finds the time until which a change of primary has to wait; there is no wait once all proxies are notified. After
+ * a majority is notified, no majority can confirm the old document any more, and only earlier permits have to expire.
  */
-export function findWaitEnd({
-  startedAt: begunAt,
-  proxyCount: proxies,
-  notifiedAt: toldAt,
-}: NotificationProgress): number {
-  if (toldAt.length >= proxies) return begunAt;
-  const latestEnd = begunAt + noMajorityWaitMs;
-  const majorityToldAt = [...toldAt].sort((a, b) => a - b)[Math.floor(proxies / 2)];
-  if (majorityToldAt === undefined) return latestEnd;
-  return Math.min(latestEnd, majorityToldAt + permitMs + clockMarginMs);
+export function findWaitEnd({ startedAt, proxyCount, notifiedAt }: NotificationProgress): number {
+  if (notifiedAt.length >= proxyCount) return startedAt;
+  const latestEnd = startedAt + noMajorityWaitMs;
+  const majorityNotifiedAt = [...notifiedAt].sort((a, b) => a - b)[Math.floor(proxyCount / 2)];
+  if (majorityNotifiedAt === undefined) return latestEnd;
+  return Math.min(latestEnd, majorityNotifiedAt + permitMs + clockMarginMs);
 }
 
 /**
- * Whether the answers of other proxies confirm `version` while the store can't be reached: a majority
- * of all, this one included, holds to no newer document, and the store's last answer to any of them was
- * to a question sent at `storeAskedAt`, not long before `now`. A change of primary has to tell a majority
- * before it goes on, so that at least one of any majority would know of it, or waits `minorityWaitMs`.
+ * Whether the answers of other proxies confirm `version` while the store is unreachable. A majority of all proxies,
+ * this one included, must have no newer document, and the request that the store last answered, sent at `storeAskedAt`,
+ * must be at most `maxStoreAnswerAgeMs` old. This is safe because a change of primary notifies a majority before it
+ * proceeds, so that every majority contains a proxy that knows of it, or else waits `noMajorityWaitMs`.
  */
 export function isConfirmedByPeers(
   version: number,
--- a/src/leadership/ports.ts
+++ b/src/leadership/ports.ts
@@ -4,58 +4,58 @@
 import type { AnnouncedTarget } from "../direct/index.js";
 import type { LeadershipDocument, VersionedLeadership } from "./document.js";
 
-/** A proxy that takes part, as it registered itself. */
+/** A registered proxy, as described by its entry in the store. */
 export interface Proxy {
   readonly vm: string;
   readonly address: Address;
-  /** Where it runs; absent where its entry does not say. */
+  /** Absent if the entry does not name a data centre. */
   readonly dataCentre?: string;
-  /** Where it takes statements of other nodes; absent where it does not. */
+  /** The address at which it accepts statements forwarded by other nodes; absent if it accepts none. */
   readonly gateway?: Address;
-  /** The processor that it may use, in cores; absent where its entry does not say. */
+  /** The CPU share that it may use, in cores; absent if the entry does not say. */
   readonly power?: number;
-  /** Set by a change of primary that it did not answer, until it says that it lives. */
+  /** Set by a change of primary that it did not answer; cleared when it updates its own entry. */
   readonly isMissed?: boolean;
-  /** Of its entry in the store; changes with each mark and each sign of life. */
+  /** The version of its entry in the store; changes whenever the entry is marked as missed or updated. */
   readonly version?: number;
 }
 
-/** A primary that a change has made, before the store has the document that says so. */
+/** A target that a change has promoted, before the stored document records it. */
 export interface PromotedPrimary {
   readonly group: string;
   readonly round: number;
   readonly target: string;
 }
 
-/** What one proxy tells another of the leadership. */
+/** The leadership state that proxies exchange. */
 export interface LeadershipUpdate {
   readonly leadership: VersionedLeadership;
   readonly promoted: readonly PromotedPrimary[];
 }
 
-/** What a proxy answered. Ages are in milliseconds, as of its answer. */
+/** A proxy's answer to an update. Ages are in milliseconds, measured when it answered. */
 export interface LeadershipAnswer extends LeadershipUpdate {
   readonly vm: string;
-  /** Whether it lists the asking proxy, and as one that nobody has missed. */
+  /** Whether its list contains the asking proxy, not marked as missed. */
   readonly listsAsker: boolean;
-  /** Of its own confirmation, by the store or by a majority. */
+  /** Age of the last confirmation of its leadership state, by the store or by a majority of proxies. */
   readonly confirmedAgoMs: number | undefined;
-  /** Of the question that the store answered last, to it or to one that told it so. */
+  /** Age of the last request known to have been answered by the store, its own or another proxy's. */
   readonly storeAgoMs: number | undefined;
-  /** The store's revision of which it has taken in everything. */
+  /** The store revision whose content it has read completely. */
   readonly storeRevision: number | undefined;
-  /** Of the question whose answer showed that revision to be current. */
+  /** Age of the request whose answer showed that this revision is current. */
   readonly lookedAgoMs: number | undefined;
 }
 
-/** Calls to other proxies. `undefined` means that no answer came in time. */
+/** Calls to other proxies. They resolve to `undefined` if no answer arrives in time. */
 export interface LeadershipPeers {
   share(
     proxy: Proxy,
-    word: LeadershipUpdate,
+    update: LeadershipUpdate,
     timeoutMs: number,
   ): Promise<LeadershipAnswer | undefined>;
-  /** With `demoteRound`, demotes the target unless it leads that term. */
+  /** If `demoteRound` is set, also demotes the target, unless it is the primary of that round. */
   askTarget(
     proxy: Proxy,
     question: TargetQuestion,
@@ -63,50 +63,50 @@
   ): Promise<TargetAnswer | undefined>;
 }
 
-/** What is asked of a target. */
+/** A status request to a target, with an optional demotion. */
 export interface TargetQuestion {
   readonly group: string;
   readonly target: string;
   readonly demoteRound: number | undefined;
 }
 
-/** What a target said to a question. */
+/** The result of a status request to a target. */
 export type TargetAnswer =
   | { readonly type: "report"; readonly report: TargetReport }
-  /** It runs: it had no slot free to say more, or has answered statements meanwhile. */
+  /** It runs, but sent no report: all its slots were in use, or it answered other statements meanwhile. */
   | { readonly type: "alive" }
   | { readonly type: "silent" };
 
-/** Asks a target over a connection of its own. */
+/** Sends a status request to a target over a new connection. */
 export type TargetAsker = (question: TargetQuestion, timeoutMs: number) => Promise<TargetAnswer>;
 
-/** The leadership in the platform's store. */
+/** Access to the leadership document in the platform's store. */
 export interface LeadershipStore {
   read(): Promise<StoreRead<VersionedLeadership>>;
   write(document: LeadershipDocument, version: number): Promise<StoreWrite>;
 }
 
-/** What the platform said to the order to promote a target. */
+/** The platform's answer to a promotion order. */
 export type PromoteResult =
   | { readonly type: "accepted" }
-  /** The target does not run, or the order is stale. */
+  /** The target does not run, or the order's fencing token is outdated. */
   | { readonly type: "refused"; readonly reason: string }
-  /** It may have been carried out. */
+  /** The order may or may not have been executed. */
   | { readonly type: "unknown"; readonly reason: string };
 
-/** The order to the platform that a target leads its group; only the duty's holder gives it. */
+/** An order to the platform to make a target the primary of its group. Only the lease holder sends it. */
 export interface PromoteOrder {
   readonly group: string;
   readonly target: string;
   readonly holder: string;
-  /** Grows whenever the holder changes. */
+  /** The fencing token; increases whenever the lease changes hands. */
   readonly token: number;
 }
 
-/** Gives the order to promote. Never rejects. */
+/** Sends a promotion order. Never rejects. */
 export type Promoter = (order: PromoteOrder, timeoutMs: number) => Promise<PromoteResult>;
 
-/** What the leadership needs of the world. */
+/** Dependencies of the leadership code. */
 export interface LeadershipPorts {
   readonly vm: string;
   readonly incarnation: string;
@@ -117,15 +117,15 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** All proxies that are registered, this one included. */
+  /** All registered proxies, including this one. */
   readonly listProxies: () => readonly Proxy[];
-  /** Lists them anew; false when the store does not say. */
+  /** Reads the list of proxies again; resolves to false if the store does not answer. */
   readonly refreshProxies: () => Promise<boolean>;
-  /** Writes down that a proxy did not answer, unless its entry has changed. */
+  /** Marks a proxy's entry as missed, unless the entry has changed since it was read. */
   readonly markMissed: (proxy: Proxy) => Promise<void>;
-  /** The registered proxies that hold a group's connections, which reach its targets or don't. */
+  /** The registered proxies that hold a group's connections and so can tell whether its targets are reachable. */
   readonly listGroupProxies: (group: string) => readonly Proxy[];
   readonly listTargets: (group: string) => readonly AnnouncedTarget[];
-  /** The groups whose primaries this proxy looks after: those whose connections it holds. */
+  /** The groups whose primaries this proxy monitors: those whose connections it holds. */
   readonly listGroups: () => readonly string[];
 }
--- a/src/leadership/stall.ts
+++ b/src/leadership/stall.ts
@@ -1,17 +1,17 @@
-/** Reads the two clocks of a process, in milliseconds. */
+/** Reads the monotonic clock and the wall clock of a process, in milliseconds. */
 export interface ClockPair {
   readonly monotonic: () => number;
   readonly wall: () => number;
 }
 
-/** Beyond this the clocks disagree: drift and rounding stay below a few milliseconds. */
+/** A larger change of the offset between the clocks is a stall; drift and rounding stay below a few milliseconds. */
 const toleranceMs = 100;
 
 /**
- * Tells that the process stood still for a time that its steady clock does not show. A suspended
- * machine's steady clock stops, so that a permission measured on it would outlive its time. The time
- * of day goes on meanwhile, and the two disagree afterwards. A step of the time of day looks the
- * same and costs one confirmation; the two hide each other only if they are equally long to 0.1 s.
+ * Detects that the process was suspended. The monotonic clock of a suspended machine may stop, so that a permit
+ * measured on it would be used past its expiry. The wall clock goes on, and the offset between the two changes. A step
+ * of the wall clock has the same effect and costs one extra confirmation. A stall goes undetected only if a step
+ * of the wall clock cancels it to within 0.1 s.
  */
 export class StallDetector {
   private offset: number;
@@ -20,11 +20,11 @@
     this.offset = clocks.wall() - clocks.monotonic();
   }
 
-  /** Whether the clocks have parted since the last question. */
+  /** Whether the offset between the clocks has changed since the previous call. */
   detectStall(): boolean {
     const offset = this.clocks.wall() - this.clocks.monotonic();
-    const hasParted = Math.abs(offset - this.offset) > toleranceMs;
+    const hasStalled = Math.abs(offset - this.offset) > toleranceMs;
     this.offset = offset;
-    return hasParted;
+    return hasStalled;
   }
 }
--- a/src/leadership/suspicion.ts
+++ b/src/leadership/suspicion.ts
@@ -1,28 +1,28 @@
-/** What a proxy has seen of one group's primary. Times are on its clock, in milliseconds. */
+/** How a proxy's last statements to one group's primary went. Times are on its own clock, in milliseconds. */
 export interface PrimaryContact {
   readonly target: string;
   readonly reachedAt: number | undefined;
-  /** When the first of the failures since then began to count. */
+  /** When the first failure after `reachedAt` occurred or its statement was sent; `undefined` if there was none. */
   readonly failingSince: number | undefined;
   readonly failures: number;
 }
 
 /** Why a primary should be replaced, as one proxy sees it. */
 export type Suspicion =
-  /** It will go away: the role is moved while it can still hand its log on. */
+  /** It is shutting down; the role is moved while it can still send its log to a replica. */
   | { readonly type: "leaving" }
   | { readonly type: "unreachable"; readonly sinceMs: number }
-  /** Its entry is gone from the platform's list. */
+  /** The platform's list has no entry for it. */
   | { readonly type: "unlisted" }
-  /** It has started again without commits that it had acknowledged. */
+  /** It restarted without commits that it had acknowledged. */
   | { readonly type: "emptied" };
 
-/** Failures within this time are one event, such as a connection reset under several statements. */
+/** Failures within this time count as one event, such as a connection reset that affects several statements. */
 const minFailureMs = 250;
-/** One lost answer is no evidence. */
+/** A single lost answer is not enough for a suspicion. */
 const minFailures = 2;
 
-/** Notes that a statement to a primary went through, or did not. */
+/** Records whether a statement reached a primary. */
 export function recordContact(
   contact: PrimaryContact | undefined,
   target: string,
@@ -37,8 +37,8 @@
 }
 
 /**
- * Notes that a primary has left what was sent to it at `since` without an answer, and does not take a
- * new connection either. That is as much as several failures: no others need be waited for.
+ * Records that a primary has not answered a statement sent at `since` and does not accept a new connection
+ * either. This counts as `minFailures` failures, so no further failure has to be waited for.
  */
 export function recordSilence(
   contact: PrimaryContact | undefined,
@@ -54,7 +54,7 @@
   };
 }
 
-/** What a proxy sees of a group's primary when it asks whether to replace it. */
+/** What a proxy knows about a group's primary when it decides whether to suspect it. */
 export interface PrimaryObservation {
   readonly target: string;
   readonly isListed: boolean;
@@ -63,7 +63,7 @@
   readonly contact: PrimaryContact | undefined;
 }
 
-/** Whether there is a reason to replace a primary. */
+/** Finds the reason to replace a primary, if there is one. */
 export function findSuspicion(observation: PrimaryObservation, now: number): Suspicion | undefined {
   if (!observation.isListed) return { type: "unlisted" };
   if (observation.hasLostLog) return { type: "emptied" };
--- a/src/leadership/tracker.ts
+++ b/src/leadership/tracker.ts
@@ -8,19 +8,19 @@
 import type { StallDetector } from "./stall.js";
 import { recordContact, recordSilence, type PrimaryContact } from "./suspicion.js";
 
-/** What a tracker needs of the world. */
+/** Dependencies of a `LeadershipTracker`. */
 export interface LeadershipTrackerPorts {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly stallDetector: StallDetector;
   readonly listTargets: (group: string) => readonly AnnouncedTarget[];
-  /** The process stood still: what was measured on its clock no longer holds. */
+  /** Called when the process was suspended: times measured on its clock are no longer valid. */
   readonly onStall: () => void;
-  /** A primary has left a statement without an answer. */
+  /** Called when a statement did not reach a primary, or the primary lost commits. */
   readonly onContactFailure: () => void;
-  /** A primary is being replaced. */
+  /** Called when the replacement of a primary begins. */
   readonly onSuperseded: (group: string, target: string) => void;
-  /** Nothing has come from a primary since `since`, when a statement was sent to it. */
+  /** Called when a primary has sent nothing since `since`, when a statement was sent to it. */
   readonly onSilence: (group: string, target: string, since: number) => void;
 }
 
@@ -29,18 +29,18 @@
   readonly round: number;
 }
 
-/** The time from a change's beginning to its end that callers are told at first, in milliseconds. */
+/** The usual duration of a change of primary; callers are first told to retry after it. */
 const typicalChangeMs = 900;
-/** Callers are told to come back no sooner than this. */
+/** The shortest delay after which callers are told to retry. */
 const minRetryDelayMs = 50;
-/** Why no primary may be used, for the log and the text of refusals. */
-const changeUnderWay = "a new primary is being made";
-const noPermitHeld = "this proxy may use no primary until it is confirmed who leads";
+/** Reasons why no primary may be used, for the log and for refusals sent to callers. */
+const changeUnderWay = "the primary is being replaced";
+const noPermitHeld = "this proxy may not use primaries until its leadership state is confirmed";
 const lostLog = "the primary has lost commits and is being replaced";
-/** The permission comes back with the next poll unless the store is away. */
+/** The shortest estimate of when the permit returns: with the next read of the store, unless it is unreachable. */
 const minPermitDelayMs = 150;
 
-/** What this proxy holds about who leads, and whether it may act on it. */
+/** Keeps the leadership state known to this proxy, and its permit to act on it. */
 export class LeadershipTracker implements PrimarySource {
   private current: VersionedLeadership = { version: 0, document: emptyLeadership };
   private promoted: readonly PromotedPrimary[] = [];
@@ -65,19 +65,19 @@
     return { leadership: this.current, promoted: this.promoted };
   }
 
-  /** When the question was sent whose answer confirmed the leadership last. */
+  /** When the last request was sent whose answer confirmed the leadership state. */
   get confirmedAt(): number | undefined {
     this.checkStall();
     return this.permit.confirmedAt;
   }
 
-  /** Whether the process stood still at some time after `time`, unseen by its steady clock. */
+  /** Whether a suspension of the process was detected at or after `time`. */
   hasStalledSince(time: number): boolean {
     this.checkStall();
     return this.stalledAt !== undefined && this.stalledAt >= time;
   }
 
-  /** Takes in a document, and primaries made since. Older documents change nothing. */
+  /** Applies a document, and primaries promoted since. Older documents are ignored. */
   adopt({ leadership, promoted }: LeadershipUpdate): void {
     if (leadership.version > this.current.version) {
       this.current = leadership;
@@ -90,29 +90,29 @@
     this.promoted = [...this.promoted, ...fresh].filter((m) => this.isPendingRound(m));
   }
 
-  /** Notes that what is held was confirmed by the answer to a question sent at `askedAt`. */
+  /** Extends the permit: the known state was confirmed by the answer to a request sent at `askedAt`. */
   confirm(askedAt: number): void {
-    // A question sent before the process stood still proves nothing about the time since.
+    // A request sent before the process was suspended proves nothing about the time since.
     this.checkStall();
     if (this.stalledAt !== undefined && askedAt <= this.stalledAt) return;
     if (this.isRevoked) return;
     this.permit = extendPermit(this.permit, askedAt);
   }
 
-  /** Notes that the store has answered, to whomever, a question sent at `askedAt`. */
+  /** Records that the store answered a request sent at `askedAt`, by this or another proxy. */
   noteStoreAnswer(askedAt: number): void {
     this.checkStall();
     if (this.stalledAt !== undefined && askedAt <= this.stalledAt) return;
     this.lastStoreQueryAt = Math.max(this.lastStoreQueryAt ?? askedAt, askedAt);
   }
 
-  /** When the question was sent that the store answered last, as far as this process knows. */
+  /** When the last request known to be answered by the store was sent, by this or another proxy. */
   get lastAnsweredStoreQueryAt(): number | undefined {
     this.checkStall();
     return this.lastStoreQueryAt;
   }
 
-  /** Gives the permission up for good: this proxy is about to be one that nobody waits for. */
+  /** Drops the permit for good. Required before deregistration, since changes do not wait for an unlisted proxy. */
   revokePermit(): void {
     this.isRevoked = true;
     this.permit = noPermit;
@@ -125,19 +125,19 @@
   }
 
   find(group: string): PrimaryState {
-    const isNow = this.isPermitted;
-    if (isNow !== this.hasPermit) {
-      this.hasPermit = isNow;
-      const event = isNow ? leadershipEvents.permitGained : leadershipEvents.permitLost;
+    const hasPermitNow = this.isPermitted;
+    if (hasPermitNow !== this.hasPermit) {
+      this.hasPermit = hasPermitNow;
+      const event = hasPermitNow ? leadershipEvents.permitGained : leadershipEvents.permitLost;
       this.ports.logger.write(event, { version: this.current.version });
     }
-    if (isNow) this.permitLostAt = undefined;
-    if (!isNow)
+    if (hasPermitNow) this.permitLostAt = undefined;
+    if (!hasPermitNow)
       return { type: "changing", backInMs: this.estimatePermitDelayMs(), reason: noPermitHeld };
     return this.findLeader(group);
   }
 
-  /** Who leads by what is held, whether it may be acted on or not. */
+  /** Finds a group's primary by the known state, regardless of the permit. */
   findLeader(group: string): PrimaryState {
     const entry = this.current.document.groups[group];
     if (entry === undefined) return this.findAnnounced(group);
@@ -151,11 +151,11 @@
     }
     const isListed = this.ports.listTargets(group).some((t) => t.name === target);
     if (isListed && !this.hasLostLog(group, target)) return { type: "serving", target };
-    const reason = isListed ? lostLog : "the primary's entry is missing";
+    const reason = isListed ? lostLog : "the platform does not list the primary";
     return { type: "changing", backInMs: typicalChangeMs, reason };
   }
 
-  /** The primary of a group by what is held, listed or not. */
+  /** Finds the last known primary of a group, whether or not the platform lists it. */
   findKnownPrimary(group: string): string | undefined {
     const entry = this.current.document.groups[group];
     if (entry?.type === "serving") return entry.target;
@@ -176,7 +176,7 @@
     const round = this.findRound(group);
     const known = this.lostLogs.get(group);
     if (known?.target === target && known.round < round) {
-      // It was made primary again: no other target runs, and what is lost is lost.
+      // It was promoted again because no other target runs; the lost commits can't be recovered.
       this.lostLogs.delete(group);
       return;
     }
@@ -185,7 +185,7 @@
     this.ports.onContactFailure();
   }
 
-  /** Whether the primary of the round in force has lost commits that it had acknowledged. */
+  /** Whether the target lost commits that it had acknowledged, as primary of the current round. */
   hasLostLog(group: string, target: string): boolean {
     const known = this.lostLogs.get(group);
     return known?.target === target && known.round === this.findRound(group);
@@ -195,7 +195,7 @@
     if (!this.hasReached(group, target, since)) this.ports.onSilence(group, target, since);
   }
 
-  /** Whether a group's primary has answered a statement of this proxy since `since`. */
+  /** Whether the target has answered a statement of this proxy at or after `since`. */
   hasReached(group: string, target: string, since: number): boolean {
     const contact = this.contacts.get(group);
     const reachedAt = contact?.target === target ? contact.reachedAt : undefined;
@@ -203,8 +203,8 @@
   }
 
   /**
-   * Notes whether a primary that was silent since `since` took a new connection. One of which much is
-   * asked may not do so in time, and answers statements all the while.
+   * Records whether a primary that has been silent since `since` accepted a new connection. A failed probe is ignored
+   * if the primary has answered a statement since: an overloaded one may be too slow to accept a connection.
    */
   noteProbeResult(group: string, target: string, since: number, isReached: boolean): void {
     if (isReached) this.noteContact(group, target, true);
@@ -216,7 +216,7 @@
     return this.contacts.get(group);
   }
 
-  /** A loss is over once another target leads. */
+  /** Clears a recorded loss once another target is primary. */
   private forgetLostLog(group: string, entry: GroupLeadership): void {
     const isOver = entry.type === "serving" && entry.target !== this.lostLogs.get(group)?.target;
     if (isOver) this.lostLogs.delete(group);
@@ -235,7 +235,7 @@
     this.ports.onStall();
   }
 
-  /** Before any change the targets' own word counts, unless two claim to lead. */
+  /** Finds the primary of a group without an entry from the roles that its targets announce. */
   private findAnnounced(group: string): PrimaryState {
     const leaders = this.ports.listTargets(group).filter((t) => t.announcedRole === "primary");
     const [leader] = leaders;
@@ -243,10 +243,11 @@
       return {
         type: "changing",
         backInMs: typicalChangeMs,
-        reason: "no target says that it leads",
+        reason: "no target announces itself as primary",
       };
     }
-    if (leaders.length > 1) return { type: "unknown", reason: "two targets claim to be primary" };
+    if (leaders.length > 1)
+      return { type: "unknown", reason: "several targets announce themselves as primary" };
     if (this.hasLostLog(group, leader.name)) {
       return { type: "changing", backInMs: typicalChangeMs, reason: lostLog };
     }
@@ -254,9 +255,9 @@
   }
 
   /**
-   * When the permission is likely to be back: with the next look, or, the longer it has been away, the
-   * later. Callers that a proxy which is cut off told to wait would do so in vain; refused at once they try
-   * again elsewhere.
+   * Estimates when the permit returns: with the next read of the store, or later the longer it has been missing. The
+   * estimate grows so that a proxy that is cut off refuses its callers instead of letting them wait in vain; they
+   * can then retry at another proxy.
    */
   private estimatePermitDelayMs(): number {
     const now = this.ports.clock.now();
@@ -268,7 +269,7 @@
     return this.promoted.find((m) => m.group === group && m.round === entry.round)?.target;
   }
 
-  /** Whether a primary that was made belongs to the change that is under way. */
+  /** Whether a promoted primary belongs to a round that the document does not show as completed. */
   private isPendingRound({ group, round }: PromotedPrimary): boolean {
     const entry = this.current.document.groups[group];
     if (entry === undefined) return true;
@@ -289,9 +290,9 @@
 
   private estimateRemainingMs(group: string): number {
     const since = this.changingSince.get(group) ?? this.ports.clock.now();
-    const goneMs = this.ports.clock.now() - since;
-    // One that takes longer than usual is likely to go on for a while: half as long again.
-    return Math.max(minRetryDelayMs, typicalChangeMs - goneMs, goneMs / 2);
+    const elapsedMs = this.ports.clock.now() - since;
+    // A change that takes longer than usual is expected to take half as long again.
+    return Math.max(minRetryDelayMs, typicalChangeMs - elapsedMs, elapsedMs / 2);
   }
 }
 
--- a/src/leadership/writer.ts
+++ b/src/leadership/writer.ts
@@ -3,23 +3,23 @@
 import type { LeadershipTracker } from "./tracker.js";
 import type { LeadershipPorts } from "./ports.js";
 
-/** Tries of one write against others' writes and lost answers. */
+/** Attempts of one write in case of concurrent writes and lost answers. */
 const maxWriteAttempts = 6;
 const writeRetryMs = 60;
 
-/** Makes the next document of the one that the store holds, or nothing when that bars it. */
+/** Derives the next document from the stored one; returns `undefined` if the stored one rules the edit out. */
 export type DocumentEdit = (document: LeadershipDocument) => LeadershipDocument | undefined;
 
-/** A document that was written, and when its write was sent at the earliest, on this proxy's clock. */
+/** A written document, and the earliest time at which its write was sent, on this proxy's clock. */
 export interface WrittenLeadership {
   readonly leadership: VersionedLeadership;
   readonly sentAt: number;
 }
 
 /**
- * Edits the leadership document in the store. After a lost answer it is read back: the write may have taken
- * effect, which then counts, or may do so later as long as its version still holds, which the next write
- * ends.
+ * Edits the leadership document in the store by compare-and-swap. If the answer to a write is lost, the document is
+ * read back. The write counts if it took effect. If not, it may still do so until the version that it expects is
+ * replaced, which the next write does. Resolves to `undefined` if the edit is ruled out or all attempts fail.
  */
 export async function editLeadership(
   { clock, store }: Pick<LeadershipPorts, "clock" | "store">,
@@ -28,8 +28,8 @@
   onRead: () => void = () => undefined,
 ): Promise<WrittenLeadership | undefined> {
   let attempted: LeadershipDocument | undefined;
-  for (let tries = 0; tries < maxWriteAttempts; tries += 1) {
-    if (tries > 0) await clock.sleep(writeRetryMs * tries);
+  for (let attempt = 0; attempt < maxWriteAttempts; attempt += 1) {
+    if (attempt > 0) await clock.sleep(writeRetryMs * attempt);
     const askedAt = clock.now();
     const read = await store.read();
     if (read.type === "unavailable") continue;
@@ -54,7 +54,7 @@
   return undefined;
 }
 
-/** Whether two documents say the same; the holder's incarnation makes one's own known. */
+/** Whether two documents are equal. The holder's incarnation identifies a document as written by this process. */
 function isSameDocument(a: LeadershipDocument, b: LeadershipDocument): boolean {
   return JSON.stringify(encodeLeadership(a)) === JSON.stringify(encodeLeadership(b));
 }
--- a/test/leadership/changer.test.ts
+++ b/test/leadership/changer.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import { LeadershipFixture } from "./fixture.js";
 
-/** Looks at the primary as one that was silent to a statement and to a probe, and lets a change run. */
+/** Makes a proxy suspect the primary after an unanswered statement and a failed probe; returns the logged events. */
 const suspect = async (fixture: LeadershipFixture) => {
   const { changer, tracker } = fixture.makeProxy("a");
   tracker.noteProbeResult("ledger", "i-0", 0, false);
@@ -11,9 +11,9 @@
   return fixture.logLines.map(({ event }) => event.name);
 };
 
-// Much is asked of a primary: its slots are all taken, and a probe gets no connection in its time. Were
-// it taken as gone, it would be replaced for being busy, and the next one after it.
-test("a primary that has no slot to answer in is kept", async () => {
+// An overloaded primary has all slots in use, so a probe gets no connection in time. If it counted as unreachable,
+// it would be replaced because of its load, and then its successor.
+test("a primary whose slots are all in use is kept", async () => {
   const fixture = new LeadershipFixture();
   fixture.targetAnswer = { type: "alive" };
   const events = await suspect(fixture);
@@ -22,8 +22,8 @@
   expect(fixture.stored).toBeUndefined();
 });
 
-// A probe got no connection in its time, but a statement was answered meanwhile.
-test("a primary that answers statements is not suspected for a probe that failed", async () => {
+// A probe gets no connection in time, but the primary answers a statement after the probe began.
+test("a primary that answers statements is not suspected because of a failed probe", async () => {
   const fixture = new LeadershipFixture();
   const { changer, tracker } = fixture.makeProxy("a");
   fixture.clock.time = 200;
@@ -35,7 +35,7 @@
   expect(fixture.logLines.map(({ event }) => event.name)).not.toContain("leaderSuspected");
 });
 
-test("a primary that answers nobody is replaced", async () => {
+test("a primary that answers no request is replaced", async () => {
   const fixture = new LeadershipFixture();
   const events = await suspect(fixture);
   expect(events).toContain("primaryChangeBegun");
--- a/test/leadership/decisions.test.ts
+++ b/test/leadership/decisions.test.ts
@@ -16,7 +16,7 @@
   type Candidate,
 } from "../../src/leadership/index.js";
 
-const createCandidate = (target: string, offset: number, change: object = {}): Candidate => ({
+const createCandidate = (target: string, offset: number, overrides: object = {}): Candidate => ({
   target,
   isLeaving: false,
   report: {
@@ -24,11 +24,11 @@
     received: { term: { round: 1, vm: "" }, offset },
     round: 1,
     lagMs: 0,
-    ...change,
+    ...overrides,
   },
 });
 
-test("the longest log leads; a leaving target only where there is no other", () => {
+test("the target with the longest log is chosen; a leaving one only if there is no other", () => {
   const short = createCandidate("a", 3);
   const long = createCandidate("b", 5);
   expect(chooseCandidate([short, long], "old")?.target).toBe("b");
@@ -37,14 +37,14 @@
   expect(chooseCandidate([], "old")).toBeUndefined();
 });
 
-// An earlier change got as far as the promotion and its holder died. Another promotion would cut off
-// what the new primary acknowledged since; so it is kept, though another log may be as long.
-test("a target that leads a newer term already is kept", () => {
-  const made = createCandidate("b", 5, { role: "primary", round: 2 });
-  expect(chooseCandidate([createCandidate("a", 9), made], "old")?.target).toBe("b");
+// The proxy that carried out an earlier change failed after the promotion. Promoting another target, even one with an
+// equally long log, would discard writes that the new primary has acknowledged since.
+test("a target that is already primary of a newer round is kept", () => {
+  const promoted = createCandidate("b", 5, { role: "primary", round: 2 });
+  expect(chooseCandidate([createCandidate("a", 9), promoted], "old")?.target).toBe("b");
 });
 
-test("a primary that most reach stays; one that a third can't reach goes", () => {
+test("a primary is replaced if at least a third of the proxies can't reach it", () => {
   const unreachable = { type: "unreachable", sinceMs: 300 } as const;
   expect(decideChange(unreachable, { reaching: 6, notReaching: 1, silent: 0 }).type).toBe("keep");
   expect(decideChange(unreachable, { reaching: 4, notReaching: 3, silent: 0 }).type).toBe("change");
@@ -54,9 +54,9 @@
   );
 });
 
-// A proxy was cut off from the others and from the primary. The cut heals, and it reaches the store
-// before its peers. On its own word alone it would take the primary from all those who use it.
-test("a proxy that hears of less than half of the others replaces nobody", () => {
+// A proxy was cut off from the other proxies and from the primary. When the partition heals, it reaches the store
+// before its peers. Deciding on its own observation, it would replace a primary that all others can use.
+test("a proxy that hears from no more than half of the proxies keeps an unreachable primary", () => {
   const unreachable = { type: "unreachable", sinceMs: 3000 } as const;
   expect(decideChange(unreachable, { reaching: 0, notReaching: 1, silent: 7 }).type).toBe("keep");
   expect(decideChange(unreachable, { reaching: 0, notReaching: 3, silent: 4 }).type).toBe("keep");
@@ -66,72 +66,71 @@
   );
 });
 
-test("one lost answer is no suspicion; several over a while are", () => {
-  const sight = { target: "p", isListed: true, isLeaving: false, hasLostLog: false };
+test("a primary is suspected after several failures over a period, not after one lost answer", () => {
+  const observation = { target: "p", isListed: true, isLeaving: false, hasLostLog: false };
   const first = recordContact(undefined, "p", false, 0);
-  expect(findSuspicion({ ...sight, contact: first }, 1000)).toBeUndefined();
+  expect(findSuspicion({ ...observation, contact: first }, 1000)).toBeUndefined();
   const second = recordContact(first, "p", false, 10);
-  expect(findSuspicion({ ...sight, contact: second }, 100)).toBeUndefined();
-  expect(findSuspicion({ ...sight, contact: second }, 300)).toEqual({
+  expect(findSuspicion({ ...observation, contact: second }, 100)).toBeUndefined();
+  expect(findSuspicion({ ...observation, contact: second }, 300)).toEqual({
     type: "unreachable",
     sinceMs: 300,
   });
   const reached = recordContact(second, "p", true, 310);
-  expect(findSuspicion({ ...sight, contact: reached }, 900)).toBeUndefined();
-  expect(findSuspicion({ ...sight, isListed: false, contact: reached }, 0)?.type).toBe("unlisted");
+  expect(findSuspicion({ ...observation, contact: reached }, 900)).toBeUndefined();
+  expect(findSuspicion({ ...observation, isListed: false, contact: reached }, 0)?.type).toBe(
+    "unlisted",
+  );
 });
 
-test("a permission lapses by itself", () => {
+test("a permit expires unless it is extended", () => {
   expect(isPermitted({ confirmedAt: undefined }, 0)).toBe(false);
   expect(isPermitted({ confirmedAt: 100 }, 100 + permitMs - 1)).toBe(true);
   expect(isPermitted({ confirmedAt: 100 }, 100 + permitMs)).toBe(false);
 });
 
-test("only a majority that knows of nothing newer confirms", () => {
-  const words = (...versions: readonly number[]) => versions.map((version) => ({ version }));
-  const isConfirmed = (answers: readonly { readonly version: number }[], proxies: number) =>
-    isConfirmedByPeers(5, answers, proxies, 0, 100);
-  expect(isConfirmed(words(5, 5, 4), 7)).toBe(true);
-  expect(isConfirmed(words(5, 5), 7)).toBe(false);
-  expect(isConfirmed(words(5, 6, 5), 7)).toBe(false);
+test("only a majority without a newer document confirms a version", () => {
+  const peerVersions = (...versions: readonly number[]) => versions.map((version) => ({ version }));
+  const isConfirmed = (answers: readonly { readonly version: number }[], proxyCount: number) =>
+    isConfirmedByPeers(5, answers, proxyCount, 0, 100);
+  expect(isConfirmed(peerVersions(5, 5, 4), 7)).toBe(true);
+  expect(isConfirmed(peerVersions(5, 5), 7)).toBe(false);
+  expect(isConfirmed(peerVersions(5, 6, 5), 7)).toBe(false);
   expect(isConfirmed([], 2)).toBe(false);
 });
 
-// A cut parts the proxies. The larger part has the old primary and can't reach the store, and its proxies
-// confirm one another; the smaller part has the store and replaces the primary. It waits for a majority
-// that it can't tell; were the wait shorter than the time for which those go on, callers would read at
-// the old primary what the new one has overwritten since.
+// In a partition, the majority of proxies reaches the old primary but not the store, and they confirm one another. The
+// minority reaches the store and replaces the primary. If it did not wait until the majority's permits have expired,
+// callers would read values at the old primary that have been overwritten at the new one.
 test("proxies without the store stop confirming one another before a change goes on without them", () => {
-  const begunAt = 1000;
-  // The store's last answer to any of the larger part was asked for just before the change stood there.
-  const lastAnswer = begunAt;
+  const startedAt = 1000;
+  // The last request of the majority that the store answered was sent just before the change was stored.
+  const lastAnswer = startedAt;
   const others = [{ version: 5 }, { version: 5 }, { version: 5 }, { version: 5 }];
   let lastUse = 0;
-  for (let now = begunAt; now < begunAt + 60_000; now += 100) {
+  for (let now = startedAt; now < startedAt + 60_000; now += 100) {
     if (isConfirmedByPeers(5, others, 9, lastAnswer, now)) lastUse = now + permitMs;
   }
-  const toldAt = [begunAt, begunAt + 5, begunAt + 6, begunAt + 7];
-  expect(findWaitEnd({ startedAt: begunAt, proxyCount: 9, notifiedAt: toldAt })).toBeGreaterThan(
-    lastUse,
-  );
-  expect(isConfirmedByPeers(5, others, 9, undefined, begunAt)).toBe(false);
+  const notifiedAt = [startedAt, startedAt + 5, startedAt + 6, startedAt + 7];
+  expect(findWaitEnd({ startedAt, proxyCount: 9, notifiedAt })).toBeGreaterThan(lastUse);
+  expect(isConfirmedByPeers(5, others, 9, undefined, startedAt)).toBe(false);
 });
 
-// The cut heals while the change waits. Once a majority is told, only permissions from before count; once
-// all are told, nothing does.
-test("a change waits no longer than those need that it has not told", () => {
-  const begunAt = 1000;
-  const wait = (...toldAt: readonly number[]) =>
-    findWaitEnd({ startedAt: begunAt, proxyCount: 5, notifiedAt: [begunAt, ...toldAt] });
-  expect(wait(1010)).toBe(begunAt + noMajorityWaitMs);
+// The partition heals while a change waits. Once a majority is notified, only earlier permits have to expire; once all
+// are notified, the wait ends.
+test("a change waits no longer than the proxies that it has not notified require", () => {
+  const startedAt = 1000;
+  const wait = (...notifiedAt: readonly number[]) =>
+    findWaitEnd({ startedAt, proxyCount: 5, notifiedAt: [startedAt, ...notifiedAt] });
+  expect(wait(1010)).toBe(startedAt + noMajorityWaitMs);
   expect(wait(1010, 3000)).toBe(3000 + permitMs + 150);
   expect(wait(1010, 3000, 3100)).toBe(3000 + permitMs + 150);
-  expect(wait(1010, 3000, 3100, 3200)).toBe(begunAt);
+  expect(wait(1010, 3000, 3100, 3200)).toBe(startedAt);
 });
 
-// A machine is suspended for seconds. Its steady clock shows none of it, so that a permission measured
-// there would outlive its time; the time of day has gone on.
-test("a stall shows as clocks that have parted, also through a step of the time of day", () => {
+// A machine is suspended for seconds. Its monotonic clock does not advance, so that a permit measured on it would be
+// used past its expiry; the wall clock does advance.
+test("a stall is detected by the changed offset between the clocks, even with a step of the wall clock", () => {
   let steady = 0;
   let wall = 1_000_000;
   const detector = new StallDetector({ monotonic: () => steady, wall: () => wall });
@@ -145,7 +144,7 @@
   expect(detector.detectStall()).toBe(true);
 });
 
-test("a document survives the store, and what can't be read is none", () => {
+test("a document is unchanged after encoding and decoding, and an unreadable one is undefined", () => {
   const document = {
     holder: { vm: "a", incarnation: "a-1" },
     groups: {
@@ -162,16 +161,16 @@
   }
 });
 
-// A dark primary answers nothing, and its one connection is taken by a statement that waits for it. No
-// second failure comes before that has run out of its time; a probe that fails says as much.
-test("a primary that is silent to a probe too is suspected at once", () => {
-  const sight = { target: "p", isListed: true, isLeaving: false, hasLostLog: false };
+// An unreachable primary does not answer, and the only connection to it is occupied by a waiting statement. No second
+// failure occurs before that statement times out, so a failed probe has to count as enough failures.
+test("a primary that does not answer a probe either is suspected without a second failed statement", () => {
+  const observation = { target: "p", isListed: true, isLeaving: false, hasLostLog: false };
   const reached = recordContact(undefined, "p", true, 50);
   const silent = recordSilence(reached, "p", 100);
-  expect(findSuspicion({ ...sight, contact: silent }, 450)).toEqual({
+  expect(findSuspicion({ ...observation, contact: silent }, 450)).toEqual({
     type: "unreachable",
     sinceMs: 350,
   });
   const back = recordContact(silent, "p", true, 460);
-  expect(findSuspicion({ ...sight, contact: back }, 900)).toBeUndefined();
+  expect(findSuspicion({ ...observation, contact: back }, 900)).toBeUndefined();
 });
--- a/test/leadership/fixture.ts
+++ b/test/leadership/fixture.ts
@@ -11,12 +11,12 @@
 import type { LogEvent, LogFields } from "../../src/log/index.js";
 import { FakeClock, makeRandom } from "../fleet/fakes.js";
 
-/** The store's one document, and what each proxy needs to take the duty by it. */
+/** A store with the leadership document, and the parts of proxies that share it. */
 export class LeadershipFixture {
   readonly clock = new FakeClock();
   stored: VersionedLeadership | undefined;
   readonly logLines: { readonly event: LogEvent; readonly fields: LogFields }[] = [];
-  /** What the target says to whoever asks. */
+  /** The target's answer to every status request. */
   targetAnswer: TargetAnswer = { type: "silent" };
   promotionCount = 0;
   private version = 10;
--- a/test/leadership/lease.test.ts
+++ b/test/leadership/lease.test.ts
@@ -1,10 +1,9 @@
 import { expect, test } from "@jest/globals";
 import { LeadershipFixture } from "./fixture.js";
 
-// A proxy begins a change and can't finish it. Another takes over, orders a promotion and gives the
-// duty back. The first begins again: with the token of its first turn, its order would be lower than
-// one that was given since.
-test("a proxy that takes the duty again does not use the token of an earlier turn", async () => {
+// A proxy begins a change and does not finish it. Another takes the lease over, orders a promotion and releases the
+// lease. If the first then reused the token of its earlier lease, the token would be lower than one already used.
+test("a proxy that acquires the lease again does not use its earlier token", async () => {
   const fixture = new LeadershipFixture();
   const { lease: a, tracker: trackerOfA } = fixture.makeProxy("a");
   const { lease: b, tracker } = fixture.makeProxy("b");
@@ -15,7 +14,7 @@
   const round = (await b.beginChange("ledger", "i-0", 1)) ?? 0;
   const between = (await b.renew()) ?? 0;
   await b.endChange("ledger", round, "i-1");
-  // It looks at the store all the while, and sees that the other's change is over.
+  // The first proxy goes on reading the store and sees that the other's change is complete.
   if (fixture.stored !== undefined) trackerOfA.adopt({ leadership: fixture.stored, promoted: [] });
   a.observeDocument();
   fixture.clock.time = 12_000;
@@ -24,9 +23,9 @@
   expect(await a.renew()).toBeGreaterThan(between);
 });
 
-// Two proxies suspect the same primary. The first is done with its change, and the same target leads
-// again, before the second begins. It would replace what was just made, on a suspicion of before.
-test("a change that is over is not begun again on the suspicion that led to it", async () => {
+// Two proxies suspect the same primary. The first completes its change, with the same target as primary again, before
+// the second begins. On its old suspicion, the second would replace the primary that was just installed.
+test("a completed change is not repeated because of the suspicion that caused it", async () => {
   const fixture = new LeadershipFixture();
   const a = fixture.makeProxy("a").lease;
   const b = fixture.makeProxy("b").lease;
@@ -36,9 +35,9 @@
   expect(await b.beginChange("ledger", "i-0", round)).toBe(round + 1);
 });
 
-// A holder is suspended, and its steady clock with it. By that clock its last write is fresh; by the
-// time of day another proxy has had the duty. It looks at the store before it gives an order.
-test("a holder that stood still looks at the store before it gives an order", async () => {
+// The holder's machine is suspended, and its monotonic clock with it. By that clock its last write is recent, but
+// another proxy has acquired the lease. The holder has to read the store before it sends an order.
+test("a holder that was suspended reads the store before it sends an order", async () => {
   const fixture = new LeadershipFixture();
   let suspendedMs = 0;
   const a = fixture.makeProxy("a", () => fixture.clock.now() + suspendedMs).lease;
@@ -50,22 +49,22 @@
   expect(await a.renew()).toBeUndefined();
 });
 
-// A primary is cut off from several proxies. One of them replaces it, and the new one is cut off too: another
-// proxy sees that first and would change it again at once, and the first one after it. Proxies that take turns
-// within a lease order against one another; the second waits, and the first may go on by itself.
-test("another proxy changes a group's primary only a lease after it was changed", async () => {
+// A proxy replaces a primary that several proxies can't reach, and the new primary is unreachable too. Without a delay,
+// another proxy would replace it at once, then the first one again: each would undo the other's change. The other
+// proxy has to wait; the first may continue alone.
+test("another proxy replaces a new primary only after a delay", async () => {
   const fixture = new LeadershipFixture();
   const { lease: a } = fixture.makeProxy("a");
   const { lease: b, tracker } = fixture.makeProxy("b");
-  const see = () => {
+  const readStore = () => {
     if (fixture.stored !== undefined) tracker.adopt({ leadership: fixture.stored, promoted: [] });
     b.observeDocument();
   };
   const first = (await a.beginChange("ledger", "i-0", 0)) ?? 0;
-  see();
+  readStore();
   await a.endChange("ledger", first, "i-1");
   fixture.clock.time = 100;
-  see();
+  readStore();
   fixture.clock.time = 3000;
   expect(b.canChangeGroup("ledger")).toBe(false);
   expect(await b.beginChange("ledger", "i-1", first)).toBeUndefined();
--- a/test/leadership/lost-log.test.ts
+++ b/test/leadership/lost-log.test.ts
@@ -39,9 +39,9 @@
 const serving = (round: number, name: string) =>
   ({ type: "serving", round, target: name }) as const;
 
-// A primary comes back with nothing and is replaced. Later it leads again with a whole log, and comes back
-// with nothing a second time. Taken for the first time over, it would answer reads.
-test("each loss of a log counts anew once another target has led", () => {
+// A primary restarts with an empty log and is replaced. Later it is primary again with a complete log, and restarts
+// empty a second time. If that were taken for the first loss, it would go on answering reads.
+test("a second loss of a target's log is detected after another target was primary", () => {
   const tracker = makeTracker();
   adopt(tracker, serving(1, "i-0"));
   tracker.noteLostLog("ledger", "i-0");
@@ -53,9 +53,9 @@
   expect(tracker.findLeader("ledger").type).toBe("changing");
 });
 
-// The only target that runs is the one that lost its log. It is made primary again; were the loss held
-// against it, the group would be changed for ever and serve nobody.
-test("a target that was made primary in spite of its loss serves", () => {
+// The only running target is the one that lost its log, and it is promoted again. If the loss still counted, the
+// primary would be replaced again and again and the group would never serve.
+test("a target that is promoted again after it lost its log serves", () => {
   const tracker = makeTracker();
   adopt(tracker, serving(1, "i-0"));
   tracker.noteLostLog("ledger", "i-0");
