--- a/src/direct/autocommit.ts
+++ b/src/direct/autocommit.ts
@@ -78,7 +78,7 @@
   try {
     return await retryUntilDone(context, work, arrivedAt, state);
   } finally {
-    claim.end();
+    claim.release();
   }
 }
 
@@ -160,7 +160,7 @@
     state.lastReason = supersededReason;
     return undefined;
   }
-  if (!state.claim.use()) {
+  if (!state.claim.consume()) {
     placement.release();
     return refuse(context, work, { reason: rateClaimLapsedReason, retryAfterMs: 0, waitedFor: [] });
   }
--- a/src/direct/ports.ts
+++ b/src/direct/ports.ts
@@ -3,7 +3,7 @@
 import type { TargetLink } from "../statement/index.js";
 import type { PrimarySource } from "./primary.js";
 import type { ShareRule } from "./share.js";
-import type { RateGate } from "../rates/index.js";
+import type { RateLimiter } from "../rates/index.js";
 import type { ServingConfig } from "./serving-config.js";
 
 /**
@@ -45,6 +45,6 @@
   /** Finds the rule for this proxy's share of connections to a group's targets in one data centre. */
   readonly findShareRule: (group: string, dataCentre: string) => ShareRule;
   /** Enforces the teams' rate limits. */
-  readonly rates: RateGate;
+  readonly rates: RateLimiter;
   readonly onStatement: (sample: StatementSample) => void;
 }
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -150,7 +150,7 @@
     try {
       return await this.openWithClaim(context, work, arrivedAt, claim);
     } finally {
-      claim.end();
+      claim.release();
     }
   }
 
@@ -212,7 +212,7 @@
       placement.release();
       return supersededReason;
     }
-    if (!claim.use()) {
+    if (!claim.consume()) {
       placement.release();
       return rateClaimLapsedReason;
     }
--- a/src/directpeer/codec.ts
+++ b/src/directpeer/codec.ts
@@ -4,7 +4,7 @@
   emptyLeadership,
   encodeLeadership,
   type LeadershipAnswer,
-  type LeadershipWord,
+  type LeadershipUpdate,
   type TargetAnswer,
 } from "../leadership/index.js";
 import type {
@@ -16,7 +16,7 @@
 import type { TargetReport } from "../statement/index.js";
 
 /** The fields of a word in either direction. */
-export function encodeWord({ leadership, made }: LeadershipWord) {
+export function encodeLeadershipUpdate({ leadership, promoted: made }: LeadershipUpdate) {
   return {
     version: leadership.version,
     document: JSON.stringify(encodeLeadership(leadership.document)),
@@ -25,30 +25,30 @@
 }
 
 /** Reads a word. A document that can't be read counts as none, of version 0. */
-export function decodeWord(message: ShareRequest | ShareResponse): LeadershipWord {
+export function decodeLeadershipUpdate(message: ShareRequest | ShareResponse): LeadershipUpdate {
   const document = decodeLeadership(parseJson(message.document));
   const made = message.made.map(({ group, round, target }) => ({ group, round, target }));
   const leadership =
     document === undefined
       ? { version: 0, document: emptyLeadership }
       : { version: message.version, document };
-  return { leadership, made };
+  return { leadership, promoted: made };
 }
 
 /** Reads the answer to a word. */
-export function decodeAnswer(message: ShareResponse): LeadershipAnswer {
+export function decodeLeadershipAnswer(message: ShareResponse): LeadershipAnswer {
   const { vm, confirmedAgoMs, listsAsker, storeAgoMs, storeRevision, lookedAgoMs } = message;
   const ages = { confirmedAgoMs, storeAgoMs, lookedAgoMs };
-  return { ...decodeWord(message), vm, listsAsker, storeRevision, ...ages };
+  return { ...decodeLeadershipUpdate(message), vm, listsAsker, storeRevision, ...ages };
 }
 
 /** Writes the answer to a word. What is not known is left out. */
-export function encodeAnswer(answer: LeadershipAnswer) {
+export function encodeLeadershipAnswer(answer: LeadershipAnswer) {
   const { vm, listsAsker, confirmedAgoMs, storeAgoMs, storeRevision, lookedAgoMs } = answer;
   return {
     vm,
     listsAsker,
-    ...encodeWord(answer),
+    ...encodeLeadershipUpdate(answer),
     ...(confirmedAgoMs === undefined ? {} : { confirmedAgoMs }),
     ...(storeAgoMs === undefined ? {} : { storeAgoMs }),
     ...(storeRevision === undefined ? {} : { storeRevision }),
--- a/src/gateway/choose.ts
+++ b/src/gateway/choose.ts
@@ -5,7 +5,7 @@
 /** The proxies that hold a group's connections, by data centre, each with the one to ask first in front. */
 export interface GatewayPlan {
   /** Each listed proxy holds connections of its own: nothing need be forwarded. */
-  readonly isEverybody: boolean;
+  readonly isEveryProxyGateway: boolean;
   readonly byDataCentre: ReadonlyMap<string, readonly Proxy[]>;
 }
 
@@ -47,12 +47,12 @@
     const inPlace = pool.filter((proxy) => (proxy.dataCentre ?? "") === place);
     byDataCentre.set(place, orderByScore(name, inPlace).slice(0, gatewaysPerDataCentre));
   }
-  return { isEverybody, byDataCentre };
+  return { isEveryProxyGateway: isEverybody, byDataCentre };
 }
 
 /** Whether a proxy holds a group's connections. */
 export function isGateway(plan: GatewayPlan, vm: string): boolean {
-  return plan.isEverybody || listGateways(plan).some((proxy) => proxy.vm === vm);
+  return plan.isEveryProxyGateway || listGateways(plan).some((proxy) => proxy.vm === vm);
 }
 
 /** All gateways of a plan. */
--- a/src/groupwatch/confirmations.ts
+++ b/src/groupwatch/confirmations.ts
@@ -8,12 +8,12 @@
 } from "../controller/acknowledge/index.js";
 import { assertInvariant, type Clock, formatMark } from "../model/index.js";
 
-/** Whether a committed write may be acknowledged. */
+/** The result of waiting until a committed write may be acknowledged. */
 export type Confirmation =
   | { readonly type: "confirmed" }
-  /** A newer term is under way: this primary can't vouch for the write, which may have run. */
+  /** A newer term has begun: this primary can't guarantee that the write, which may have run, is kept. */
   | { readonly type: "superseded" }
-  /** The signal was aborted, or the watch disposed of, before it could be told. */
+  /** The signal was aborted, or the watch was disposed, before the result was known. */
   | { readonly type: "timedOut" };
 
 interface Waiter {
@@ -22,26 +22,26 @@
   readonly resolve: (confirmation: Confirmation) => void;
 }
 
-/** What confirmations need of the group. */
+/** Dependencies of `WriteConfirmations`. */
 export interface ConfirmationPorts {
   readonly clock: Clock;
   readonly targets: readonly string[];
   readonly safeguards: AcknowledgeSafeguards;
-  /** Asks a target afresh; its answer comes back through `observe`. */
-  readonly ask: (target: string) => void;
-  /** Between two fresh requests for the same write, where answers do not come by themselves. */
-  readonly askAgainMs: number;
-  /** Whether a majority is known to be fenced past the term of the write. */
+  /** Sends a new status request to a target; the answer is passed to `observe`. */
+  readonly requestStatus: (target: string) => void;
+  /** Interval of repeated status requests while a write is not decided. */
+  readonly statusRetryMs: number;
+  /** Whether a majority is known to be fenced at a term newer than the write's. */
   readonly isSuperseded: (write: PendingWrite) => boolean;
 }
 
-/** The writes of one group that wait to be acknowledged. */
-export class Confirmations {
+/** Tracks the writes of one group that wait to be acknowledged. */
+export class WriteConfirmations {
   private readonly waiters = new Set<Waiter>();
 
   constructor(private readonly ports: ConfirmationPorts) {}
 
-  /** Waits until the write may be acknowledged or never can be by this primary. */
+  /** Waits until the write may be acknowledged, or until this primary can no longer confirm it. */
   wait(
     write: PendingWrite,
     known: readonly StatusAnswer[],
@@ -55,13 +55,13 @@
       this.waiters.add(waiter);
       const giveUp = (): void => this.end(waiter, { type: "timedOut" });
       signal.addEventListener("abort", giveUp, { once: true, signal: waiter.ended.signal });
-      for (const { targets } of begun.effects) targets.forEach(this.ports.ask);
+      for (const { targets } of begun.effects) targets.forEach(this.ports.requestStatus);
       for (const evidence of known) this.apply(waiter, evidence);
-      void this.askAgain(waiter);
+      void this.repeatStatusRequests(waiter);
     });
   }
 
-  /** Takes in an answer of a target. */
+  /** Applies a target's answer to all waiting writes. */
   observe(evidence: StatusAnswer): void {
     for (const waiter of [...this.waiters]) this.apply(waiter, evidence);
   }
@@ -74,7 +74,7 @@
     const applied = applyStatusAnswer(waiter.state, evidence);
     if (applied.type === "failed") return;
     waiter.state = applied.state;
-    for (const { targets } of applied.effects) targets.forEach(this.ports.ask);
+    for (const { targets } of applied.effects) targets.forEach(this.ports.requestStatus);
     this.checkOutcome(waiter);
   }
 
@@ -83,7 +83,7 @@
       case "waiting":
         return;
       case "confirmed":
-        this.assertLeading(waiter.state.write);
+        this.assertNotSuperseded(waiter.state.write);
         this.end(waiter, { type: "confirmed" });
         return;
       case "superseded":
@@ -91,7 +91,7 @@
     }
   }
 
-  private assertLeading(write: PendingWrite): void {
+  private assertNotSuperseded(write: PendingWrite): void {
     const describe = (): string => `write at ${formatMark(write.mark)} of ${write.primary}`;
     assertInvariant("noSupersededAcknowledgement", !this.ports.isSuperseded(write), describe);
   }
@@ -102,13 +102,13 @@
     waiter.resolve(confirmation);
   }
 
-  /** A lost answer, or a stream that has gone silent, would leave the caller waiting for good. */
-  private async askAgain(waiter: Waiter): Promise<void> {
+  /** Repeats status requests, since a lost answer or a silent stream would leave the caller waiting forever. */
+  private async repeatStatusRequests(waiter: Waiter): Promise<void> {
     while (this.waiters.has(waiter)) {
       await this.ports.clock
-        .sleep(this.ports.askAgainMs, waiter.ended.signal)
+        .sleep(this.ports.statusRetryMs, waiter.ended.signal)
         .catch(() => undefined);
-      if (this.waiters.has(waiter)) this.ports.targets.forEach(this.ports.ask);
+      if (this.waiters.has(waiter)) this.ports.targets.forEach(this.ports.requestStatus);
     }
   }
 }
--- a/src/groupwatch/groupwatch.ts
+++ b/src/groupwatch/groupwatch.ts
@@ -17,49 +17,49 @@
   type Target,
   type Term,
 } from "../model/index.js";
-import { FreshAsker } from "./asker.js";
-import { StrictClock } from "./clock.js";
-import { type Confirmation, Confirmations } from "./confirmations.js";
+import { FreshStatusClient } from "./freshstatus.js";
+import { StrictlyIncreasingClock } from "./clock.js";
+import { type Confirmation, WriteConfirmations } from "./confirmations.js";
 import { EffectRunner } from "./effects.js";
 import { GapMeter } from "./gap.js";
 import { MarkHistory } from "./history.js";
 import type { WatchOptions } from "./ports.js";
-import { type MarkReading, toReading } from "./reading.js";
-import { type BareEvent, ControllerRunner } from "./runner.js";
+import { type MarkReading, interpretStatus } from "./reading.js";
+import { type UntimedEvent, ControllerRunner } from "./runner.js";
 import { type StreamAnswer, StatusStream } from "./stream.js";
-import { allWatchSafeguards, buildOptions } from "./setup.js";
-import { buildView, findBackedAt } from "./view.js";
+import { allWatchSafeguards, buildFailoverOptions } from "./setup.js";
+import { buildView, findMajorityConfirmedAt } from "./view.js";
 
-interface Watched {
+interface WatchedTarget {
   readonly target: Target;
   readonly stream: StatusStream;
-  readonly asker: FreshAsker;
+  readonly statusClient: FreshStatusClient;
 }
 
 /**
- * Watches one group from its owner: keeps its positions up to date, changes its primary when that
- * fails, and tells when a write may be acknowledged. Nothing breaks when two VMs watch one group.
+ * Monitors one group at the VM that owns it: keeps the targets' positions up to date, replaces a failed primary,
+ * and determines when a write may be acknowledged. It is safe for two VMs to watch the same group.
  */
 export class GroupWatch implements Disposable {
-  private readonly owned = new DisposableStore();
-  private readonly clock: StrictClock;
+  private readonly disposables = new DisposableStore();
+  private readonly clock: StrictlyIncreasingClock;
   private readonly timings: FailoverTimings;
-  private readonly watched: ReadonlyMap<string, Watched>;
+  private readonly watchedTargets: ReadonlyMap<string, WatchedTarget>;
   private readonly effects: EffectRunner;
   private readonly runner: ControllerRunner;
-  private readonly confirmations: Confirmations;
+  private readonly confirmations: WriteConfirmations;
   private readonly history = new MarkHistory();
-  private readonly gap: GapMeter;
+  private readonly gapMeter: GapMeter;
   private readonly listeners = new Set<(view: GroupView) => void>();
   private current: GroupView;
-  /** When the last known primary last answered. */
-  private heardAt: number | undefined;
+  /** When the last known primary most recently answered. */
+  private primaryAnsweredAt: number | undefined;
 
   constructor(private readonly options: WatchOptions) {
     const { group, random } = options;
     this.timings = options.timings ?? defaultTimings;
-    this.clock = new StrictClock(options.clock);
-    this.runner = new ControllerRunner(buildOptions(options), this.clock, random, {
+    this.clock = new StrictlyIncreasingClock(options.clock);
+    this.runner = new ControllerRunner(buildFailoverOptions(options), this.clock, random, {
       onEffect: (effect, at) => this.effects.execute(effect, at),
       onChange: (state) => this.handleChange(state),
     });
@@ -68,49 +68,49 @@
       apply: (event) => this.handleEvent(event),
       onAnswer: (answer) => this.handleAnswer(answer),
       onMiss: (target, reason) => this.handleMiss(target, reason, true),
-      renew: (target) => this.watched.get(target)?.stream.renew(),
-      onNote: (note, at) => this.gap.note(note, at, this.heardAt),
+      reconnect: (target) => this.watchedTargets.get(target)?.stream.reconnect(),
+      onNote: (note, at) => this.gapMeter.recordNote(note, at, this.primaryAnsweredAt),
     });
-    this.gap = new GapMeter((gapMs, split) => {
+    this.gapMeter = new GapMeter((gapMs, split) => {
       options.log.write(failoverEvents.gap, { group: group.name, gapMs, ...split });
       options.onGap?.(gapMs, split);
     });
-    this.confirmations = new Confirmations({
+    this.confirmations = new WriteConfirmations({
       clock: this.clock,
       targets: group.targets.map((t) => t.name),
       safeguards: options.safeguards ?? allWatchSafeguards,
-      ask: (target) => void this.askFresh(target),
-      askAgainMs: this.timings.heartbeatMs,
+      requestStatus: (target) => void this.requestFreshStatus(target),
+      statusRetryMs: this.timings.heartbeatMs,
       isSuperseded: (write) => isSuperseded(this.runner.state, write.term),
     });
-    this.watched = new Map(group.targets.map((t) => [t.name, this.watchTarget(t)]));
-    this.owned.add(this.runner);
-    this.owned.add(this.confirmations);
+    this.watchedTargets = new Map(group.targets.map((t) => [t.name, this.watchTarget(t)]));
+    this.disposables.add(this.runner);
+    this.disposables.add(this.confirmations);
   }
 
-  /** Begins to watch. */
+  /** Starts the status streams and the failover controller. */
   start(): void {
-    for (const { stream } of this.watched.values()) stream.start();
+    for (const { stream } of this.watchedTargets.values()) stream.start();
     this.runner.apply({ type: "ticked" });
   }
 
-  /** Stops for good; writes that wait for a confirmation hear `timedOut`. */
+  /** Stops for good; pending calls of `confirm` resolve to `timedOut`. */
   dispose(): Promise<void> {
-    return this.owned.dispose();
+    return this.disposables.dispose();
   }
 
-  /** The group as it is known now. */
-  view(): GroupView {
+  /** Returns the current view of the group. */
+  getView(): GroupView {
     return this.current;
   }
 
-  /** Whether this VM is cut off from a primary that others may reach: another VM should own the group. */
+  /** Whether this VM is cut off from a primary that others may reach, so that another VM should own the group. */
   get isCutOff(): boolean {
     return isCutOff(this.runner.state);
   }
 
-  /** Whether new writes should wait, so that a replica can catch up in a planned switch. */
-  get isSwitching(): boolean {
+  /** Whether new writes should wait so that a replica can catch up during a planned switchover. */
+  get isSwitchingOver(): boolean {
     const { plannedSwitch: switching } = this.runner.state;
     return switching !== undefined && this.options.clock.now() < switching.until;
   }
@@ -122,21 +122,21 @@
   }
 
   /**
-   * Reads a fresh mark of the primary. Called after a commit's reply, the mark is at or after the
-   * commit; give `term` and `askedAt` on to `confirm`. With `witnessed` the others are asked in the
-   * same moment, so that their answers are there when `confirm` is called.
+   * Reads the primary's current mark. If called after a commit's reply, the mark is at or after the commit; pass its
+   * `term` and `askedAt` to `confirm`. With `witnessed`, the other targets are asked in parallel, so that their
+   * answers are available when `confirm` is called.
    */
   async readMark(target: string, mode: Acknowledgement = "replicated"): Promise<MarkReading> {
-    const reading = this.askFresh(target);
-    if (mode === "witnessed") this.askOthers(target);
-    const asked = await reading;
-    return toReading(asked);
+    const reading = this.requestFreshStatus(target);
+    if (mode === "witnessed") this.requestOtherStatuses(target);
+    const timed = await reading;
+    return interpretStatus(timed);
   }
 
   /**
-   * Waits until a write of `term`, committed at or before `mark`, may be acknowledged. `term` is the
-   * one of the view by which the write was sent; `committedAt` a time by which its commit was known
-   * here, as `readMark` gives it.
+   * Waits until a write of `term`, committed at or before `mark`, may be acknowledged. `term` is that of the view
+   * used to send the write. `committedAt` is a time at which the commit was already known to this VM, such as the
+   * `askedAt` that `readMark` returns.
    */
   async confirm(
     term: Term,
@@ -152,28 +152,28 @@
     const known = Object.values(targets).flatMap((view) => view ?? []);
     const write = { primary: primary.target, term, mark, mode, committedAt };
     const confirmation = await this.confirmations.wait(write, known, signal);
-    if (confirmation.type === "confirmed") this.gap.noteWrite(term, this.clock.now());
+    if (confirmation.type === "confirmed") this.gapMeter.recordWrite(term, this.clock.now());
     return confirmation;
   }
 
-  /** An upper bound in milliseconds of the age of a target's data at `now`, where one is known. */
-  findAge(target: string, now: number): number | undefined {
+  /** Finds an upper bound of the age of a target's data at `now`; `undefined` if none is known. */
+  findMaxAgeMs(target: string, now: number): number | undefined {
     const status = this.current.targets[target]?.status;
-    const heldAt = status === undefined ? undefined : this.history.findHeldAt(status);
-    return heldAt === undefined ? undefined : Math.max(0, now - heldAt);
+    const caughtUpAt = status === undefined ? undefined : this.history.findCaughtUpAt(status);
+    return caughtUpAt === undefined ? undefined : Math.max(0, now - caughtUpAt);
   }
 
-  /** A connection to the target broke. Hastens the checks and replaces none. */
-  observeFailure(target: string): void {
+  /** Reports that a connection to the target broke. This makes the controller check the target earlier. */
+  reportConnectionFailure(target: string): void {
     this.runner.apply({ type: "hinted", target });
   }
 
-  /** Moves the primary role away from a target that is to leave, once a replica holds all it has. */
-  switchFrom(target: string): void {
+  /** Moves the primary role away from a target that is to be removed, once a replica has its whole log. */
+  requestSwitchover(target: string): void {
     this.runner.apply({ type: "switchAsked", target });
   }
 
-  private watchTarget(target: Target): Watched {
+  private watchTarget(target: Target): WatchedTarget {
     const { control } = this.options;
     const { clock, timings } = this;
     const { name } = target;
@@ -181,40 +181,41 @@
       target,
       control,
       clock,
-      findWaitMs: (role) => (role === "primary" ? timings.heartbeatMs : timings.replicaHeartbeatMs),
-      findPatienceMs: () => this.findPatience(name),
+      getHoldMs: (role) => (role === "primary" ? timings.heartbeatMs : timings.replicaHeartbeatMs),
+      getGraceMs: () => this.findGraceMs(name),
       retryMs: timings.heartbeatMs,
       onAnswer: (answer) => this.handleAnswer(answer),
       onMiss: (reason) => this.handleMiss(name, reason, false),
     });
-    this.owned.add(stream);
+    this.disposables.add(stream);
     return {
       target,
       stream,
-      asker: new FreshAsker(target, { control, clock }, timings.confirmMs),
+      statusClient: new FreshStatusClient(target, { control, clock }, timings.confirmMs),
     };
   }
 
-  /** The controller checks a silent primary itself and then renews its stream. */
-  private findPatience(target: string): number {
+  /** A primary gets the maximum: the controller itself checks a silent one and then reconnects its stream. */
+  private findGraceMs(target: string): number {
     const isPrimary = this.current.primary?.target === target;
     return isPrimary
       ? this.timings.maxLatenessToleranceMs
       : getLatenessTolerance(this.runner.state, target);
   }
 
-  private askOthers(target: string): void {
-    for (const name of this.watched.keys()) if (name !== target) void this.askFresh(name);
+  private requestOtherStatuses(target: string): void {
+    for (const name of this.watchedTargets.keys())
+      if (name !== target) void this.requestFreshStatus(name);
   }
 
-  private async askFresh(name: string): ReturnType<FreshAsker["ask"]> {
-    const watched = this.watched.get(name);
+  private async requestFreshStatus(name: string): ReturnType<FreshStatusClient["request"]> {
+    const watched = this.watchedTargets.get(name);
     if (watched === undefined)
-      throw new Error(`${name} is no target of ${this.options.group.name}`);
-    const asked = await watched.asker.ask();
-    if (asked.result.type === "accepted")
-      this.handleAnswer({ status: asked.result.status, askedAt: asked.askedAt });
-    return asked;
+      throw new Error(`${name} is not a target of group ${this.options.group.name}`);
+    const timed = await watched.statusClient.request();
+    if (timed.result.type === "accepted")
+      this.handleAnswer({ status: timed.result.status, askedAt: timed.askedAt });
+    return timed;
   }
 
   private handleAnswer(answer: StreamAnswer): void {
@@ -222,7 +223,7 @@
     this.confirmations.observe({ ...answer, answeredAt: this.clock.now() });
   }
 
-  private handleEvent(event: BareEvent): void {
+  private handleEvent(event: UntimedEvent): void {
     this.runner.apply(event);
     if (event.type !== "controlled" || event.result.type !== "accepted") return;
     const { status } = event.result;
@@ -241,15 +242,16 @@
   private handleChange(state: FailoverState): void {
     this.current = buildView(state);
     const { primary } = this.current;
-    if (primary !== undefined) this.heardAt = this.current.targets[primary.target]?.answeredAt;
-    this.noteHistory();
+    if (primary !== undefined)
+      this.primaryAnsweredAt = this.current.targets[primary.target]?.answeredAt;
+    this.recordHistory();
     for (const listener of [...this.listeners]) listener(this.current);
   }
 
-  private noteHistory(): void {
+  private recordHistory(): void {
     const { primary, targets } = this.current;
-    const backedAt = findBackedAt(this.current, [...this.watched.keys()]);
+    const confirmedAt = findMajorityConfirmedAt(this.current, [...this.watchedTargets.keys()]);
     const mark = primary && targets[primary.target]?.status.mark;
-    if (backedAt !== undefined && mark !== undefined) this.history.note(backedAt, mark);
+    if (confirmedAt !== undefined && mark !== undefined) this.history.record(confirmedAt, mark);
   }
 }
--- a/src/groupwatch/peers.ts
+++ b/src/groupwatch/peers.ts
@@ -2,17 +2,17 @@
 import type { PeerCheck } from "../model/index.js";
 import type { WatchPorts } from "./ports.js";
 
-/** How many other VMs are asked about a suspected primary. */
-export const helpers = 2;
+/** How many other VMs are asked to check a suspected primary. */
+export const maxCheckerVms = 2;
 
-/** Asks other VMs for a target; answers as soon as one has reached it, else when all have answered. */
-export async function askPeers(
+/** Asks other VMs to check a target. Resolves as soon as one has reached it, otherwise once all have answered. */
+export async function checkThroughPeers(
   ports: WatchPorts,
   group: string,
   target: string,
   timeoutMs: number,
 ): Promise<PeerFinding> {
-  const vms = ports.findHelpers().slice(0, helpers);
+  const vms = ports.listCheckerVms().slice(0, maxCheckerVms);
   const checks = vms.map((vm) => ports.peers.checkTarget(vm, group, target, timeoutMs));
   const findings = checks.map((check) => check.then(classifyCheck));
   const reached = findings.map((f) =>
--- /dev/null
+++ b/src/leadership/inquirer.ts
@@ -0,0 +1,102 @@
+import type { TargetReport } from "../statement/index.js";
+import type { Reachability } from "./decide.js";
+import type { LeadershipPorts, Proxy, TargetAnswer, TargetQuestion } from "./ports.js";
+
+/** A status request takes a round trip of 1 to 3 ms and a slot; this is twice the longest usual use of a slot. */
+const askTimeoutMs = 200;
+/** Added for a request through another proxy: one more round trip, some tens of milliseconds if that proxy is busy. */
+const relayTimeoutMs = 150;
+
+/** Dependencies of a `TargetInquirer`. */
+export type TargetInquirerPorts = Pick<
+  LeadershipPorts,
+  "vm" | "peers" | "askTarget" | "listProxies" | "listGroupProxies"
+>;
+
+/** Sends status requests to targets, directly and through other proxies. */
+export class TargetInquirer {
+  constructor(private readonly ports: TargetInquirerPorts) {}
+
+  /** Counts the proxies that reach a primary now, among those that hold the group's connections (this one included). */
+  async measureReachability(group: string, target: string): Promise<Reachability> {
+    const question = { group, target, demoteRound: undefined };
+    const answers = await Promise.all([
+      this.askDirectly(question),
+      ...this.askThroughOthers(question),
+    ]);
+    const known = answers.filter((answer) => answer !== undefined);
+    const reaching = known.filter(showsLeadingPrimary).length;
+    return {
+      reaching,
+      notReaching: known.length - reaching,
+      silent: answers.length - known.length,
+    };
+  }
+
+  /**
+   * Asks a target directly and through all other proxies that hold its connections, and resolves to the first report.
+   * The requests run in parallel since a primary that is being replaced is often unreachable from this proxy: in
+   * sequence, each question to it took 0.55 s.
+   */
+  askThroughAll(question: TargetQuestion): Promise<TargetReport | undefined> {
+    const answers = [this.askDirectly(question), ...this.askThroughOthers(question)];
+    return findFirstDefined(answers.map(async (answer) => findReport(await answer)));
+  }
+
+  /** Asks a target directly, and through the other proxies only if that yields no report. */
+  async askWithFallback(question: TargetQuestion): Promise<TargetReport | undefined> {
+    const own = findReport(await this.askDirectly(question));
+    if (own !== undefined) return own;
+    return findFirstDefined(
+      this.askThroughOthers(question).map(async (answer) => findReport(await answer)),
+    );
+  }
+
+  /** All registered proxies except this one. */
+  listOtherProxies(): readonly Proxy[] {
+    return this.ports.listProxies().filter((proxy) => proxy.vm !== this.ports.vm);
+  }
+
+  private askDirectly(question: TargetQuestion): Promise<TargetAnswer> {
+    return this.ports.askTarget(question, askTimeoutMs);
+  }
+
+  private askThroughOthers(question: TargetQuestion): readonly Promise<TargetAnswer | undefined>[] {
+    const { peers, vm, listGroupProxies: listHolders } = this.ports;
+    // Proxies outside this list hold no connection to the target; asking them would make each of them open one at once.
+    const holders = listHolders(question.group).filter((proxy) => proxy.vm !== vm);
+    return holders.map((proxy) => peers.askTarget(proxy, question, askTimeoutMs + relayTimeoutMs));
+  }
+}
+
+function findReport(answer: TargetAnswer | undefined): TargetReport | undefined {
+  return answer?.type === "report" ? answer.report : undefined;
+}
+
+/**
+ * Whether an answer shows that the target is running as primary. One whose slots are all in use counts as
+ * running: otherwise an overloaded primary would be replaced, and then its successor under the same load.
+ */
+function showsLeadingPrimary(answer: TargetAnswer): boolean {
+  switch (answer.type) {
+    case "report":
+      return answer.report.role === "primary";
+    case "alive":
+      return true;
+    case "silent":
+      return false;
+  }
+}
+
+/** Resolves to the first defined value, or to `undefined` if there is none. */
+async function findFirstDefined<T>(
+  answers: readonly Promise<T | undefined>[],
+): Promise<T | undefined> {
+  const found = answers.map(async (answer) => {
+    const value = await answer;
+    if (value === undefined) throw new Error("no answer");
+    return value;
+  });
+  // `any` rejects if no promise yields a value, which is a regular outcome here.
+  return Promise.any(found).catch(() => undefined);
+}
--- /dev/null
+++ b/src/leadership/lease.ts
@@ -0,0 +1,166 @@
+import { leadershipEvents } from "../log/events/leadership.js";
+import type { GroupLeadership, VersionedLeadership } from "./document.js";
+import type { LeadershipTracker } from "./tracker.js";
+import type { LeadershipPorts } from "./ports.js";
+import { editLeadership, type DocumentEdit } from "./writer.js";
+
+/**
+ * Another proxy may take the lease if its holder has not written for this long. This is more than twice the time
+ * for which the holder acts without a write, to allow for slow clocks and calls.
+ */
+const takeOverAfterMs = 5000;
+/** A holder whose last write is older than this renews the lease before it sends an order. */
+const renewAfterMs = 1500;
+/**
+ * How long a proxy waits before it replaces a primary that another proxy has installed, from when it saw the new
+ * entry. Without the delay, two proxies could alternate, each replacing the primary that the other has just made.
+ */
+const otherProxyDelayMs = 3200;
+
+/**
+ * The lease on changes of primary: at most one proxy holds it, for all groups, by conditional updates of the
+ * leadership document. Its fencing token is the store's version of the write that acquired the lease; versions
+ * are unique and increase with each write.
+ */
+export class ChangeLease {
+  private token: number | undefined;
+  private lastWriteAt = -Infinity;
+  private seenVersion = 0;
+  private seenAt = -Infinity;
+  /** By group: the round of the serving primary, and when this proxy first saw it. */
+  private readonly servingSince = new Map<
+    string,
+    { readonly round: number; readonly since: number }
+  >();
+
+  constructor(
+    private readonly ports: LeadershipPorts,
+    private readonly tracker: LeadershipTracker,
+  ) {}
+
+  get isHeld(): boolean {
+    return this.token !== undefined;
+  }
+
+  /** Records when the known document and its serving primaries last changed. */
+  observeDocument(): void {
+    const { version } = this.tracker.leadership;
+    if (version === this.seenVersion) return;
+    // Entries found at startup count as older than `otherProxyDelayMs`: starting the process takes longer than that.
+    const since = this.seenVersion === 0 ? -Infinity : this.ports.clock.now();
+    this.seenVersion = version;
+    this.seenAt = this.ports.clock.now();
+    for (const [group, { type, round }] of Object.entries(
+      this.tracker.leadership.document.groups,
+    )) {
+      if (type === "serving" && this.servingSince.get(group)?.round !== round) {
+        this.servingSince.set(group, { round, since });
+      }
+    }
+  }
+
+  /** Whether this proxy may change a group's primary; false for `otherProxyDelayMs` after another proxy did so. */
+  canChangeGroup(group: string): boolean {
+    const entry = this.tracker.leadership.document.groups[group];
+    if (entry?.type !== "serving" || entry.by === undefined || entry.by === this.ports.vm)
+      return true;
+    const since = this.servingSince.get(group)?.since ?? -Infinity;
+    return this.ports.clock.now() - since >= otherProxyDelayMs;
+  }
+
+  /** Whether the lease may be acquired: it is free or own, or its holder has written nothing for `takeOverAfterMs`. */
+  canTakeOver(): boolean {
+    const { holder } = this.tracker.leadership.document;
+    if (holder === undefined || this.isOwnHolder(holder)) return true;
+    return this.ports.clock.now() - this.seenAt > takeOverAfterMs;
+  }
+
+  /**
+   * Acquires the lease and begins a change. Resolves to its round, or to `undefined` if another proxy holds the
+   * lease or has changed the group.
+   *
+   * `seenRound` is the round whose primary is suspected. If two proxies suspect the same primary, one may complete
+   * its change before the other begins, with the same target as primary again. Without this check, the second would
+   * replace the primary that the first has just installed.
+   *
+   * An earlier token is kept only if the stored document still names this process as holder. Otherwise another proxy
+   * may have held the lease since, and orders with the old token would be lower than those already given.
+   */
+  async beginChange(group: string, from: string, seenRound: number): Promise<number | undefined> {
+    const { vm, incarnation, logger } = this.ports;
+    let round = 0;
+    let kept: number | undefined;
+    const written = await this.write((document) => {
+      const { holder } = document;
+      kept = holder !== undefined && this.isOwnHolder(holder) ? this.token : undefined;
+      if (holder !== undefined && !this.isOwnHolder(holder) && !this.canTakeOver())
+        return undefined;
+      const known = document.groups[group];
+      if ((known?.round ?? 0) !== seenRound || !this.canChangeGroup(group)) return undefined;
+      round = seenRound + 1;
+      const groups = { ...document.groups, [group]: { type: "changing", round, from } as const };
+      return { holder: { vm, incarnation }, groups };
+    });
+    if (written === undefined) {
+      logger.write(leadershipEvents.changeBarred, {
+        group,
+        reason: "another proxy holds the lease or has changed the group",
+      });
+      return undefined;
+    }
+    const token = kept ?? written.version;
+    this.token = token;
+    logger.write(leadershipEvents.changeBegun, { group, from, round, token });
+    return round;
+  }
+
+  /** Gets the token for an order, renewing the lease if necessary; `undefined` if the lease is lost. */
+  async renew(): Promise<number | undefined> {
+    if (this.token === undefined) return undefined;
+    const isFresh = this.ports.clock.now() - this.lastWriteAt < renewAfterMs;
+    // The monotonic clock may stop while the process is suspended, and another proxy may take the lease meanwhile.
+    const isUnbroken = !this.tracker.hasStalledSince(this.lastWriteAt);
+    if (isFresh && isUnbroken && !this.isLost()) return this.token;
+    // The counter makes the document differ: writing an equal one would not change its version.
+    const written = await this.write((document) => {
+      const { holder } = document;
+      if (holder === undefined || !this.isOwnHolder(holder)) return undefined;
+      const renewals = (document.renewals ?? 0) + 1;
+      return { ...document, renewals };
+    });
+    if (written === undefined) this.token = undefined;
+    return this.token;
+  }
+
+  /** Records the target as primary. Releases the lease unless another group is still being changed. */
+  async endChange(group: string, round: number, target: string): Promise<void> {
+    const written = await this.write((document) => {
+      const { holder } = document;
+      if (holder === undefined || !this.isOwnHolder(holder)) return undefined;
+      if (document.groups[group]?.round !== round) return undefined;
+      const serving: GroupLeadership = { type: "serving", round, target, by: this.ports.vm };
+      const groups = { ...document.groups, [group]: serving };
+      const isOver = Object.values(groups).every((g) => g.type === "serving");
+      return { holder: isOver ? undefined : holder, groups };
+    });
+    if (written?.document.holder === undefined) this.token = undefined;
+  }
+
+  private isLost(): boolean {
+    const { holder } = this.tracker.leadership.document;
+    return holder === undefined || !this.isOwnHolder(holder);
+  }
+
+  private isOwnHolder(holder: { readonly vm: string; readonly incarnation: string }): boolean {
+    return holder.vm === this.ports.vm && holder.incarnation === this.ports.incarnation;
+  }
+
+  private async write(edit: DocumentEdit): Promise<VersionedLeadership | undefined> {
+    const written = await editLeadership(this.ports, this.tracker, edit, () =>
+      this.observeDocument(),
+    );
+    if (written === undefined) return undefined;
+    this.lastWriteAt = written.sentAt;
+    return written.leadership;
+  }
+}
--- a/test/failover/age.test.ts
+++ b/test/failover/age.test.ts
@@ -35,7 +35,7 @@
       if (mark !== undefined) commits.set(mark.offset, scenario.clock.now());
       await scenario.clock.advance(waitMs);
       for (const name of replicas(primary)) {
-        const age = scenario.fleet.watch("v1").findAge(name, scenario.clock.now()) ?? Infinity;
+        const age = scenario.fleet.watch("v1").findMaxAgeMs(name, scenario.clock.now()) ?? Infinity;
         expect(age).toBeGreaterThanOrEqual(findTrueAge(scenario, commits, name));
       }
     }
@@ -48,7 +48,7 @@
   const scenario = new FailoverScenario();
   const [name = ""] = replicas(await scenario.waitUntilSteady());
   await scenario.clock.advance(3000);
-  expect(scenario.fleet.watch("v1").findAge(name, scenario.clock.now())).toBeLessThan(500);
+  expect(scenario.fleet.watch("v1").findMaxAgeMs(name, scenario.clock.now())).toBeLessThan(500);
   await scenario.end();
 });
 
@@ -60,7 +60,7 @@
   await scenario.clock.advance(1000);
   scenario.fleet.setPartition("v1", primary, true);
   await scenario.clock.advance(3000);
-  const age = scenario.fleet.watch("v1").findAge(primary, scenario.clock.now()) ?? Infinity;
+  const age = scenario.fleet.watch("v1").findMaxAgeMs(primary, scenario.clock.now()) ?? Infinity;
   expect(age).toBeGreaterThanOrEqual(2500);
   await scenario.end();
 });
--- a/test/failover/faults.test.ts
+++ b/test/failover/faults.test.ts
@@ -135,7 +135,7 @@
   const next = await scenario.findPrimary("v1", old);
   const last = scenario.group.get(replicas(old).find((t) => t !== next) ?? "");
   const follow = jest.spyOn(last, "follow");
-  scenario.fleet.watch("v1").observeFailure(next);
+  scenario.fleet.watch("v1").reportConnectionFailure(next);
   await scenario.clock.advance(100);
   expect(follow).toHaveBeenCalledTimes(1);
   await scenario.end();
@@ -192,7 +192,7 @@
 test("a planned switch moves the primary role from a leaving target", async () => {
   const scenario = new FailoverScenario();
   const old = await scenario.waitUntilSteady();
-  scenario.fleet.watch("v1").switchFrom(old);
+  scenario.fleet.watch("v1").requestSwitchover(old);
   await scenario.findPrimary("v1", old);
   expect(await scenario.write()).toBe("acknowledged");
   await scenario.end();
