--- a/bench/rates/main.ts
+++ b/bench/rates/main.ts
@@ -2,7 +2,12 @@
 // the team was within its rate, the worst window against the bound, and the messages between proxies.
 import { silentLogger } from "../../src/log/index.js";
 import type { Team } from "../../src/model/index.js";
-import { chooseMakers, RateKeeper, type Parcel, type RateBounds } from "../../src/rates/index.js";
+import {
+  chooseIssuers,
+  TokenRateLimiter,
+  type TokenGrant,
+  type RateBounds,
+} from "../../src/rates/index.js";
 import { createRandom } from "../admission/random.js";
 
 const bounds: RateBounds = { windowMs: 5000, overage: 0.1, slack: 20 };
@@ -49,29 +54,29 @@
   const players = makePlayers(scenario);
   const roster = new Map(players.map(({ team }) => [team.name, team]));
   const weights = new Map(scenario.weights.map((weight, i) => [String(i), weight]));
-  const keepers: RateKeeper[] = scenario.weights.map(
+  const keepers: TokenRateLimiter[] = scenario.weights.map(
     (_, index) =>
-      new RateKeeper({
+      new TokenRateLimiter({
         clock: { now: () => now },
         random,
         logger: silentLogger,
         bounds,
         findTeam: (name) => roster.get(name),
         findShare: (team, makers) => {
-          const chosen = chooseMakers(team, makers, weights);
+          const chosen = chooseIssuers(team, makers, weights);
           if (!chosen.includes(String(index))) return 0;
           const all = chosen.reduce((sum, vm) => sum + (weights.get(vm) ?? 0), 0);
           return (weights.get(String(index)) ?? 0) / all;
         },
-        listMakers: (team, makers) =>
-          chooseMakers(team, makers, weights).filter((vm) => vm !== String(index)),
-        ask: (peer, team, wanted): Promise<Parcel | undefined> => {
+        listIssuers: (team, makers) =>
+          chooseIssuers(team, makers, weights).filter((vm) => vm !== String(index)),
+        requestTokens: (peer, team, wanted): Promise<TokenGrant | undefined> => {
           messages += 1;
           if (isLost(scenario, Number(peer))) return Promise.resolve(undefined);
           if (isCut(scenario, Number(peer)) !== isCut(scenario, index)) {
             return Promise.resolve(undefined);
           }
-          return Promise.resolve(keepers[Number(peer)]?.give(team, wanted));
+          return Promise.resolve(keepers[Number(peer)]?.grantTokens(team, wanted));
         },
         hasStalledSince: () => false,
       }),
@@ -90,7 +95,7 @@
       player.sent += 1;
       const isWithin = player.allowance >= 1;
       if (isWithin) player.allowance -= 1;
-      if (reservation.type === "granted" && reservation.claim.use()) player.ran.push(now);
+      if (reservation.type === "granted" && reservation.claim.consume()) player.ran.push(now);
       else {
         player.refused += 1;
         if (isWithin) player.refusedWithin += 1;
--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -119,7 +119,7 @@
   {
     invariant: "A request refused as not run did not run",
     safeguard: "nothing is sent before a gateway's greeting",
-    file: "src/gateway/link.ts",
+    file: "src/gateway/connection.ts",
     find: "  private isGreeted = false;",
     put: "  private isGreeted = true;",
     tests: "test/gateway/hop",
@@ -148,9 +148,9 @@
   {
     invariant: "A caller is not left waiting by a silent gateway",
     safeguard: "a silent connection is asked for a sign of life",
-    file: "src/gateway/silence.ts",
-    find: "else this.options.lose();",
-    put: "else this.listen();",
+    file: "src/gateway/liveness.ts",
+    find: "else this.options.onTimeout();",
+    put: "else this.waitForData();",
     tests: "test/gateway/hop",
   },
   {
@@ -189,7 +189,7 @@
   {
     invariant: "No window has more of a team's operations than its bound",
     safeguard: "tokens lapse",
-    file: "src/rates/purse.ts",
+    file: "src/rates/pool.ts",
     find: "filter(({ tokens, until }) => tokens > 0 && now < until)",
     put: "filter(({ tokens, until }) => tokens > 0 && until > 0)",
     tests: "test/rates",
@@ -197,7 +197,7 @@
   {
     invariant: "No window has more of a team's operations than its bound",
     safeguard: "tokens that are given away are gone here",
-    file: "src/rates/purse.ts",
+    file: "src/rates/pool.ts",
     find: "      batch.tokens -= part;\n      missing -= part;\n      tokens += part;",
     put: "      missing -= part;\n      tokens += part;",
     tests: "test/rates",
@@ -205,7 +205,7 @@
   {
     invariant: "No window has more of a team's operations than its bound",
     safeguard: "a process that begins has no tokens",
-    file: "src/rates/purse.ts",
+    file: "src/rates/pool.ts",
     find: "let from = Math.max(this.madeTo, now - lifeMs);",
     put: "let from = Math.max(this.batches.length === 0 ? 0 : this.madeTo, now - lifeMs);",
     tests: "test/rates",
--- a/src/direct/ports.ts
+++ b/src/direct/ports.ts
@@ -3,7 +3,7 @@
 import type { TargetLink } from "../statement/index.js";
 import type { PrimarySource } from "./primary.js";
 import type { Holding } from "./share.js";
-import type { RateGate } from "../rates/index.js";
+import type { RateLimiter } from "../rates/index.js";
 import type { Scene } from "./scene.js";
 
 /**
@@ -44,6 +44,6 @@
   /** What this proxy holds of the connections to a group's targets in one data centre. */
   readonly findHolding: (group: string, dataCentre: string) => Holding;
   /** Keeps teams to their rates. */
-  readonly rates: RateGate;
+  readonly rates: RateLimiter;
   readonly onStatement: (sample: StatementSample) => void;
 }
--- a/src/direct/single.ts
+++ b/src/direct/single.ts
@@ -65,7 +65,7 @@
   try {
     return await tryUntilDone(context, work, arrivedAt, progress);
   } finally {
-    claim.end();
+    claim.release();
   }
 }
 
@@ -145,7 +145,7 @@
     progress.lastReason = supersededReason;
     return undefined;
   }
-  if (!progress.claim.use()) {
+  if (!progress.claim.consume()) {
     place.release();
     return refuse(context, work, { reason: lapsedReason, retryAfterMs: 0, waitedFor: [] });
   }
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -142,7 +142,7 @@
     try {
       return await this.openWithin(context, work, arrivedAt, claim);
     } finally {
-      claim.end();
+      claim.release();
     }
   }
 
@@ -196,7 +196,7 @@
       place.release();
       return supersededReason;
     }
-    if (!claim.use()) {
+    if (!claim.consume()) {
       place.release();
       return lapsedReason;
     }
--- a/src/directpeer/client.ts
+++ b/src/directpeer/client.ts
@@ -12,11 +12,11 @@
 } from "../leadership/index.js";
 import type { Address } from "../model/index.js";
 import { DirectPeer } from "../peer/gen/radishwalk/direct/v1/direct_pb.js";
-import type { Parcel } from "../rates/index.js";
-import { decodeAnswer, decodeTargetAnswer, encodeWord } from "./codec.js";
+import type { TokenGrant } from "../rates/index.js";
+import { decodeLeadershipAnswer, decodeTargetAnswer, encodeLeadershipMessage } from "./codec.js";
 
 /** What a process asks of another whose tokens may do for both. */
-export interface TokenQuestion {
+export interface TokenRequest {
   readonly team: string;
   readonly wanted: number;
 }
@@ -35,11 +35,11 @@
     word: LeadershipWord,
     timeoutMs: number,
   ): Promise<LeadershipAnswer | undefined> {
-    const request = { vm: this.vm, ...encodeWord(word) };
+    const request = { vm: this.vm, ...encodeLeadershipMessage(word) };
     const answer = await this.ask(proxy.vm, () =>
       this.open(proxy.address).share(request, { timeoutMs }),
     );
-    return answer === undefined ? undefined : decodeAnswer(answer);
+    return answer === undefined ? undefined : decodeLeadershipAnswer(answer);
   }
 
   async askTarget(
@@ -57,9 +57,9 @@
   /** Takes tokens of a team; those that are lost on the way let nothing run. */
   async takeTokens(
     proxy: Proxy,
-    question: TokenQuestion,
+    question: TokenRequest,
     timeoutMs: number,
-  ): Promise<Parcel | undefined> {
+  ): Promise<TokenGrant | undefined> {
     return this.ask(proxy.vm, () => this.open(proxy.address).takeTokens(question, { timeoutMs }));
   }
 
--- a/src/directpeer/codec.ts
+++ b/src/directpeer/codec.ts
@@ -16,7 +16,7 @@
 import type { TargetReport } from "../statement/index.js";
 
 /** The fields of a word in either direction. */
-export function encodeWord({ leadership, made }: LeadershipWord) {
+export function encodeLeadershipMessage({ leadership, made }: LeadershipWord) {
   return {
     version: leadership.version,
     document: JSON.stringify(encodeLeadership(leadership.document)),
@@ -25,7 +25,7 @@
 }
 
 /** Reads a word. A document that can't be read counts as none, of version 0. */
-export function decodeWord(message: ShareRequest | ShareResponse): LeadershipWord {
+export function decodeLeadershipMessage(message: ShareRequest | ShareResponse): LeadershipWord {
   const document = decodeLeadership(parseJson(message.document));
   const made = message.made.map(({ group, round, target }) => ({ group, round, target }));
   const leadership =
@@ -36,19 +36,19 @@
 }
 
 /** Reads the answer to a word. */
-export function decodeAnswer(message: ShareResponse): LeadershipAnswer {
+export function decodeLeadershipAnswer(message: ShareResponse): LeadershipAnswer {
   const { vm, confirmedAgoMs, listsAsker, storeAgoMs, storeRevision, lookedAgoMs } = message;
   const ages = { confirmedAgoMs, storeAgoMs, lookedAgoMs };
-  return { ...decodeWord(message), vm, listsAsker, storeRevision, ...ages };
+  return { ...decodeLeadershipMessage(message), vm, listsAsker, storeRevision, ...ages };
 }
 
 /** Writes the answer to a word. What is not known is left out. */
-export function encodeAnswer(answer: LeadershipAnswer) {
+export function encodeLeadershipAnswer(answer: LeadershipAnswer) {
   const { vm, listsAsker, confirmedAgoMs, storeAgoMs, storeRevision, lookedAgoMs } = answer;
   return {
     vm,
     listsAsker,
-    ...encodeWord(answer),
+    ...encodeLeadershipMessage(answer),
     ...(confirmedAgoMs === undefined ? {} : { confirmedAgoMs }),
     ...(storeAgoMs === undefined ? {} : { storeAgoMs }),
     ...(storeRevision === undefined ? {} : { storeRevision }),
--- a/src/directpeer/server.ts
+++ b/src/directpeer/server.ts
@@ -9,17 +9,17 @@
 } from "../leadership/index.js";
 import type { Address, Disposable } from "../model/index.js";
 import { DirectPeer, type TakeTokensRequest } from "../peer/gen/radishwalk/direct/v1/direct_pb.js";
-import type { Parcel } from "../rates/index.js";
-import { decodeWord, encodeAnswer, encodeTargetAnswer } from "./codec.js";
+import type { TokenGrant } from "../rates/index.js";
+import { decodeLeadershipMessage, encodeLeadershipAnswer, encodeTargetAnswer } from "./codec.js";
 
 /** What a process does for its peers. */
 export interface DirectPeerHandlers {
-  takeWord(from: string, word: LeadershipWord): LeadershipAnswer;
+  receiveLeadership(from: string, word: LeadershipWord): LeadershipAnswer;
   askTarget(question: TargetQuestion): Promise<TargetAnswer>;
   /** What this process knows of the scene, in JSON; empty when it knows nothing. */
   encodeScene(): string;
   /** Tokens of a team for another process, as many as it wants or as can be spared here. */
-  giveTokens(team: string, wanted: number): Parcel;
+  grantTokens(team: string, wanted: number): TokenGrant;
 }
 
 /** Serves this process's peers over HTTP/1.1. */
@@ -52,8 +52,10 @@
 
 function createService(handlers: DirectPeerHandlers) {
   return {
-    share: (request: Parameters<typeof decodeWord>[0] & { readonly vm: string }) =>
-      encodeAnswer(handlers.takeWord(request.vm, decodeWord(request))),
+    share: (request: Parameters<typeof decodeLeadershipMessage>[0] & { readonly vm: string }) =>
+      encodeLeadershipAnswer(
+        handlers.receiveLeadership(request.vm, decodeLeadershipMessage(request)),
+      ),
     askTarget: async (request: {
       readonly group: string;
       readonly target: string;
@@ -63,6 +65,6 @@
       return encodeTargetAnswer(await handlers.askTarget({ group, target, demoteRound }));
     },
     fetchScene: () => ({ snapshot: handlers.encodeScene() }),
-    takeTokens: ({ team, wanted }: TakeTokensRequest) => handlers.giveTokens(team, wanted),
+    takeTokens: ({ team, wanted }: TakeTokensRequest) => handlers.grantTokens(team, wanted),
   };
 }
--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -7,12 +7,12 @@
 const noGatewayRetryMs = 500;
 
 /** What a gateway's answer means to the session. */
-export function toEnd({ reply, isWritten }: GatewayAnswer): StatementEnd {
+export function toStatementEnd({ reply, isWritten }: GatewayAnswer): StatementEnd {
   return isWritten && reply.mark !== undefined ? { reply, written: reply.mark } : { reply };
 }
 
 /** The answer where no gateway took a statement. Nothing has run. */
-export function refuseUnplaced(
+export function refuseWithoutGateway(
   { session, ports, trace }: SessionContext,
   id: string,
   state: Reply["state"],
--- a/src/gateway/channel.ts
+++ b/src/gateway/channel.ts
@@ -4,11 +4,11 @@
 /** What the owner of a channel hears of it. */
 export interface ChannelHandlers {
   /** Bytes came: the other end lives. */
-  readonly onHear: () => void;
+  readonly onData: () => void;
   /** Takes in one message; an error says that it can't be read, and ends the channel. */
   readonly onFrame: (frame: Uint8Array) => void;
   /** Once, whoever ended it. */
-  readonly onEnd: (reason: string) => void;
+  readonly onClose: (reason: string) => void;
 }
 
 /** One connection between a node and a gateway, which carries messages behind their length. */
@@ -21,8 +21,8 @@
     private readonly handlers: ChannelHandlers,
   ) {
     socket.on("data", (chunk: Buffer) => this.take(chunk));
-    socket.on("error", (error) => this.end(error.message));
-    socket.on("close", () => this.end("the other end closed the connection"));
+    socket.on("error", (error) => this.close(error.message));
+    socket.on("close", () => this.close("the other end closed the connection"));
   }
 
   /** False once it broke or was ended. */
@@ -35,18 +35,18 @@
   }
 
   /** Ends it at once; what is on its way is lost. */
-  end(reason: string): void {
+  close(reason: string): void {
     if (this.hasEnded) return;
     this.hasEnded = true;
     this.socket.destroy();
-    this.handlers.onEnd(reason);
+    this.handlers.onClose(reason);
   }
 
   private take(chunk: Buffer): void {
-    this.handlers.onHear();
+    this.handlers.onData();
     const frames = this.reader.push(chunk);
     if (frames === "tooLong") {
-      this.end("a message is longer than allowed");
+      this.close("a message is longer than allowed");
       return;
     }
     for (const frame of frames) this.read(frame);
@@ -57,7 +57,7 @@
     try {
       this.handlers.onFrame(frame);
     } catch (error) {
-      this.end(`a message can't be read: ${String(error)}`);
+      this.close(`a message can't be read: ${String(error)}`);
     }
   }
 }
--- a/src/gateway/choose.ts
+++ b/src/gateway/choose.ts
@@ -5,7 +5,7 @@
 /** The proxies that hold a group's connections, by data centre, each with the one to ask first in front. */
 export interface GatewayPlan {
   /** Each listed proxy holds connections of its own: nothing need be forwarded. */
-  readonly isEverybody: boolean;
+  readonly isEveryProxyGateway: boolean;
   readonly byDataCentre: ReadonlyMap<string, readonly Proxy[]>;
 }
 
@@ -37,7 +37,7 @@
   proxies: readonly Proxy[],
 ): GatewayPlan {
   const fit = proxies.filter((proxy) => proxy.gateway !== undefined && proxy.isMissed !== true);
-  const isEverybody = fit.length <= smallFleet || connections >= 2 * leastConnections * fit.length;
+  const isEveryProxyGateway = fit.length <= smallFleet || connections >= 2 * leastConnections * fit.length;
   const places = new Set(targets.map((target) => target.dataCentre));
   const near = fit.filter(({ dataCentre }) => places.has(dataCentre ?? ""));
   // With nobody left beside the targets, some from elsewhere are better than none.
@@ -47,12 +47,12 @@
     const inPlace = pool.filter((proxy) => (proxy.dataCentre ?? "") === place);
     byDataCentre.set(place, orderByScore(name, inPlace).slice(0, gatewaysPerDataCentre));
   }
-  return { isEverybody, byDataCentre };
+  return { isEveryProxyGateway, byDataCentre };
 }
 
 /** Whether a proxy holds a group's connections. */
 export function isGateway(plan: GatewayPlan, vm: string): boolean {
-  return plan.isEverybody || listGateways(plan).some((proxy) => proxy.vm === vm);
+  return plan.isEveryProxyGateway || listGateways(plan).some((proxy) => proxy.vm === vm);
 }
 
 /** All gateways of a plan. */
--- a/src/gateway/codec.ts
+++ b/src/gateway/codec.ts
@@ -36,7 +36,7 @@
 }
 
 /** What a gateway needs of a session to run its work. Times are on the gateway's clock. */
-export interface ServedSession {
+export interface ForwardedSession {
   readonly session: string;
   readonly database: Database;
   readonly values: ReadonlyMap<string, string>;
@@ -99,7 +99,7 @@
 }
 
 /** Reads the session's part of a step; nothing comes of one that names no route. */
-export function decodeSession(part: SessionPart | undefined): ServedSession | undefined {
+export function decodeSession(part: SessionPart | undefined): ForwardedSession | undefined {
   const route = part === undefined ? undefined : decodeRoute(part);
   if (part === undefined || route === undefined) return undefined;
   const { session, database: name, group, leftMs, maxQueueMs, values, written, team } = part;
--- a/src/gateway/link.ts
+++ b/src/gateway/connection.ts
@@ -10,10 +10,10 @@
 import { decodeAnswer, type GatewayAnswer, type RequestStep } from "./codec.js";
 import { FrameChannel } from "./channel.js";
 import { maxFrameBytes } from "./frames.js";
-import { SilenceWatch } from "./silence.js";
+import { LivenessMonitor } from "./liveness.js";
 
 /** How a call to a gateway ended. */
-export type TripResult =
+export type ForwardResult =
   | { readonly type: "answered"; readonly answer: GatewayAnswer }
   /** Nothing has run: that process does not serve the group now. */
   | { readonly type: "turnedAway"; readonly reason: string }
@@ -32,7 +32,7 @@
 const maxCalls = 4096;
 
 interface Call {
-  readonly end: (result: TripResult) => void;
+  readonly end: (result: ForwardResult) => void;
 }
 
 /**
@@ -40,10 +40,10 @@
  * gateway's greeting: a process that is being killed may still have connections accepted for it, and what
  * was sent on one would be in doubt, though nobody was there to run it.
  */
-export class GatewayLink {
+export class GatewayConnection {
   private readonly channel: FrameChannel;
   private readonly calls = new Map<number, Call>();
-  private readonly silence: SilenceWatch;
+  private readonly silence: LivenessMonitor;
   private readonly connectTimer: NodeJS.Timeout;
   private nextCall = 1;
   private nextTransaction = 1;
@@ -56,26 +56,26 @@
     private readonly onEnd: (reason: string) => void,
   ) {
     this.channel = new FrameChannel(connect({ ...address, noDelay: true }), {
-      onHear: () => this.silence.hear(),
+      onData: () => this.silence.recordData(),
       onFrame: (frame) => this.handle(fromBinary(GatewayResponseSchema, frame)),
-      onEnd: (reason) => this.noteEnd(reason),
+      onClose: (reason) => this.noteEnd(reason),
     });
-    this.connectTimer = setTimeout(() => this.channel.end("no connection in time"), connectMs);
-    this.silence = new SilenceWatch({
-      quietMs,
-      patienceMs,
-      ask: () => this.send({ case: "ping", value: true }),
-      lose: () => this.channel.end("the gateway is silent"),
+    this.connectTimer = setTimeout(() => this.channel.close("no connection in time"), connectMs);
+    this.silence = new LivenessMonitor({
+      probeAfterMs: quietMs,
+      probeTimeoutMs: patienceMs,
+      sendProbe: () => this.send({ case: "ping", value: true }),
+      onTimeout: () => this.channel.close("the gateway is silent"),
     });
   }
 
   /** False once it broke or was closed. */
-  get isUsable(): boolean {
+  get isOpen(): boolean {
     return this.channel.isOpen;
   }
 
   /** An id for a transaction that no other on this connection has. */
-  takeTransactionId(): number {
+  allocateTransactionId(): number {
     this.nextTransaction += 1;
     return this.nextTransaction - 1;
   }
@@ -84,9 +84,9 @@
    * Sends a step and waits for its answer. Never rejects. After `timeoutMs`, or once the caller has gone,
    * the gateway is told to give it up, and whatever it answers then reaches nobody.
    */
-  call(step: RequestStep, timeoutMs: number, gone: AbortSignal): Promise<TripResult> {
-    if (!this.isUsable || this.calls.size >= maxCalls) {
-      const reason = this.isUsable ? "too much is under way" : "the connection is closed";
+  call(step: RequestStep, timeoutMs: number, gone: AbortSignal): Promise<ForwardResult> {
+    if (!this.isOpen || this.calls.size >= maxCalls) {
+      const reason = this.isOpen ? "too much is under way" : "the connection is closed";
       return Promise.resolve({ type: "broken", sent: false, reason });
     }
     const id = this.nextCall;
@@ -101,17 +101,17 @@
       };
       const onGone = () => giveUp("the caller has gone");
       const timer = setTimeout(() => giveUp("no answer in time"), Math.max(1, timeoutMs));
-      const end = (result: TripResult) => {
+      const end = (result: ForwardResult) => {
         clearTimeout(timer);
         gone.removeEventListener("abort", onGone);
         this.calls.delete(id);
-        this.silence.setNeeded(this.calls.size > 0);
+        this.silence.setAwaiting(this.calls.size > 0);
         resolve(result);
       };
       this.calls.set(id, { end });
       gone.addEventListener("abort", onGone, { once: true });
       this.write(bytes);
-      this.silence.setNeeded(true);
+      this.silence.setAwaiting(true);
     });
   }
 
@@ -127,7 +127,7 @@
 
   /** Closes the connection; what is under way ends as broken. */
   close(): void {
-    this.channel.end("closed here");
+    this.channel.close("closed here");
   }
 
   private handle({ call, outcome }: GatewayResponse): void {
--- a/src/gateway/trip.ts
+++ b/src/gateway/forward.ts
@@ -1,13 +1,13 @@
 import type { SessionContext } from "../direct/index.js";
 import type { GatewayAnswer, RequestStep } from "./codec.js";
-import type { GatewayLink, TripResult } from "./link.js";
-import type { GatewayLinks } from "./links.js";
-import type { Way, WaySource } from "./router.js";
+import type { GatewayConnection, ForwardResult } from "./connection.js";
+import type { GatewayConnections } from "./connections.js";
+import type { Destination, DestinationSource } from "./router.js";
 
 /** A gateway refuses by itself what runs out of its time; its word is waited for so long, in milliseconds. */
 const answerMarginMs = 150;
 /** Below this no answer can come: four network passes and the shortest work, in milliseconds. */
-export const leastTripMs = 10;
+export const minForwardMs = 10;
 /** Why a statement that is too long to be forwarded is refused. */
 export const tooLargeReason = "the statement and its session's values are too long together";
 /** A statement that no gateway takes is refused after this, in milliseconds: three looks of a newcomer. */
@@ -18,27 +18,27 @@
 const wayBackMs = 5;
 
 /** How much time a gateway is given for what has to be answered by `deadlineAt`. */
-export function countLeftMs({ ports }: SessionContext, deadlineAt: number): number {
+export function countRemainingMs({ ports }: SessionContext, deadlineAt: number): number {
   return deadlineAt - ports.clock.now() - wayBackMs;
 }
 
 /** Sends one step to a gateway and takes in what that tells of it. */
-export async function makeTrip(
-  links: GatewayLinks,
-  link: GatewayLink,
+export async function forwardStep(
+  links: GatewayConnections,
+  link: GatewayConnection,
   vm: string,
   context: SessionContext,
   step: RequestStep,
   leftMs: number,
-): Promise<TripResult> {
+): Promise<ForwardResult> {
   const result = await link.call(step, leftMs + answerMarginMs, context.gone);
   switch (result.type) {
     case "answered":
-      links.noteAnswer(vm);
+      links.recordAnswer(vm);
       context.trace.noteHop(toHop(vm, result.answer));
       break;
     case "turnedAway":
-      links.noteFailure(vm, result.reason);
+      links.recordFailure(vm, result.reason);
       context.trace.noteReason(`${vm}: ${result.reason}`);
       break;
     case "tooLarge":
@@ -61,11 +61,11 @@
  * know of a single gateway, which leaves. A gateway that has just been listed may use no primary until its next
  * look at the store, 0.1 s later; where the one before it leaves meanwhile, every caller was refused.
  */
-export async function tryWays<T>(
+export async function tryDestinations<T>(
   { ports: { clock }, gone }: SessionContext,
-  { listWays, onNobody }: WaySource,
+  { listDestinations: listWays, onNoneAccepted: onNobody }: DestinationSource,
   deadlineAt: number,
-  tryWay: (way: Way) => Promise<T | undefined>,
+  tryWay: (way: Destination) => Promise<T | undefined>,
 ): Promise<T | undefined> {
   const until = Math.min(deadlineAt, clock.now() + longestWaitMs);
   for (;;) {
--- a/src/gateway/health.ts
+++ b/src/gateway/health.ts
@@ -11,7 +11,10 @@
 const longestAvoidMs = 2000;
 
 /** Notes that a gateway could not be reached, fell silent or serves the group no more. */
-export function noteGatewayFailure(health: GatewayHealth | undefined, now: number): GatewayHealth {
+export function recordGatewayFailure(
+  health: GatewayHealth | undefined,
+  now: number,
+): GatewayHealth {
   // What was under way together fails together.
   if (health !== undefined && now < health.avoidUntil) return health;
   const failures = (health?.failures ?? 0) + 1;
--- a/src/gateway/index.ts
+++ b/src/gateway/index.ts
@@ -1,6 +1,6 @@
 export { type GatewayPlan } from "./choose.js";
-export { GatewayLinks } from "./links.js";
+export { GatewayConnections } from "./connections.js";
 export { GatewayRouter } from "./router.js";
 export { RoutedRunner } from "./runner.js";
-export { countMemberQuota } from "./quota.js";
+export { countListedProxyQuota } from "./quota.js";
 export { GatewayServer } from "./server.js";
--- a/src/gateway/silence.ts
+++ b/src/gateway/liveness.ts
@@ -1,13 +1,13 @@
 import { startTimer } from "../peer/patience.js";
 
 /** How silence on a connection is noticed. Times in milliseconds. */
-export interface SilenceOptions {
+export interface LivenessOptions {
   /** Nothing heard for so long, while something is awaited: the other side is asked for a sign of life. */
-  readonly quietMs: number;
+  readonly probeAfterMs: number;
   /** Without one for so long after the question the connection counts as lost. */
-  readonly patienceMs: number;
-  readonly ask: () => void;
-  readonly lose: () => void;
+  readonly probeTimeoutMs: number;
+  readonly sendProbe: () => void;
+  readonly onTimeout: () => void;
 }
 
 /**
@@ -15,21 +15,21 @@
  * without a word, or something between the two has forgotten it. What waits would do so to its deadline.
  * While nothing is awaited nothing is sent, so that idle connections cost nothing.
  */
-export class SilenceWatch {
+export class LivenessMonitor {
   private stopTimer: (() => void) | undefined;
   private hasHeard = false;
 
-  constructor(private readonly options: SilenceOptions) {}
+  constructor(private readonly options: LivenessOptions) {}
 
   /** Something came. */
-  hear(): void {
+  recordData(): void {
     this.hasHeard = true;
   }
 
   /** Whether something is awaited now. */
-  setNeeded(isNeeded: boolean): void {
+  setAwaiting(isNeeded: boolean): void {
     if (!isNeeded) this.stop();
-    else if (this.stopTimer === undefined) this.listen();
+    else if (this.stopTimer === undefined) this.waitForData();
   }
 
   stop(): void {
@@ -37,19 +37,19 @@
     this.stopTimer = undefined;
   }
 
-  private listen(): void {
+  private waitForData(): void {
     this.hasHeard = false;
-    this.stopTimer = startTimer(this.options.quietMs, () => {
-      if (this.hasHeard) this.listen();
-      else this.askForSign();
+    this.stopTimer = startTimer(this.options.probeAfterMs, () => {
+      if (this.hasHeard) this.waitForData();
+      else this.probe();
     });
   }
 
-  private askForSign(): void {
-    this.options.ask();
-    this.stopTimer = startTimer(this.options.patienceMs, () => {
-      if (this.hasHeard) this.listen();
-      else this.options.lose();
+  private probe(): void {
+    this.options.sendProbe();
+    this.stopTimer = startTimer(this.options.probeTimeoutMs, () => {
+      if (this.hasHeard) this.waitForData();
+      else this.options.onTimeout();
     });
   }
 }
--- a/src/gateway/quota.ts
+++ b/src/gateway/quota.ts
@@ -11,7 +11,7 @@
  * for seconds after a loss of power: whatever two proxies' views of who holds a group's connections, the
  * limit is kept. All others need no entry in the store, and no change of primary waits for them.
  */
-export function countMemberQuota(
+export function countListedProxyQuota(
   groups: Iterable<Pick<AnnouncedGroup, "connections">>,
   dataCentres: number,
 ): number {
--- a/src/gateway/route.ts
+++ b/src/gateway/route.ts
@@ -3,7 +3,7 @@
 import type { GatewayPlan } from "./choose.js";
 
 /** What decides which of a group's gateways a statement goes to. */
-export interface RouteQuestion {
+export interface RouteQuery {
   readonly group: string;
   readonly needsPrimary: boolean;
   /** Where the group's primary is, as far as this process knows. */
@@ -21,7 +21,7 @@
  */
 export function orderGateways(
   { byDataCentre }: GatewayPlan,
-  question: RouteQuestion,
+  question: RouteQuery,
 ): readonly Proxy[] {
   const places = [...byDataCentre.keys()];
   const ranked = places
@@ -32,13 +32,13 @@
 
 function findRank(
   place: string,
-  { needsPrimary, primaryDataCentre, dataCentre }: RouteQuestion,
+  { needsPrimary, primaryDataCentre, dataCentre }: RouteQuery,
 ): number {
   if (needsPrimary && place === primaryDataCentre) return 0;
   if (place === dataCentre) return 1;
   return place === primaryDataCentre ? 3 : 2;
 }
 
-function drawPlace(place: string, { group, vm }: RouteQuestion): number {
+function drawPlace(place: string, { group, vm }: RouteQuery): number {
   return hashPair(`${group} ${place}`, vm);
 }
--- a/src/gateway/router.ts
+++ b/src/gateway/router.ts
@@ -4,12 +4,13 @@
 import { orderGateways } from "./route.js";
 
 /** Where a statement may be run: over this process's own connections, or at a gateway. */
-export type Way = { readonly type: "here" } | { readonly type: "gateway"; readonly gateway: Proxy };
+export type Destination =
+  { readonly type: "here" } | { readonly type: "gateway"; readonly gateway: Proxy };
 
 /** Where a statement may go, and whom to tell that nobody there took it. */
-export interface WaySource {
-  readonly listWays: () => readonly Way[];
-  readonly onNobody: () => void;
+export interface DestinationSource {
+  readonly listDestinations: () => readonly Destination[];
+  readonly onNoneAccepted: () => void;
 }
 
 /** What the choice of ways needs to know. */
@@ -23,14 +24,14 @@
   readonly findLeader: (group: string) => PrimaryState;
   /** Whether this process is listed itself, and may hold connections. */
   readonly isListed: () => boolean;
-  readonly isPassedOver: (vm: string) => boolean;
+  readonly isAvoided: (vm: string) => boolean;
   /** A statement was taken by nobody that this process knows of. */
-  readonly onNobody: () => void;
+  readonly onNoneAccepted: () => void;
 }
 
 /** Gateways that one statement is forwarded to at most, one after the other. */
 const maxWays = 3;
-const nobody: GatewayPlan = { isEverybody: false, byDataCentre: new Map() };
+const nobody: GatewayPlan = { isEveryProxyGateway: false, byDataCentre: new Map() };
 
 interface KnownPlan {
   readonly proxies: readonly Proxy[];
@@ -45,11 +46,11 @@
   constructor(private readonly ports: RouterPorts) {}
 
   /** The ways that a statement may take, the best first; none where no proxy is listed. */
-  listWays(group: string, needsPrimary: boolean): readonly Way[] {
-    const { vm, dataCentre, isPassedOver } = this.ports;
+  listDestinations(group: string, needsPrimary: boolean): readonly Destination[] {
+    const { vm, dataCentre, isAvoided: isPassedOver } = this.ports;
     const plan = this.findPlan(group);
     const canServe = this.ports.isListed() && !isPassedOver(vm);
-    if (plan.isEverybody && canServe) return [here];
+    if (plan.isEveryProxyGateway && canServe) return [here];
     const primaryDataCentre = this.findPrimaryPlace(group);
     const question = { group, needsPrimary, primaryDataCentre, vm, dataCentre };
     const ordered = orderGateways(plan, question);
@@ -61,15 +62,18 @@
   }
 
   /** The ways of one statement, listed anew with each round of tries. */
-  openWays(group: string, needsPrimary: boolean): WaySource {
-    const { onNobody } = this.ports;
-    return { listWays: () => this.listWays(group, needsPrimary), onNobody };
+  createDestinationSource(group: string, needsPrimary: boolean): DestinationSource {
+    const { onNoneAccepted: onNobody } = this.ports;
+    return {
+      listDestinations: () => this.listDestinations(group, needsPrimary),
+      onNoneAccepted: onNobody,
+    };
   }
 
   /** The proxies that hold a group's connections. */
-  listHolders(group: string): readonly Proxy[] {
+  listGroupGateways(group: string): readonly Proxy[] {
     const plan = this.findPlan(group);
-    return plan.isEverybody ? this.ports.listProxies() : listGateways(plan);
+    return plan.isEveryProxyGateway ? this.ports.listProxies() : listGateways(plan);
   }
 
   /** Whether this process holds a group's connections. */
@@ -81,13 +85,13 @@
   findHolding(group: string, dataCentre: string): Holding {
     if (!this.isGateway(group)) return { type: "none" };
     const plan = this.findPlan(group);
-    const proxies = Math.max(1, this.listHolders(group).length);
-    if (plan.isEverybody) return { type: "equal", proxies };
+    const proxies = Math.max(1, this.listGroupGateways(group).length);
+    if (plan.isEveryProxyGateway) return { type: "equal", proxies };
     const first = plan.byDataCentre.get(dataCentre)?.[0];
     return { type: "chosen", proxies, isFirst: first?.vm === this.ports.vm };
   }
 
-  private toWay(gateway: Proxy): Way {
+  private toWay(gateway: Proxy): Destination {
     const isHere = gateway.vm === this.ports.vm && this.ports.isListed();
     return isHere ? here : { type: "gateway", gateway };
   }
@@ -112,4 +116,4 @@
   }
 }
 
-const here: Way = { type: "here" };
+const here: Destination = { type: "here" };
--- a/src/gateway/runner.ts
+++ b/src/gateway/runner.ts
@@ -7,30 +7,39 @@
 } from "../direct/index.js";
 import type { Effect } from "../model/index.js";
 import { failLocally, findEffect, type Work } from "../statement/index.js";
-import { refuseUnplaced, toEnd } from "./answers.js";
+import { refuseWithoutGateway, toStatementEnd } from "./answers.js";
 import { encodeRun, noTransaction } from "./codec.js";
-import type { TripResult } from "./link.js";
-import type { GatewayLinks } from "./links.js";
-import type { GatewayRouter, Way } from "./router.js";
+import type { ForwardResult } from "./connection.js";
+import type { GatewayConnections } from "./connections.js";
+import type { GatewayRouter, Destination } from "./router.js";
 import { RoutedTransaction } from "./transaction.js";
-import { countLeftMs, leastTripMs, makeTrip, tooLargeReason, tryWays } from "./trip.js";
+import {
+  countRemainingMs,
+  minForwardMs,
+  forwardStep,
+  tooLargeReason,
+  tryDestinations,
+} from "./forward.js";
 
 /** Runs work here where this process holds the group's connections, else at one of its gateways. */
 export class RoutedRunner implements WorkRunner {
   constructor(
     private readonly router: GatewayRouter,
-    private readonly links: GatewayLinks,
+    private readonly links: GatewayConnections,
   ) {}
 
   async runSingle(context: SessionContext, work: Work, arrivedAt: number): Promise<StatementEnd> {
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    const ways = this.router.openWays(context.group.name, needsPrimary(context, work));
-    const end = await tryWays(context, ways, deadlineAt, async (way) =>
+    const ways = this.router.createDestinationSource(
+      context.group.name,
+      needsPrimary(context, work),
+    );
+    const end = await tryDestinations(context, ways, deadlineAt, async (way) =>
       way.type === "here"
         ? directRunner.runSingle(context, work, arrivedAt)
         : this.tryAt(way, context, work, deadlineAt),
     );
-    return end ?? { reply: refuseUnplaced(context, work.id, "idle") };
+    return end ?? { reply: refuseWithoutGateway(context, work.id, "idle") };
   }
 
   openTransaction(isReadOnly: boolean): OpenTransaction {
@@ -39,17 +48,17 @@
 
   /** One trip; gives the answer, or nothing when another gateway may be asked. */
   private async tryAt(
-    { gateway }: Extract<Way, { type: "gateway" }>,
+    { gateway }: Extract<Destination, { type: "gateway" }>,
     context: SessionContext,
     work: Work,
     deadlineAt: number,
   ): Promise<StatementEnd | undefined> {
-    const leftMs = countLeftMs(context, deadlineAt);
+    const leftMs = countRemainingMs(context, deadlineAt);
     const link = this.links.open(gateway);
-    if (link === undefined || leftMs < leastTripMs || context.gone.aborted) return undefined;
+    if (link === undefined || leftMs < minForwardMs || context.gone.aborted) return undefined;
     const step = encodeRun(context, work, leftMs, noTransaction);
-    const result = await makeTrip(this.links, link, gateway.vm, context, step, leftMs);
-    return judgeTrip(result, findEffect(work));
+    const result = await forwardStep(this.links, link, gateway.vm, context, step, leftMs);
+    return interpretResult(result, findEffect(work));
   }
 }
 
@@ -62,10 +71,10 @@
  * What follows from a trip; nothing where another gateway may be asked. A write that left and was not
  * answered may have run, and must never be sent again; a read has no effect to repeat.
  */
-export function judgeTrip(result: TripResult, effect: Effect): StatementEnd | undefined {
+export function interpretResult(result: ForwardResult, effect: Effect): StatementEnd | undefined {
   switch (result.type) {
     case "answered":
-      return toEnd(result.answer);
+      return toStatementEnd(result.answer);
     case "turnedAway":
       return undefined;
     case "tooLarge":
--- a/src/gateway/served.ts
+++ b/src/gateway/served.ts
@@ -25,10 +25,10 @@
 import { failLocally, type Reply } from "../statement/index.js";
 import { decodeSession, decodeWork, encodeAnswer, type TransactionPart } from "./codec.js";
 import { FrameChannel } from "./channel.js";
-import { SilenceWatch } from "./silence.js";
+import { LivenessMonitor } from "./liveness.js";
 
 /** What serving other nodes needs. */
-export interface ServedPorts {
+export interface ServedConnectionPorts {
   readonly direct: DirectPorts;
   readonly groups: GroupDirectory;
   /** Why this process does not serve a group now; absent while it does. */
@@ -57,39 +57,39 @@
 }
 
 /** The gateway's end of one connection: runs what a node forwards. */
-export class ServedLink {
+export class ServedConnection {
   private readonly calls = new Map<number, AbortController>();
   private readonly transactions = new Map<number, ServedTransaction>();
   private readonly channel: FrameChannel;
-  private readonly silence: SilenceWatch;
+  private readonly silence: LivenessMonitor;
 
   constructor(
     socket: Socket,
-    private readonly ports: ServedPorts,
+    private readonly ports: ServedConnectionPorts,
     private readonly onEnd: () => void,
   ) {
     this.channel = new FrameChannel(socket, {
-      onHear: () => this.silence.hear(),
+      onData: () => this.silence.recordData(),
       onFrame: (frame) => this.handle(fromBinary(GatewayRequestSchema, frame)),
-      onEnd: (reason) => this.noteEnd(reason),
+      onClose: (reason) => this.noteEnd(reason),
     });
-    this.silence = new SilenceWatch({
-      quietMs,
-      patienceMs,
-      ask: () => this.send(0, { case: "ping", value: true }),
-      lose: () => this.channel.end("the node is silent"),
+    this.silence = new LivenessMonitor({
+      probeAfterMs: quietMs,
+      probeTimeoutMs: patienceMs,
+      sendProbe: () => this.send(0, { case: "ping", value: true }),
+      onTimeout: () => this.channel.close("the node is silent"),
     });
     // The greeting: from now on what the node sends may be run.
     this.send(0, { case: "pong", value: true });
   }
 
   /** What is under way for the node. */
-  get busyCount(): number {
+  get activeCount(): number {
     return this.calls.size + this.transactions.size;
   }
 
   /** Rolls back the transactions that rest between two statements: their time to end is over. */
-  endTransactions(): void {
+  rollBackIdleTransactions(): void {
     for (const [id, { body }] of this.transactions) {
       if (!body.isRunning) this.endTransaction(id);
     }
@@ -97,7 +97,7 @@
 
   /** Ends the connection, with all that is under way on it. */
   close(): void {
-    this.channel.end("closed here");
+    this.channel.close("closed here");
   }
 
   private handle({ call, step }: GatewayRequest): void {
@@ -127,7 +127,7 @@
   private serve(run: Promise<void>): void {
     run.catch((error: unknown) => {
       this.ports.direct.logger.write(gatewayEvents.servedBroken, { reason: String(error) });
-      this.channel.end("a statement's run has failed");
+      this.channel.close("a statement's run has failed");
     });
   }
 
@@ -284,7 +284,7 @@
 
   /** Of an open transaction's node something must come: its end would free the connection. */
   private noteAwaited(): void {
-    this.silence.setNeeded(this.channel.isOpen && this.transactions.size > 0);
+    this.silence.setAwaiting(this.channel.isOpen && this.transactions.size > 0);
   }
 
   private refuse(call: number, reason: string): void {
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { Address, Disposable } from "../model/index.js";
-import { ServedLink, type ServedPorts } from "./served.js";
+import { ServedConnection, type ServedConnectionPorts } from "./served.js";
 
 /** Waiting connections: after a loss of power all nodes connect within a second. */
 const backlog = 1024;
@@ -8,11 +8,11 @@
 /** Serves other nodes' statements over this process's connections to targets. */
 export class GatewayServer implements Disposable {
   private readonly server: Server;
-  private readonly links = new Set<ServedLink>();
+  private readonly links = new Set<ServedConnection>();
 
   constructor(
     private readonly address: Address,
-    private readonly ports: ServedPorts,
+    private readonly ports: ServedConnectionPorts,
   ) {
     this.server = createServer({ noDelay: true }, (socket) => this.accept(socket));
   }
@@ -26,13 +26,13 @@
   }
 
   /** Statements and transactions that are under way for other nodes. */
-  countBusy(): number {
-    return [...this.links].reduce((sum, link) => sum + link.busyCount, 0);
+  countActive(): number {
+    return [...this.links].reduce((sum, link) => sum + link.activeCount, 0);
   }
 
   /** Rolls back open transactions, which have had their time. */
-  endTransactions(): void {
-    for (const link of this.links) link.endTransactions();
+  rollBackIdleTransactions(): void {
+    for (const link of this.links) link.rollBackIdleTransactions();
   }
 
   dispose(): void {
@@ -41,7 +41,9 @@
   }
 
   private accept(socket: Socket): void {
-    const link: ServedLink = new ServedLink(socket, this.ports, () => this.links.delete(link));
+    const link: ServedConnection = new ServedConnection(socket, this.ports, () =>
+      this.links.delete(link),
+    );
     this.links.add(link);
   }
 }
--- a/src/gateway/transaction.ts
+++ b/src/gateway/transaction.ts
@@ -12,12 +12,18 @@
   type SessionState,
   type Work,
 } from "../statement/index.js";
-import { refuseUnplaced, toEnd } from "./answers.js";
+import { refuseWithoutGateway, toStatementEnd } from "./answers.js";
 import { encodeCommit, encodeRun, type RequestStep, type TransactionPart } from "./codec.js";
-import type { GatewayLink, TripResult } from "./link.js";
-import type { GatewayLinks } from "./links.js";
-import type { GatewayRouter, Way } from "./router.js";
-import { countLeftMs, leastTripMs, makeTrip, tooLargeReason, tryWays } from "./trip.js";
+import type { GatewayConnection, ForwardResult } from "./connection.js";
+import type { GatewayConnections } from "./connections.js";
+import type { GatewayRouter, Destination } from "./router.js";
+import {
+  countRemainingMs,
+  minForwardMs,
+  forwardStep,
+  tooLargeReason,
+  tryDestinations,
+} from "./forward.js";
 
 /** Where a transaction is. */
 type Place =
@@ -26,7 +32,7 @@
   | {
       readonly type: "gateway";
       readonly vm: string;
-      readonly link: GatewayLink;
+      readonly link: GatewayConnection;
       readonly id: number;
     }
   /** It failed or ended; nothing is held anywhere. */
@@ -48,7 +54,7 @@
   constructor(
     private readonly isReadOnly: boolean,
     private readonly router: GatewayRouter,
-    private readonly links: GatewayLinks,
+    private readonly links: GatewayConnections,
   ) {}
 
   get state(): SessionState {
@@ -107,7 +113,7 @@
     if (result === "here") return this.runHere(context, work, arrivedAt);
     if (result === undefined) {
       this.place = { type: "over" };
-      return refuseUnplaced(context, work.id, "failed");
+      return refuseWithoutGateway(context, work.id, "failed");
     }
     return this.takeResult(context, work, result);
   }
@@ -117,7 +123,7 @@
     return this.place.body.run(context, work, arrivedAt);
   }
 
-  private takeResult(context: SessionContext, work: Work, result: TripResult): Reply {
+  private takeResult(context: SessionContext, work: Work, result: ForwardResult): Reply {
     if (result.type !== "answered") return this.abort(context, work.id, describeFailure(result));
     const { reply } = result.answer;
     if (reply.state !== "transaction") this.place = { type: "over" };
@@ -142,13 +148,17 @@
       if (this.place.type !== "here") throw new Error("a transaction that runs here has its body");
       return this.place.body.commit(context, id, text, arrivedAt);
     }
-    if (result === undefined) return { reply: refuseUnplaced(context, id, "idle") };
+    if (result === undefined) return { reply: refuseWithoutGateway(context, id, "idle") };
     return this.takeCommitResult(context, id, result);
   }
 
   /** A transaction that wrote nothing leaves nothing behind, whether its commit ran or not. */
-  private takeCommitResult(context: SessionContext, id: string, result: TripResult): StatementEnd {
-    if (result.type === "answered") return toEnd(result.answer);
+  private takeCommitResult(
+    context: SessionContext,
+    id: string,
+    result: ForwardResult,
+  ): StatementEnd {
+    if (result.type === "answered") return toStatementEnd(result.answer);
     const reason = describeFailure(result);
     const maySent = result.type === "broken" && result.sent && this.hasWritten;
     if (!maySent) return { reply: { ...this.abort(context, id, reason), state: "idle" } };
@@ -161,7 +171,7 @@
     context: SessionContext,
     build: BuildStep,
     deadlineAt: number,
-  ): Promise<TripResult | "here" | undefined> {
+  ): Promise<ForwardResult | "here" | undefined> {
     const { place, isReadOnly } = this;
     switch (place.type) {
       case "none":
@@ -170,9 +180,9 @@
         return "here";
       case "gateway": {
         const { vm, link, id: transaction } = place;
-        const leftMs = Math.max(1, countLeftMs(context, deadlineAt));
+        const leftMs = Math.max(1, countRemainingMs(context, deadlineAt));
         const step = build(leftMs, { transaction, opens: false, isReadOnly });
-        return makeTrip(this.links, link, vm, context, step, leftMs);
+        return forwardStep(this.links, link, vm, context, step, leftMs);
       }
       case "over":
         return undefined;
@@ -184,10 +194,10 @@
     context: SessionContext,
     build: BuildStep,
     deadlineAt: number,
-  ): Promise<TripResult | "here" | undefined> {
+  ): Promise<ForwardResult | "here" | undefined> {
     const needsPrimary = !this.isReadOnly || context.database.action.route.type === "primary";
-    const ways = this.router.openWays(context.group.name, needsPrimary);
-    return tryWays<TripResult | "here">(context, ways, deadlineAt, async (way) => {
+    const ways = this.router.createDestinationSource(context.group.name, needsPrimary);
+    return tryDestinations<ForwardResult | "here">(context, ways, deadlineAt, async (way) => {
       if (way.type === "gateway") return this.openAt(way, context, build, deadlineAt);
       this.place = { type: "here", body: directRunner.openTransaction(this.isReadOnly) };
       return "here";
@@ -199,19 +209,19 @@
    * leaves behind is rolled back, so that another gateway may be tried each time.
    */
   private async openAt(
-    { gateway }: Extract<Way, { type: "gateway" }>,
+    { gateway }: Extract<Destination, { type: "gateway" }>,
     context: SessionContext,
     build: BuildStep,
     deadlineAt: number,
-  ): Promise<TripResult | undefined> {
-    const leftMs = countLeftMs(context, deadlineAt);
+  ): Promise<ForwardResult | undefined> {
+    const leftMs = countRemainingMs(context, deadlineAt);
     const link = this.links.open(gateway);
-    if (link === undefined || leftMs < leastTripMs || context.gone.aborted) return undefined;
-    const transaction = link.takeTransactionId();
+    if (link === undefined || leftMs < minForwardMs || context.gone.aborted) return undefined;
+    const transaction = link.allocateTransactionId();
     const { vm } = gateway;
     this.place = { type: "gateway", vm, link, id: transaction };
     const step = build(leftMs, { transaction, opens: true, isReadOnly: this.isReadOnly });
-    const result = await makeTrip(this.links, link, vm, context, step, leftMs);
+    const result = await forwardStep(this.links, link, vm, context, step, leftMs);
     if (result.type === "answered" || result.type === "tooLarge") return result;
     link.send({ case: "rollback", value: transaction });
     return undefined;
@@ -227,6 +237,6 @@
   }
 }
 
-function describeFailure(result: Exclude<TripResult, { type: "answered" }>): string {
+function describeFailure(result: Exclude<ForwardResult, { type: "answered" }>): string {
   return result.type === "tooLarge" ? tooLargeReason : result.reason;
 }
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -1,7 +1,7 @@
 import type { Scene } from "../direct/index.js";
 import type { DirectPeerClient } from "../directpeer/index.js";
 import type { RouteTable } from "../feed/index.js";
-import { countMemberQuota } from "../gateway/index.js";
+import { countListedProxyQuota } from "../gateway/index.js";
 import type { LeadershipAnswer, LeadershipKeeper, Proxy } from "../leadership/index.js";
 import { leadershipEvents } from "../log/events/leadership.js";
 import { nodeEvents } from "../log/events/node.js";
@@ -204,7 +204,7 @@
   private isRegistrationDue(): boolean {
     if (!this.isInformed) return false;
     const groups = this.scene.groups.values();
-    const quota = countMemberQuota(groups, this.ports.settings.dataCentres);
+    const quota = countListedProxyQuota(groups, this.ports.settings.dataCentres);
     return this.members.isRegistrationDue(quota);
   }
 
--- a/src/node/forwarding.ts
+++ b/src/node/forwarding.ts
@@ -6,7 +6,12 @@
   WorkRunner,
 } from "../direct/index.js";
 import { directRunner, type AnnouncedGroup } from "../direct/index.js";
-import { GatewayLinks, GatewayRouter, GatewayServer, RoutedRunner } from "../gateway/index.js";
+import {
+  GatewayConnections,
+  GatewayRouter,
+  GatewayServer,
+  RoutedRunner,
+} from "../gateway/index.js";
 import type { Proxy } from "../leadership/index.js";
 import type { Logger } from "../log/index.js";
 import { DisposableStore, type Clock, type Disposable } from "../model/index.js";
@@ -32,7 +37,7 @@
 /** A node's part in forwarding statements: to gateways, and as one for other nodes. */
 export class Forwarding implements Disposable {
   private readonly owned = new DisposableStore();
-  private readonly links: GatewayLinks;
+  private readonly links: GatewayConnections;
   private readonly router: GatewayRouter;
   private server: GatewayServer | undefined;
 
@@ -40,7 +45,7 @@
     const { settings, clock, logger, listProxies, findGroup, findLeader, isListed } = ports;
     const { onNobody } = ports;
     const { vm, dataCentre } = settings;
-    this.links = this.owned.add(new GatewayLinks({ clock, logger }));
+    this.links = this.owned.add(new GatewayConnections({ clock, logger }));
     this.router = new GatewayRouter({
       vm,
       dataCentre,
@@ -48,9 +53,9 @@
       findGroup,
       findLeader,
       isListed,
-      onNobody,
-      isPassedOver: (name) =>
-        name === vm ? this.findRefusal() !== undefined : this.links.isPassedOver(name),
+      onNoneAccepted: onNobody,
+      isAvoided: (name) =>
+        name === vm ? this.findRefusal() !== undefined : this.links.isAvoided(name),
     });
   }
 
@@ -80,12 +85,12 @@
 
   /** Statements and transactions that are under way for other nodes. */
   countBusy(): number {
-    return this.server?.countBusy() ?? 0;
+    return this.server?.countActive() ?? 0;
   }
 
   /** Rolls back other nodes' open transactions, which have had their time. */
   endTransactions(): void {
-    this.server?.endTransactions();
+    this.server?.rollBackIdleTransactions();
   }
 
   /** What this node holds of the connections to a group's targets in one data centre. */
@@ -96,7 +101,7 @@
 
   /** The proxies that hold a group's connections. */
   listHolders(group: string): readonly Proxy[] {
-    return this.isOn ? this.router.listHolders(group) : this.ports.listProxies();
+    return this.isOn ? this.router.listGroupGateways(group) : this.ports.listProxies();
   }
 
   /** The groups whose primaries this node looks after. */
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -287,10 +287,10 @@
     const { peers } = this.options.settings;
     if (peers === undefined) return;
     const server = new DirectPeerServer(peers, {
-      takeWord: (from, word) => this.takeWord(from, word),
+      receiveLeadership: (from, word) => this.takeWord(from, word),
       askTarget: (question) => this.questioner.ask(question, peerAskMs),
       encodeScene: () => this.follower.encodeScene(),
-      giveTokens: (team, wanted) => this.rates.give(team, wanted),
+      grantTokens: (team, wanted) => this.rates.give(team, wanted),
     });
     await this.owned.add(server).listen();
   }
--- a/src/node/rates.ts
+++ b/src/node/rates.ts
@@ -4,12 +4,12 @@
 import type { Logger } from "../log/index.js";
 import type { Clock, Disposable, Random } from "../model/index.js";
 import {
-  knownMs,
-  RateKeeper,
-  ShareHistory,
-  type Parcel,
-  type RateGate,
-  type Sharer,
+  maxListingAgeMs,
+  TokenRateLimiter,
+  RateShares,
+  type TokenGrant,
+  type RateLimiter,
+  type WeightedProxy,
 } from "../rates/index.js";
 import type { Members } from "./members.js";
 import type { NodeSettings } from "./settings.js";
@@ -37,8 +37,8 @@
 
 /** A node's part in keeping teams to their rates: its share of them, and tokens to and from its peers. */
 export class NodeRates implements Disposable {
-  private readonly rateKeeper: RateKeeper;
-  private readonly history: ShareHistory;
+  private readonly rateKeeper: TokenRateLimiter;
+  private readonly history: RateShares;
   private listed: readonly Proxy[] = [];
   private seenRoster: TeamRoster | undefined;
   private couldMake = false;
@@ -49,21 +49,21 @@
 
   constructor(private readonly ports: NodeRatesPorts) {
     const { settings, keeper, clock, random, logger, scene } = ports;
-    this.history = new ShareHistory(settings.vm);
-    this.rateKeeper = new RateKeeper({
+    this.history = new RateShares(settings.vm);
+    this.rateKeeper = new TokenRateLimiter({
       clock,
       random,
       logger,
       bounds: settings.rateBounds,
       findTeam: (name) => scene().roster?.findByName(name),
       findShare: (team, makers) => this.findShare(team, makers),
-      listMakers: (team, makers) => this.listMakers(team, makers),
-      ask: (peer, team, wanted) => this.ask(peer, team, wanted),
+      listIssuers: (team, makers) => this.listMakers(team, makers),
+      requestTokens: (peer, team, wanted) => this.ask(peer, team, wanted),
       hasStalledSince: (time) => keeper.hasStalledSince(time),
     });
   }
 
-  get gate(): RateGate {
+  get gate(): RateLimiter {
     return this.rateKeeper;
   }
 
@@ -74,7 +74,7 @@
     if (roster?.hasRates !== true) return;
     const hasListing = this.noteListed(members().list());
     this.noteOwnEntry();
-    const hasSettled = this.history.settle(clock.now());
+    const hasSettled = this.history.refresh(clock.now());
     const canMake = this.canMake();
     const hasTurned = canMake !== this.couldMake || roster !== this.seenRoster;
     this.couldMake = canMake;
@@ -89,13 +89,13 @@
   }
 
   /** Gives tokens of a team to a peer. */
-  give(team: string, wanted: number): Parcel {
-    return this.rateKeeper.give(team, wanted);
+  give(team: string, wanted: number): TokenGrant {
+    return this.rateKeeper.grantTokens(team, wanted);
   }
 
   /** Drops what is held: the process stood still for a time that its clock does not show. */
   noteStall(): void {
-    this.rateKeeper.clear();
+    this.rateKeeper.dropTokens();
   }
 
   dispose(): void {
@@ -105,7 +105,7 @@
   private noteListed(proxies: readonly Proxy[]): boolean {
     if (proxies === this.listed) return false;
     this.listed = proxies;
-    this.history.note(proxies.map(toSharer), this.ports.clock.now());
+    this.history.updateProxies(proxies.map(toSharer), this.ports.clock.now());
     return true;
   }
 
@@ -129,18 +129,18 @@
     const { knownAt } = this;
     if (this.isStopped || knownAt === undefined || keeper.hasStalledSince(knownAt)) return false;
     const isListed = this.listed.some(({ vm }) => vm === settings.vm);
-    return isListed && clock.now() - knownAt < knownMs;
+    return isListed && clock.now() - knownAt < maxListingAgeMs;
   }
 
   /** Those that answered lately, and not this one. */
   private listMakers(team: string, makers: number): readonly string[] {
     const now = this.ports.clock.now();
     const { vm: own } = this.ports.settings;
-    const known = this.history.listMakers(team, makers);
+    const known = this.history.listIssuers(team, makers);
     return known.filter((vm) => vm !== own && now >= (this.passedOverUntil.get(vm) ?? 0));
   }
 
-  private async ask(vm: string, team: string, wanted: number): Promise<Parcel | undefined> {
+  private async ask(vm: string, team: string, wanted: number): Promise<TokenGrant | undefined> {
     const { peers, members, clock } = this.ports;
     const proxy = members()
       .list()
@@ -153,6 +153,6 @@
 }
 
 /** A strong machine is a gateway of many groups, and most statements are sent from there. */
-function toSharer({ vm, power }: Proxy): Sharer {
+function toSharer({ vm, power }: Proxy): WeightedProxy {
   return { vm, weight: Math.max(leastPower, power ?? 0) ** 2 };
 }
--- a/src/rates/index.ts
+++ b/src/rates/index.ts
@@ -1,5 +1,10 @@
-export { openGate, type RateClaim, type RateGate, type RateReservation } from "./gate.js";
-export { RateKeeper, type RatePorts } from "./keeper.js";
-export { type RateBounds, strictBounds, type TokenMint, toTokenMint } from "./limits.js";
-export { type Parcel, TokenPurse } from "./purse.js";
-export { chooseMakers, knownMs, ShareHistory, type Sharer } from "./shares.js";
+export {
+  unlimitedRateLimiter,
+  type RateClaim,
+  type RateLimiter,
+  type RateReservation,
+} from "./limiter.js";
+export { TokenRateLimiter, type RateLimiterPorts } from "./token-limiter.js";
+export { type RateBounds, strictBounds, type TokenRate, toTokenRate } from "./limits.js";
+export { type TokenGrant, TokenPool } from "./pool.js";
+export { chooseIssuers, maxListingAgeMs, RateShares, type WeightedProxy } from "./shares.js";
--- a/src/rates/gate.ts
+++ b/src/rates/limiter.ts
@@ -6,11 +6,11 @@
  */
 export interface RateClaim {
   /** Right before a statement is sent; false where the claim has lapsed, and nothing may be sent. */
-  use(): boolean;
+  consume(): boolean;
   /** What was sent has certainly not run: it does not count, and may be sent again. */
   noteNotRun(): void;
   /** Gives up what was not used. */
-  end(): void;
+  release(): void;
 }
 
 /** What came of asking whether a team may begin one more operation. */
@@ -19,23 +19,23 @@
   | { readonly type: "refused"; readonly reason: string; readonly retryAfterMs: number };
 
 /** Decides whether a team may begin one more operation. */
-export interface RateGate {
+export interface RateLimiter {
   /** Never rejects. `deadlineAt` is on the process's clock, in milliseconds. */
   reserve(
     team: Team | undefined,
     deadlineAt: number,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): RateReservation | Promise<RateReservation>;
 }
 
 const unboundClaim: RateClaim = {
-  use: () => true,
+  consume: () => true,
   noteNotRun: () => undefined,
-  end: () => undefined,
+  release: () => undefined,
 };
 
 /** For a team without a rate. */
-export const unbound: RateReservation = { type: "granted", claim: unboundClaim };
+export const unlimitedReservation: RateReservation = { type: "granted", claim: unboundClaim };
 
 /** Bounds nobody. */
-export const openGate: RateGate = { reserve: () => unbound };
+export const unlimitedRateLimiter: RateLimiter = { reserve: () => unlimitedReservation };
--- a/src/rates/limits.ts
+++ b/src/rates/limits.ts
@@ -14,7 +14,7 @@
 export const strictBounds: RateBounds = { windowMs: 1000, overage: 0, slack: 0 };
 
 /** How a team's tokens are made. */
-export interface TokenMint {
+export interface TokenRate {
   /** Of all proxies together. */
   readonly perSecond: number;
   /** How long a token may be used after it was made, in milliseconds. */
@@ -33,7 +33,7 @@
  * Turns a rate into tokens. What runs in a window was made in it or in one life before, at most
  * `rate x (window + life)`; the life is what the bound leaves beyond the window.
  */
-export function toTokenMint({ perSecond, burst }: TeamRate, bounds: RateBounds): TokenMint {
+export function toTokenRate({ perSecond, burst }: TeamRate, bounds: RateBounds): TokenRate {
   if (perSecond === 0) return { perSecond, lifeMs: 0 };
   const inWindow = perSecond * (bounds.windowMs / 1000);
   const bound = (inWindow + burst) * (1 + bounds.overage) + bounds.slack;
--- a/src/rates/purse.ts
+++ b/src/rates/pool.ts
@@ -1,4 +1,4 @@
-import type { TokenMint } from "./limits.js";
+import type { TokenRate } from "./limits.js";
 
 /** Batches that a life is divided into: tokens lapse by a sixteenth of their life too early on average. */
 const batchesPerLife = 8;
@@ -12,14 +12,14 @@
 }
 
 /** Tokens on their way to another process. */
-export interface Parcel {
+export interface TokenGrant {
   readonly tokens: number;
   /** How long they may be used from now on, in milliseconds. */
   readonly lifeMs: number;
 }
 
 /** One team's tokens in this process, in parts too: small shares make a whole one together. */
-export class TokenPurse {
+export class TokenPool {
   /** The one that lapses first in front. */
   private batches: Batch[] = [];
 
@@ -27,7 +27,7 @@
   constructor(private madeTo: number) {}
 
   /** Makes what is due until `now` at a share of the team's rate. */
-  make({ perSecond, lifeMs }: TokenMint, share: number, now: number): void {
+  issue({ perSecond, lifeMs }: TokenRate, share: number, now: number): void {
     let from = Math.max(this.madeTo, now - lifeMs);
     this.madeTo = now;
     this.dropLapsed(now);
@@ -37,7 +37,7 @@
       const begunAt = Math.floor(from / batchMs) * batchMs;
       const to = Math.min(now, begunAt + batchMs);
       // Lapses as if all of it were made at its beginning.
-      if (to > from) this.put((to - from) * perMs, begunAt + lifeMs);
+      if (to > from) this.add((to - from) * perMs, begunAt + lifeMs);
       from = Math.max(to, from + roundingError);
     }
   }
@@ -62,7 +62,7 @@
   }
 
   /** Puts a token back, or some that came from elsewhere. */
-  put(tokens: number, until: number): void {
+  add(tokens: number, until: number): void {
     const same = this.batches.find((batch) => batch.until === until);
     if (same !== undefined) {
       same.tokens += tokens;
@@ -73,7 +73,7 @@
   }
 
   /** Gives up to so many tokens away, those that lapse last. */
-  give(most: number, now: number): Parcel {
+  withdraw(most: number, now: number): TokenGrant {
     let missing = Math.min(most, this.count(now));
     let tokens = 0;
     let until = Infinity;
--- a/src/rates/shares.ts
+++ b/src/rates/shares.ts
@@ -4,7 +4,7 @@
  * How long a proxy makes tokens after it last knew that it is listed and nobody has missed it, in milliseconds.
  * An entry that is marked is removed 10 s later at the soonest, and its part is taken over only then.
  */
-export const knownMs = 8000;
+export const maxListingAgeMs = 8000;
 /** From when on a proxy that is new in the list counts for the others, in milliseconds. */
 const countedFromMs = 8000;
 /**
@@ -24,7 +24,7 @@
 const hashRange = 2 ** 32;
 
 /** How many proxies make a team's tokens, of which so many are alive at a time. */
-export function countMakers(aliveTokens: number): number {
+export function countIssuers(aliveTokens: number): number {
   return Math.max(leastMakers, Math.floor(aliveTokens / tokensPerMaker));
 }
 
@@ -32,7 +32,7 @@
  * The proxies that make a team's tokens, by weighted rendezvous hashing: most where most statements are sent
  * from. With all alike each proxy would have to ask others several times as often.
  */
-export function chooseMakers(
+export function chooseIssuers(
   team: string,
   count: number,
   weights: ReadonlyMap<string, number>,
@@ -49,7 +49,7 @@
 }
 
 /** A listed proxy as the shares need it. */
-export interface Sharer {
+export interface WeightedProxy {
   readonly vm: string;
   /** Its part of what all make; does not change while it is listed. */
   readonly weight: number;
@@ -68,7 +68,7 @@
  * Whoever takes itself off the list has stopped before, and the entry of one that was lost is removed only when
  * it would have stopped by itself.
  */
-export class ShareHistory {
+export class RateShares {
   private sights: ReadonlyMap<string, Sight> | undefined;
   private counted: ReadonlyMap<string, number> = new Map();
   private readonly makers = new Map<string, readonly string[]>();
@@ -76,7 +76,7 @@
   constructor(private readonly vm: string) {}
 
   /** Takes in the newest list of proxies; a process that begins finds those that have been there before. */
-  note(sharers: readonly Sharer[], now: number): void {
+  updateProxies(sharers: readonly WeightedProxy[], now: number): void {
     const known = this.sights;
     const findStart = (vm: string) => {
       if (known === undefined) return now;
@@ -85,11 +85,11 @@
     this.sights = new Map(
       sharers.map(({ vm, weight }) => [vm, { weight, countsFrom: findStart(vm) }]),
     );
-    this.settle(now);
+    this.refresh(now);
   }
 
   /** Counts who counts by now; tells whether that changes shares. */
-  settle(now: number): boolean {
+  refresh(now: number): boolean {
     const due = [...(this.sights ?? [])].filter(([, { countsFrom }]) => now >= countsFrom);
     const counted = new Map(due.map(([vm, { weight }]) => [vm, weight]));
     const isSame = [...counted].every(([vm, weight]) => this.counted.get(vm) === weight);
@@ -101,18 +101,18 @@
 
   /** The share of a team's rate, of which `count` proxies make tokens. */
   findShare(team: string, count: number): number {
-    const makers = this.listMakers(team, count);
+    const makers = this.listIssuers(team, count);
     if (!makers.includes(this.vm)) return 0;
     const all = makers.reduce((sum, vm) => sum + (this.counted.get(vm) ?? 0), 0);
     return all > 0 ? (this.counted.get(this.vm) ?? 0) / all : 0;
   }
 
   /** The proxies that make a team's tokens. */
-  listMakers(team: string, count: number): readonly string[] {
+  listIssuers(team: string, count: number): readonly string[] {
     const key = `${count} ${team}`;
     const known = this.makers.get(key);
     if (known !== undefined) return known;
-    const chosen = chooseMakers(team, count, this.counted);
+    const chosen = chooseIssuers(team, count, this.counted);
     this.makers.set(key, chosen);
     return chosen;
   }
--- a/src/rates/keeper.ts
+++ b/src/rates/token-limiter.ts
@@ -1,13 +1,18 @@
 import { rateEvents } from "../log/events/rates.js";
 import type { Logger } from "../log/index.js";
 import type { Clock, Disposable, Random, Team, TeamRate } from "../model/index.js";
-import { unbound, type RateClaim, type RateGate, type RateReservation } from "./gate.js";
-import { toTokenMint, type RateBounds } from "./limits.js";
-import { TokenPurse, type Parcel } from "./purse.js";
-import { countMakers } from "./shares.js";
+import {
+  unlimitedReservation,
+  type RateClaim,
+  type RateLimiter,
+  type RateReservation,
+} from "./limiter.js";
+import { toTokenRate, type RateBounds } from "./limits.js";
+import { TokenPool, type TokenGrant } from "./pool.js";
+import { countIssuers } from "./shares.js";
 
 /** What keeping teams to their rates needs of the world. */
-export interface RatePorts {
+export interface RateLimiterPorts {
   readonly clock: Pick<Clock, "now">;
   readonly random: Random;
   readonly logger: Logger;
@@ -17,9 +22,13 @@
   /** This process's share of a team's rate, of which `makers` proxies make tokens. */
   readonly findShare: (team: string, makers: number) => number;
   /** Other proxies that make a team's tokens. */
-  readonly listMakers: (team: string, makers: number) => readonly string[];
+  readonly listIssuers: (team: string, makers: number) => readonly string[];
   /** Asks another proxy for tokens of a team; nothing where it does not answer. */
-  readonly ask: (peer: string, team: string, wanted: number) => Promise<Parcel | undefined>;
+  readonly requestTokens: (
+    peer: string,
+    team: string,
+    wanted: number,
+  ) => Promise<TokenGrant | undefined>;
   /** Whether the process stood still at some time since, unseen by its steady clock. */
   readonly hasStalledSince: (time: number) => boolean;
 }
@@ -47,7 +56,7 @@
 const longestBackMs = 5000;
 
 interface TeamState {
-  readonly purse: TokenPurse;
+  readonly purse: TokenPool;
   /** By which its tokens were made last, and at what share of it. */
   rate: TeamRate | undefined;
   share: number;
@@ -67,31 +76,31 @@
  * time: no proxy is needed for it, so that none that is lost stops a team, and as long as the callers of a
  * team are spread like its tokens no message is sent at all.
  */
-export class RateKeeper implements RateGate, Disposable {
+export class TokenRateLimiter implements RateLimiter, Disposable {
   private readonly teams = new Map<string, TeamState>();
   private askedSince = 0;
   private asked = 0;
   private isDisposed = false;
 
-  constructor(private readonly ports: RatePorts) {}
+  constructor(private readonly ports: RateLimiterPorts) {}
 
   reserve(
     team: Team | undefined,
     deadlineAt: number,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): RateReservation | Promise<RateReservation> {
-    if (team?.rate === undefined) return unbound;
+    if (team?.rate === undefined) return unlimitedReservation;
     const now = this.ports.clock.now();
     const state = this.open(team, now);
     notePace(state, now);
     const claim = this.takeClaim(team, state, now);
     if (claim !== undefined) return claim;
     if (now < state.emptyUntil || !this.canAsk(now)) return this.refuse(team, state, now);
-    return this.collect(team, state, deadlineAt, gone);
+    return this.collect(team, state, deadlineAt, signal);
   }
 
   /** Gives tokens of a team away to another process, beyond what is likely to be used here. */
-  give(name: string, wanted: number): Parcel {
+  grantTokens(name: string, wanted: number): TokenGrant {
     const { clock, findTeam } = this.ports;
     const team = findTeam(name);
     if (team?.rate === undefined || this.isDisposed) return { tokens: 0, lifeMs: 0 };
@@ -99,7 +108,7 @@
     const state = this.open(team, now);
     const kept = estimateUse(state, now, keptMs);
     const spare = Math.max(0, state.purse.count(now) - kept);
-    return state.purse.give(Math.min(wanted, spare), now);
+    return state.purse.withdraw(Math.min(wanted, spare), now);
   }
 
   /**
@@ -115,7 +124,7 @@
   }
 
   /** Drops what is held: the process stood still for a time that its clock does not show. */
-  clear(): void {
+  dropTokens(): void {
     const now = this.ports.clock.now();
     for (const { purse } of this.teams.values()) purse.clear(now);
   }
@@ -147,13 +156,13 @@
   }
 
   private make({ purse, rate, share }: TeamState, now: number): void {
-    if (rate !== undefined) purse.make(toTokenMint(rate, this.ports.bounds), share, now);
+    if (rate !== undefined) purse.issue(toTokenRate(rate, this.ports.bounds), share, now);
   }
 
   private countMakers(rate: TeamRate | undefined): number {
     if (rate === undefined) return 0;
-    const { perSecond, lifeMs } = toTokenMint(rate, this.ports.bounds);
-    return countMakers((perSecond * lifeMs) / 1000);
+    const { perSecond, lifeMs } = toTokenRate(rate, this.ports.bounds);
+    return countIssuers((perSecond * lifeMs) / 1000);
   }
 
   private takeClaim(team: Team, state: TeamState, now: number): RateReservation | undefined {
@@ -188,7 +197,7 @@
   }
 
   private async askOthers(team: Team, state: TeamState): Promise<void> {
-    const { clock, random, listMakers } = this.ports;
+    const { clock, random, listIssuers: listMakers } = this.ports;
     const peers = [...listMakers(team.name, this.countMakers(team.rate))];
     for (const count of askedAtOnce) {
       const chosen: string[] = [];
@@ -206,7 +215,7 @@
   }
 
   private async askOne(peer: string, team: Team, state: TeamState): Promise<void> {
-    const { clock, ask, bounds } = this.ports;
+    const { clock, requestTokens: ask, bounds } = this.ports;
     const askedAt = clock.now();
     this.asked += 1;
     const parcel = await ask(
@@ -216,7 +225,7 @@
     );
     // Their life counts from the question on: how long its way took is not known.
     if (parcel !== undefined && parcel.tokens > 0) {
-      state.purse.put(parcel.tokens, askedAt + parcel.lifeMs);
+      state.purse.add(parcel.tokens, askedAt + parcel.lifeMs);
     }
   }
 
@@ -225,7 +234,7 @@
     let until = firstUntil;
     let phase: "reserved" | "used" | "ended" = "reserved";
     return {
-      use: () => {
+      consume: () => {
         const now = clock.now();
         if (phase === "ended") return false;
         const hasLapsed = now >= until || hasStalledSince(reservedAt);
@@ -243,8 +252,8 @@
       noteNotRun: () => {
         if (phase === "used") phase = "reserved";
       },
-      end: () => {
-        if (phase === "reserved" && !hasStalledSince(reservedAt)) state.purse.put(1, until);
+      release: () => {
+        if (phase === "reserved" && !hasStalledSince(reservedAt)) state.purse.add(1, until);
         phase = "ended";
       },
     };
@@ -263,7 +272,7 @@
 
 function makeState(now: number): TeamState {
   return {
-    purse: new TokenPurse(now),
+    purse: new TokenPool(now),
     rate: undefined,
     share: 0,
     pace: 0,
@@ -290,7 +299,7 @@
 }
 
 function findWantedMs({ rate }: Team, bounds: RateBounds): number {
-  return rate === undefined ? 0 : Math.min(wantedMs, toTokenMint(rate, bounds).lifeMs / 2);
+  return rate === undefined ? 0 : Math.min(wantedMs, toTokenRate(rate, bounds).lifeMs / 2);
 }
 
 /** Operations that are likely to come within a time ahead. */
--- a/test/direct/stage.ts
+++ b/test/direct/stage.ts
@@ -11,7 +11,7 @@
 import { DirectSession } from "../../src/direct/session.js";
 import { silentLogger } from "../../src/log/index.js";
 import type { Mark, Route } from "../../src/model/index.js";
-import { openGate } from "../../src/rates/index.js";
+import { unlimitedRateLimiter } from "../../src/rates/index.js";
 import {
   completeLocally,
   type CommandResult,
@@ -88,7 +88,7 @@
       logger: silentLogger,
       scene: () => scene,
       findHolding: () => this.holding,
-      rates: openGate,
+      rates: unlimitedRateLimiter,
       onStatement: () => undefined,
     };
     this.groups = new GroupDirectory(this.ports);
--- a/test/gateway/choose.test.ts
+++ b/test/gateway/choose.test.ts
@@ -7,7 +7,7 @@
   listGateways,
 } from "../../src/gateway/choose.js";
 import { orderGateways } from "../../src/gateway/route.js";
-import { countMemberQuota } from "../../src/gateway/quota.js";
+import { countListedProxyQuota } from "../../src/gateway/quota.js";
 import type { Proxy } from "../../src/leadership/index.js";
 import { makeGroup, makeProxy } from "./builders.js";
 
@@ -26,8 +26,8 @@
 test("each data centre with a target has its gateways, the others none", () => {
   fc.assert(
     fc.property(fleets, (proxies) => {
-      const { byDataCentre, isEverybody } = chooseGateways(group, proxies);
-      expect(isEverybody).toBe(false);
+      const { byDataCentre, isEveryProxyGateway } = chooseGateways(group, proxies);
+      expect(isEveryProxyGateway).toBe(false);
       expect([...byDataCentre.keys()].sort()).toEqual(["a", "b", "c"]);
       for (const gateways of byDataCentre.values()) {
         expect(gateways).toHaveLength(gatewaysPerDataCentre);
@@ -106,7 +106,7 @@
   const proxies = Array.from({ length: 40 }, (_, i) => makeProxy(i, places[i % 4]));
   const plenty = chooseGateways({ ...group, connections: 80 }, proxies);
   const few = chooseGateways(group, proxies.slice(0, 9));
-  expect([plenty.isEverybody, few.isEverybody]).toEqual([true, true]);
+  expect([plenty.isEveryProxyGateway, few.isEveryProxyGateway]).toEqual([true, true]);
   expect(isGateway(few, "vm-8")).toBe(true);
 });
 
@@ -132,8 +132,8 @@
 });
 
 test("places for proxies are as many as the scarcest targets can hold twice", () => {
-  expect(countMemberQuota([{ connections: 37 }, { connections: 185 }], 4)).toBe(5);
-  expect(countMemberQuota([{ connections: 16 }], 3)).toBe(3);
-  expect(countMemberQuota([{ connections: 2 }], 4)).toBe(2);
-  expect(countMemberQuota([], 4)).toBe(2);
+  expect(countListedProxyQuota([{ connections: 37 }, { connections: 185 }], 4)).toBe(5);
+  expect(countListedProxyQuota([{ connections: 16 }], 3)).toBe(3);
+  expect(countListedProxyQuota([{ connections: 2 }], 4)).toBe(2);
+  expect(countListedProxyQuota([], 4)).toBe(2);
 });
--- a/test/gateway/hop.test.ts
+++ b/test/gateway/hop.test.ts
@@ -224,10 +224,10 @@
   void leaving.run(makeWrite("2"));
   await waitForSent(gateway, "begin");
   leaving.close();
-  await waitUntil(() => gateway.server.countBusy() === 1);
+  await waitUntil(() => gateway.server.countActive() === 1);
   gateway.stage.list("p", "begin")[0]?.answer(answered("transaction"));
   await waitForSent(gateway, "rollback");
-  await waitUntil(() => gateway.server.countBusy() === 0);
+  await waitUntil(() => gateway.server.countActive() === 0);
   expect(gateway.stage.list("p", "work")).toEqual([]);
   const last = hop.open("primary").run(makeRead("3"));
   await waitForSent(gateway, "work");
@@ -243,7 +243,7 @@
   void leaving.run(makeWrite("2"));
   await waitForSent(gateway, "work");
   leaving.close();
-  await waitUntil(() => gateway.server.countBusy() === 1);
+  await waitUntil(() => gateway.server.countActive() === 1);
   gateway.stage.list("p", "work")[0]?.answer(answered("transaction"));
   await waitForSent(gateway, "rollback");
   expect(gateway.stage.closed).toEqual([]);
--- a/test/gateway/hop.ts
+++ b/test/gateway/hop.ts
@@ -1,7 +1,7 @@
 import { FaultyLink } from "../../standin/link.js";
 import { DirectSession } from "../../src/direct/session.js";
 import {
-  GatewayLinks,
+  GatewayConnections,
   GatewayRouter,
   GatewayServer,
   RoutedRunner,
@@ -30,7 +30,7 @@
   readonly gateways: HopGateway[] = [];
   readonly node = new Stage();
   private readonly owned = new DisposableStore();
-  private readonly links: GatewayLinks;
+  private readonly links: GatewayConnections;
   private readonly runner: RoutedRunner;
   private proxies: readonly Proxy[] = [];
   private nextSession = 1;
@@ -39,7 +39,7 @@
 
   private constructor() {
     const clock = createSystemClock();
-    this.links = this.owned.add(new GatewayLinks({ clock, logger: silentLogger }));
+    this.links = this.owned.add(new GatewayConnections({ clock, logger: silentLogger }));
     const router = new GatewayRouter({
       vm: "vm-entry",
       dataCentre: "a",
@@ -47,8 +47,8 @@
       findGroup: (name) => this.node.ports.scene().groups.get(name),
       findLeader: () => ({ type: "serving", target: "p" }),
       isListed: () => false,
-      onNobody: () => (this.unplaced += 1),
-      isPassedOver: (vm) => this.links.isPassedOver(vm),
+      onNoneAccepted: () => (this.unplaced += 1),
+      isAvoided: (vm) => this.links.isAvoided(vm),
     });
     this.runner = new RoutedRunner(router, this.links);
   }
@@ -95,8 +95,8 @@
 
   /** Waits until the node has seen a gateway's connection end, and would ask it again. */
   async waitForRetry({ vm }: HopGateway): Promise<void> {
-    await waitUntil(() => this.links.isPassedOver(vm));
-    await waitUntil(() => !this.links.isPassedOver(vm));
+    await waitUntil(() => this.links.isAvoided(vm));
+    await waitUntil(() => !this.links.isAvoided(vm));
   }
 
   /** Ends all connections of the node, as its death does. */
--- a/test/rates/purse.test.ts
+++ b/test/rates/pool.test.ts
@@ -2,12 +2,12 @@
 import fc from "fast-check";
 import type { TeamRate } from "../../src/model/index.js";
 import {
-  ShareHistory,
-  toTokenMint,
-  TokenPurse,
+  RateShares,
+  toTokenRate,
+  TokenPool,
   type RateBounds,
-  type Sharer,
-  type TokenMint,
+  type WeightedProxy,
+  type TokenRate,
 } from "../../src/rates/index.js";
 
 const team = "cello";
@@ -29,7 +29,7 @@
 }
 
 interface Holder {
-  purse: TokenPurse;
+  purse: TokenPool;
   /** How far its clock is behind, for having stood still. */
   behindMs: number;
 }
@@ -43,7 +43,7 @@
   private readonly holders: Holder[];
 
   constructor(
-    private readonly mint: TokenMint,
+    private readonly mint: TokenRate,
     private readonly count: number,
   ) {
     this.holders = Array.from({ length: count }, () => this.makeHolder());
@@ -87,13 +87,13 @@
     const taker = this.find(to);
     const askedAt = this.read(taker);
     this.make(giver);
-    const { tokens, lifeMs } = giver.purse.give(4, this.read(giver));
+    const { tokens, lifeMs } = giver.purse.withdraw(4, this.read(giver));
     if (fate === "unanswered" || tokens === 0) return;
-    taker.purse.put(tokens, askedAt + lifeMs);
+    taker.purse.add(tokens, askedAt + lifeMs);
   }
 
   private make(holder: Holder): void {
-    holder.purse.make(this.mint, 1 / this.count, this.read(holder));
+    holder.purse.issue(this.mint, 1 / this.count, this.read(holder));
   }
 
   private read({ behindMs }: Holder): number {
@@ -107,7 +107,7 @@
   }
 
   private makeHolder(): Holder {
-    return { purse: new TokenPurse(this.now), behindMs: 0 };
+    return { purse: new TokenPool(this.now), behindMs: 0 };
   }
 }
 
@@ -152,7 +152,7 @@
   });
   fc.assert(
     fc.property(rates, fc.array(step, { minLength: 20, maxLength: 120 }), (rate, steps) => {
-      const field = new Field(toTokenMint(rate, bounds), 12);
+      const field = new Field(toTokenRate(rate, bounds), 12);
       for (const one of steps) {
         switch (one.type) {
           case "run":
@@ -184,7 +184,7 @@
   "a team under its rate of %d is refused nearly nothing",
   (perSecond) => {
     const measure = (fateOfAll: Fate) => {
-      const field = new Field(toTokenMint({ perSecond, burst: perSecond }, bounds), 12);
+      const field = new Field(toTokenRate({ perSecond, burst: perSecond }, bounds), 12);
       field.now = 16_000;
       let due = 0;
       let count = 0;
@@ -208,7 +208,7 @@
 // One team sends many times its rate. What the rate allows runs all the same, whoever asks for it.
 test("a team far over its rate gets nearly all that the rate allows", () => {
   const rate = { perSecond: 22, burst: 22 };
-  const field = new Field(toTokenMint(rate, bounds), 12);
+  const field = new Field(toTokenRate(rate, bounds), 12);
   for (let i = 0; i < 3000; i += 1) {
     field.now += 10;
     field.run(i % 12, "answered");
@@ -220,35 +220,35 @@
 
 test("a rate without bounds beyond it holds over a second, and lets single operations through", () => {
   const strict: RateBounds = { windowMs: 1000, overage: 0, slack: 0 };
-  expect(toTokenMint({ perSecond: 100, burst: 50 }, strict).lifeMs).toBeCloseTo(425);
-  expect(toTokenMint({ perSecond: 4, burst: 0 }, strict).lifeMs).toBe(250);
+  expect(toTokenRate({ perSecond: 100, burst: 50 }, strict).lifeMs).toBeCloseTo(425);
+  expect(toTokenRate({ perSecond: 4, burst: 0 }, strict).lifeMs).toBe(250);
 });
 
 test("parts of tokens make a whole one together, and all lapse after their life", () => {
-  const mint: TokenMint = { perSecond: 8, lifeMs: 1000 };
-  const purse = new TokenPurse(0);
-  purse.make(mint, 0.1, 500);
+  const mint: TokenRate = { perSecond: 8, lifeMs: 1000 };
+  const purse = new TokenPool(0);
+  purse.issue(mint, 0.1, 500);
   expect(purse.take(500)).toBeUndefined();
-  purse.put(0.7, 900);
+  purse.add(0.7, 900);
   expect(purse.take(500)).toBeDefined();
-  purse.make(mint, 0.1, 60_000);
+  purse.issue(mint, 0.1, 60_000);
   expect(purse.count(60_000)).toBeLessThanOrEqual(0.8);
   expect(purse.count(61_001)).toBe(0);
 });
 
-const list = (...names: readonly string[]): readonly Sharer[] =>
+const list = (...names: readonly string[]): readonly WeightedProxy[] =>
   names.map((vm) => ({ vm, weight: 1 }));
 
 const start = (names: readonly string[], listed: readonly string[]) =>
   names.map((vm) => {
-    const history = new ShareHistory(vm);
-    history.note(list(...listed), 0);
+    const history = new RateShares(vm);
+    history.updateProxies(list(...listed), 0);
     return history;
   });
 
-const sumShares = (histories: readonly ShareHistory[], now: number) =>
+const sumShares = (histories: readonly RateShares[], now: number) =>
   histories.reduce((sum, history) => {
-    history.settle(now);
+    history.refresh(now);
     return sum + history.findShare(team, 3);
   }, 0);
 
@@ -257,7 +257,7 @@
 test("what a proxy that left made is taken over at once", () => {
   const histories = start(["a", "b"], ["a", "b", "c"]);
   expect(sumShares(histories, 9000)).toBeCloseTo(2 / 3);
-  for (const history of histories) history.note(list("a", "b"), 10_000);
+  for (const history of histories) history.updateProxies(list("a", "b"), 10_000);
   expect(sumShares(histories, 10_000)).toBeCloseTo(1);
 });
 
@@ -268,7 +268,7 @@
   const [newcomer] = start(["c"], ["a", "b"]);
   if (first === undefined || cutOff === undefined || newcomer === undefined)
     throw new Error("none");
-  for (const history of [first, newcomer]) history.note(list("a", "b", "c"), 10_000);
+  for (const history of [first, newcomer]) history.updateProxies(list("a", "b", "c"), 10_000);
   expect(sumShares([first, cutOff, newcomer], 17_999)).toBeCloseTo(1);
   // By now the one that is cut off has stopped.
   expect(sumShares([first, newcomer], 19_999)).toBeCloseTo(1 / 3);
--- a/test/rates/keeper.test.ts
+++ b/test/rates/token-limiter.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import { silentLogger } from "../../src/log/index.js";
 import type { Team } from "../../src/model/index.js";
-import { RateKeeper, type Parcel, type RateReservation } from "../../src/rates/index.js";
+import { TokenRateLimiter, type TokenGrant, type RateReservation } from "../../src/rates/index.js";
 import { makeRandom } from "../fleet/fakes.js";
 
 const team: Team = { name: "cello", plan: "paying", rate: { perSecond: 10, burst: 10 } };
@@ -10,7 +10,7 @@
 interface BenchOptions {
   readonly share?: number;
   readonly peers?: readonly string[];
-  readonly ask?: (peer: string) => Promise<Parcel | undefined>;
+  readonly ask?: (peer: string) => Promise<TokenGrant | undefined>;
 }
 
 /** One process's keeper, with time that stands still and peers that the test answers for. */
@@ -18,18 +18,18 @@
   now = 0;
   stalledAt = -1;
   readonly asked: string[] = [];
-  readonly keeper: RateKeeper;
+  readonly keeper: TokenRateLimiter;
 
   constructor({ share = 1, peers = [], ask }: BenchOptions = {}) {
-    this.keeper = new RateKeeper({
+    this.keeper = new TokenRateLimiter({
       clock: { now: () => this.now },
       random: makeRandom(1),
       logger: silentLogger,
       bounds: { windowMs: 1000, overage: 0, slack: 0 },
       findTeam: () => team,
       findShare: () => share,
-      listMakers: () => peers,
-      ask: (peer) => {
+      listIssuers: () => peers,
+      requestTokens: (peer) => {
         this.asked.push(peer);
         return ask?.(peer) ?? Promise.resolve(undefined);
       },
@@ -63,7 +63,7 @@
   bench.now = 500;
   const claim = await bench.claim();
   bench.now = 5000;
-  expect(claim.use()).toBe(true);
+  expect(claim.consume()).toBe(true);
   const left = await bench.count();
   expect(left).toBeGreaterThan(0);
   expect(left).toBeLessThan(9);
@@ -77,7 +77,7 @@
   const claim = await bench.claim();
   bench.now = 5000;
   await bench.count();
-  expect(claim.use()).toBe(false);
+  expect(claim.consume()).toBe(false);
 });
 
 // A read is tried at a target, which may have run it, and again at another. Both may count against the team.
@@ -85,14 +85,14 @@
   const bench = new Bench();
   bench.now = 500;
   const claim = await bench.claim();
-  expect(claim.use()).toBe(true);
+  expect(claim.consume()).toBe(true);
   claim.noteNotRun();
-  expect(claim.use()).toBe(true);
+  expect(claim.consume()).toBe(true);
   const twice = new Bench();
   twice.now = 500;
   const other = await twice.claim();
-  expect(other.use()).toBe(true);
-  expect(other.use()).toBe(true);
+  expect(other.consume()).toBe(true);
+  expect(other.consume()).toBe(true);
   expect(await twice.count()).toBe((await bench.count()) - 1);
 });
 
@@ -102,7 +102,7 @@
   const [first, ...rest] = await Promise.all([bench.claim(), bench.claim()]);
   const left = await bench.count();
   expect(left).toBeGreaterThan(0);
-  for (const claim of [first, ...rest]) claim.end();
+  for (const claim of [first, ...rest]) claim.release();
   expect(await bench.count()).toBe(2);
 });
 
@@ -113,8 +113,8 @@
   bench.now = 500;
   const claim = await bench.claim();
   bench.stalledAt = 600;
-  bench.keeper.clear();
-  expect(claim.use()).toBe(false);
+  bench.keeper.dropTokens();
+  expect(claim.consume()).toBe(false);
   expect(await bench.count()).toBe(0);
 });
 
