--- a/src/rates/limiter.ts
+++ b/src/rates/limiter.ts
@@ -1,26 +1,30 @@
 import type { Team } from "../model/index.js";
 
 /**
- * What one operation may run on. It is counted when it is about to reach a target, not before: what waits
- * for a slot may be refused yet, and one counted ahead would run in a later window than it was counted in.
+ * Permission to run one operation. The operation is counted when it is about to be sent to a target, not
+ * earlier: one that waits for a slot may still be refused, and if it were counted on arrival it would run in
+ * a later window than the one it was counted in.
  */
 export interface RateClaim {
-  /** Right before a statement is sent; false where the claim has lapsed, and nothing may be sent. */
+  /** Call right before a statement is sent. When false, the claim has expired and nothing may be sent. */
   consume(): boolean;
-  /** What was sent has certainly not run: it does not count, and may be sent again. */
+  /** The statement that was sent has certainly not run: it does not count, and may be sent again. */
   noteNotRun(): void;
-  /** Gives up what was not used. */
+  /** Returns what was not consumed. */
   release(): void;
 }
 
-/** What came of asking whether a team may begin one more operation. */
+/** The result of asking whether a team may start one more operation. */
 export type RateReservation =
   | { readonly type: "granted"; readonly claim: RateClaim }
   | { readonly type: "refused"; readonly reason: string; readonly retryAfterMs: number };
 
-/** Decides whether a team may begin one more operation. */
+/** Decides whether a team may start one more operation. */
 export interface RateLimiter {
-  /** Never rejects. `deadlineAt` is on the process's clock, in milliseconds. */
+  /**
+   * Never rejects. `deadlineAt` is on the process's clock, in milliseconds; `signal` aborts when the caller
+   * has disconnected.
+   */
   reserve(
     team: Team | undefined,
     deadlineAt: number,
@@ -28,14 +32,14 @@
   ): RateReservation | Promise<RateReservation>;
 }
 
-const unboundClaim: RateClaim = {
+const unlimitedClaim: RateClaim = {
   consume: () => true,
   noteNotRun: () => undefined,
   release: () => undefined,
 };
 
 /** For a team without a rate. */
-export const unlimitedReservation: RateReservation = { type: "granted", claim: unboundClaim };
+export const unlimitedReservation: RateReservation = { type: "granted", claim: unlimitedClaim };
 
-/** Bounds nobody. */
+/** Lets every team start any number of operations. */
 export const unlimitedRateLimiter: RateLimiter = { reserve: () => unlimitedReservation };
--- a/src/rates/limits.ts
+++ b/src/rates/limits.ts
@@ -1,42 +1,43 @@
 import type { TeamRate } from "../model/index.js";
 
-/** How strictly a team's rate is judged. */
+/** How far a team may exceed its rate, and over which time span operations are counted. */
 export interface RateBounds {
-  /** The span over which operations are counted; any span of this length, in milliseconds. */
+  /** The length in milliseconds of the sliding window in which operations are counted. */
   readonly windowMs: number;
-  /** The share by which a window's count may exceed the rate and the burst. */
+  /** The fraction by which a window's count may exceed what rate and burst allow. */
   readonly overage: number;
-  /** Operations that a window may have beyond that. */
+  /** Operations that a window may have on top of that. */
   readonly slack: number;
 }
 
-/** No more than the rate and the burst. */
+/** Allows no more than the rate and the burst. */
 export const strictBounds: RateBounds = { windowMs: 1000, overage: 0, slack: 0 };
 
-/** How a team's tokens are made. */
+/** How fast a team's tokens are issued, and how long they are valid. */
 export interface TokenRate {
-  /** Of all proxies together. */
+  /** Tokens that all proxies together issue. */
   readonly perSecond: number;
-  /** How long a token may be used after it was made, in milliseconds. */
+  /** How long a token is valid after it was issued, in milliseconds. */
   readonly lifeMs: number;
 }
 
 /**
- * The part of the bound that tokens make use of. The rest is for shares that add up to more than one while
- * proxies don't list the same ones, and for steady clocks that differ.
+ * The fraction of the bound that tokens use up. The rest covers shares that add up to more than one while
+ * proxies have different lists of proxies, and steady clocks that run at different speeds.
  */
-const usedShare = 0.95;
-/** Each operation needs a whole token: with a shorter life than it takes to make one nothing would run. */
-const leastTokens = 1;
+const usedBoundFraction = 0.95;
+/** Each operation needs a whole token: if tokens expired before one is complete, nothing would ever run. */
+const minLiveTokens = 1;
 
 /**
- * Turns a rate into tokens. What runs in a window was made in it or in one life before, at most
- * `rate x (window + life)`; the life is what the bound leaves beyond the window.
+ * Converts a team's rate to a token rate. What runs in a window was issued in that window or at most one
+ * token life before it, so it is at most `rate x (window + life)`. The life is chosen so that this stays
+ * within the bound.
  */
 export function toTokenRate({ perSecond, burst }: TeamRate, bounds: RateBounds): TokenRate {
   if (perSecond === 0) return { perSecond, lifeMs: 0 };
   const inWindow = perSecond * (bounds.windowMs / 1000);
   const bound = (inWindow + burst) * (1 + bounds.overage) + bounds.slack;
-  const alive = Math.max(leastTokens, bound * usedShare - inWindow);
-  return { perSecond, lifeMs: (alive / perSecond) * 1000 };
+  const liveTokens = Math.max(minLiveTokens, bound * usedBoundFraction - inWindow);
+  return { perSecond, lifeMs: (liveTokens / perSecond) * 1000 };
 }
--- a/src/rates/pool.ts
+++ b/src/rates/pool.ts
@@ -1,100 +1,110 @@
 import type { TokenRate } from "./limits.js";
 
-/** Batches that a life is divided into: tokens lapse by a sixteenth of their life too early on average. */
+/**
+ * Batches that are issued within one token life. Tokens of a batch expire together, so that on average a
+ * token expires a sixteenth of its life too early.
+ */
 const batchesPerLife = 8;
 /** Sums of fractions fall short of whole tokens by less than this. */
 const roundingError = 1e-6;
 
-/** Tokens that lapse together. Times are on the process's clock, in milliseconds. */
+/** Tokens that expire together. Times are on the process's clock, in milliseconds. */
 interface Batch {
   tokens: number;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
-/** Tokens on their way to another process. */
+/** Tokens that one process transfers to another. */
 export interface TokenGrant {
   readonly tokens: number;
-  /** How long they may be used from now on, in milliseconds. */
+  /** How long they stay valid from now on, in milliseconds. */
   readonly lifeMs: number;
 }
 
-/** One team's tokens in this process, in parts too: small shares make a whole one together. */
+/**
+ * One team's valid tokens in this process. Fractions of tokens are kept too, so that small shares add up to
+ * whole tokens. Times are on the process's clock, in milliseconds.
+ */
 export class TokenPool {
-  /** The one that lapses first in front. */
+  /** Sorted by expiry, the earliest first. */
   private batches: Batch[] = [];
 
-  /** Tokens are made from `madeTo` on. */
-  constructor(private madeTo: number) {}
+  /** Tokens are issued from `issuedUntil` on. */
+  constructor(private issuedUntil: number) {}
 
-  /** Makes what is due until `now` at a share of the team's rate. */
+  /** Issues what has become due until `now` at a share of the team's rate. */
   issue({ perSecond, lifeMs }: TokenRate, share: number, now: number): void {
-    let from = Math.max(this.madeTo, now - lifeMs);
-    this.madeTo = now;
-    this.dropLapsed(now);
+    let from = Math.max(this.issuedUntil, now - lifeMs);
+    this.issuedUntil = now;
+    this.dropExpired(now);
     const perMs = (perSecond * share) / 1000;
     const batchMs = lifeMs / batchesPerLife;
     while (perMs > 0 && from < now) {
-      const begunAt = Math.floor(from / batchMs) * batchMs;
-      const to = Math.min(now, begunAt + batchMs);
-      // Lapses as if all of it were made at its beginning.
-      if (to > from) this.add((to - from) * perMs, begunAt + lifeMs);
+      const batchStart = Math.floor(from / batchMs) * batchMs;
+      const to = Math.min(now, batchStart + batchMs);
+      // The whole batch expires as if it had been issued at its start.
+      if (to > from) this.add((to - from) * perMs, batchStart + lifeMs);
       from = Math.max(to, from + roundingError);
     }
   }
 
+  /** Valid tokens, with fractions. */
   count(now: number): number {
-    this.dropLapsed(now);
+    this.dropExpired(now);
     return this.batches.reduce((sum, { tokens }) => sum + tokens, 0);
   }
 
-  /** Takes a whole token, of those that lapse first; gives when it lapses, or nothing where there is none. */
+  /**
+   * Takes one whole token, from those that expire first, and returns when it expires; undefined when there
+   * is no whole token.
+   */
   take(now: number): number | undefined {
     if (this.count(now) < 1 - roundingError) return undefined;
     let missing = 1;
-    const until = this.batches[0]?.until ?? now;
+    const expiresAt = this.batches[0]?.expiresAt ?? now;
     for (const batch of this.batches) {
       const part = Math.min(missing, batch.tokens);
       batch.tokens -= part;
       missing -= part;
     }
-    this.dropLapsed(now);
-    return until;
+    this.dropExpired(now);
+    return expiresAt;
   }
 
-  /** Puts a token back, or some that came from elsewhere. */
-  add(tokens: number, until: number): void {
-    const same = this.batches.find((batch) => batch.until === until);
+  /** Adds tokens that were returned unused or came from another process. */
+  add(tokens: number, expiresAt: number): void {
+    const same = this.batches.find((batch) => batch.expiresAt === expiresAt);
     if (same !== undefined) {
       same.tokens += tokens;
       return;
     }
-    this.batches.push({ tokens, until });
-    this.batches.sort((a, b) => a.until - b.until);
+    this.batches.push({ tokens, expiresAt });
+    this.batches.sort((a, b) => a.expiresAt - b.expiresAt);
   }
 
-  /** Gives up to so many tokens away, those that lapse last. */
-  withdraw(most: number, now: number): TokenGrant {
-    let missing = Math.min(most, this.count(now));
+  /** Removes up to `max` tokens, those that expire last, for another process. */
+  withdraw(max: number, now: number): TokenGrant {
+    let missing = Math.min(max, this.count(now));
     let tokens = 0;
-    let until = Infinity;
+    let expiresAt = Infinity;
     for (const batch of this.batches.toReversed()) {
       if (missing <= 0) break;
       const part = Math.min(missing, batch.tokens);
       batch.tokens -= part;
       missing -= part;
       tokens += part;
-      until = Math.min(until, batch.until);
+      expiresAt = Math.min(expiresAt, batch.expiresAt);
     }
-    return { tokens, lifeMs: tokens > 0 ? until - now : 0 };
+    return { tokens, lifeMs: tokens > 0 ? expiresAt - now : 0 };
   }
 
-  /** Drops all: the process stood still for a time that its clock does not show. */
+  /** Drops all tokens, for when the process was suspended for a time that its clock does not show. */
   clear(now: number): void {
     this.batches = [];
-    this.madeTo = now;
+    this.issuedUntil = now;
   }
 
-  private dropLapsed(now: number): void {
-    this.batches = this.batches.filter(({ tokens, until }) => tokens > 0 && now < until);
+  private dropExpired(now: number): void {
+    this.batches = this.batches.filter(({ tokens, expiresAt }) => tokens > 0 && now < expiresAt);
   }
 }
--- a/src/rates/token-limiter.ts
+++ b/src/rates/token-limiter.ts
@@ -11,75 +11,75 @@
 import { TokenPool, type TokenGrant } from "./pool.js";
 import { countIssuers } from "./shares.js";
 
-/** What keeping teams to their rates needs of the world. */
+/** The environment of a `TokenRateLimiter`. */
 export interface RateLimiterPorts {
   readonly clock: Pick<Clock, "now">;
   readonly random: Random;
   readonly logger: Logger;
   readonly bounds: RateBounds;
-  /** The team as the configuration in force has it. */
+  /** The team in the current configuration. */
   readonly findTeam: (name: string) => Team | undefined;
-  /** This process's share of a team's rate, of which `makers` proxies make tokens. */
-  readonly findShare: (team: string, makers: number) => number;
-  /** Other proxies that make a team's tokens. */
-  readonly listIssuers: (team: string, makers: number) => readonly string[];
-  /** Asks another proxy for tokens of a team; nothing where it does not answer. */
+  /** This process's share of a team's rate, from 0 to 1, when `issuers` proxies issue its tokens. */
+  readonly findShare: (team: string, issuers: number) => number;
+  /** Other proxies that issue a team's tokens. */
+  readonly listIssuers: (team: string, issuers: number) => readonly string[];
+  /** Requests tokens of a team from another proxy; undefined when it does not answer. */
   readonly requestTokens: (
     peer: string,
     team: string,
     wanted: number,
   ) => Promise<TokenGrant | undefined>;
-  /** Whether the process stood still at some time since, unseen by its steady clock. */
+  /** Whether the process was suspended at some point since `time`, which its steady clock does not show. */
   readonly hasStalledSince: (time: number) => boolean;
 }
 
-/** Proxies that are asked together, one round after the other, before a team counts as having none left. */
-const askedAtOnce: readonly number[] = [2, 4];
-/** A team that has none left anywhere is asked for again after this, and each time after twice as long. */
-const firstEmptyMs = 50;
-const longestEmptyMs = 400;
+/** Peers that are asked in parallel in each round; after the last round the team counts as out of tokens. */
+const peersPerRound: readonly number[] = [2, 4];
+/** A team without tokens anywhere is asked for again after this time, which doubles with each failure. */
+const initialBackoffMs = 50;
+const maxBackoffMs = 400;
 /**
- * Questions of this process in one second at most: with many teams short at once, as after a loss of power,
- * all proxies would spend their time on asking one another for what nobody has.
+ * Limits the requests of this process. When many teams run out at once, as after a loss of power, all
+ * proxies would otherwise spend their time on asking each other for tokens that nobody has.
  */
-const maxAsksPerSecond = 120;
-/** What is likely to be used within this is kept from others, in milliseconds. */
-const keptMs = 500;
+const maxRequestsPerSecond = 120;
+/** Tokens for the expected demand of this time ahead are not given to other proxies, in milliseconds. */
+const retainHorizonMs = 500;
 /**
- * What is likely to be used within this, and within half a token's life, is asked for at once, in milliseconds:
- * a team whose callers come to few proxies would have to ask for each operation otherwise.
+ * A request asks for the expected demand of this time ahead, in milliseconds, but of no more than half a
+ * token's life. Otherwise a team whose callers use few proxies would need one request for each operation.
  */
-const wantedMs = 3000;
-/** What is expected of a team halves in this time, in milliseconds. */
-const halfLifeMs = 1000;
-/** Callers that are refused are told to come back one token after the other, but no later than this. */
-const longestBackMs = 5000;
+const requestHorizonMs = 3000;
+/** The half-life of the measured demand of a team, in milliseconds. */
+const demandHalfLifeMs = 1000;
+/** Refused callers are told to retry one token interval after another, but no later than this. */
+const maxRetryAfterMs = 5000;
 
 interface TeamState {
-  readonly purse: TokenPool;
-  /** By which its tokens were made last, and at what share of it. */
+  readonly pool: TokenPool;
+  /** The rate and the share at which tokens are issued now. */
   rate: TeamRate | undefined;
   share: number;
-  /** Operations in the last second or so, decaying, as of `pacedAt`. */
-  pace: number;
-  pacedAt: number;
-  /** Until then none is to be had elsewhere. */
-  emptyUntil: number;
-  emptyMs: number;
-  /** Callers that were refused since there was one last. */
-  refused: number;
-  asking: Promise<void> | undefined;
+  /** Operations in about the last second, decaying exponentially, as of `demandAt`. */
+  demand: number;
+  demandAt: number;
+  /** Until then other proxies are not asked, since none had tokens. */
+  backoffUntil: number;
+  backoffMs: number;
+  /** Operations that were refused since the last one that was granted. */
+  refusedCount: number;
+  pendingRequest: Promise<void> | undefined;
 }
 
 /**
- * Keeps this process's operations within the tokens that it has. Where it has none it asks others, a few at a
- * time: no proxy is needed for it, so that none that is lost stops a team, and as long as the callers of a
- * team are spread like its tokens no message is sent at all.
+ * Limits this process's operations by the tokens that it holds. When it has none it requests some from a few
+ * other proxies at a time. No particular proxy is needed, so that the loss of one stops no team. While a team's
+ * callers are distributed like its tokens, no messages are sent at all.
  */
 export class TokenRateLimiter implements RateLimiter, Disposable {
   private readonly teams = new Map<string, TeamState>();
-  private askedSince = 0;
-  private asked = 0;
+  private requestWindowStart = 0;
+  private requestCount = 0;
   private isDisposed = false;
 
   constructor(private readonly ports: RateLimiterPorts) {}
@@ -91,196 +91,203 @@
   ): RateReservation | Promise<RateReservation> {
     if (team?.rate === undefined) return unlimitedReservation;
     const now = this.ports.clock.now();
-    const state = this.open(team, now);
-    notePace(state, now);
-    const claim = this.takeClaim(team, state, now);
-    if (claim !== undefined) return claim;
-    if (now < state.emptyUntil || !this.canAsk(now)) return this.refuse(team, state, now);
-    return this.collect(team, state, deadlineAt, signal);
+    const state = this.ensureState(team, now);
+    recordDemand(state, now);
+    const granted = this.tryReserve(team, state, now);
+    if (granted !== undefined) return granted;
+    if (now < state.backoffUntil || !this.canRequest(now)) return this.refuse(team, state, now);
+    return this.reserveFromPeers(team, state, deadlineAt, signal);
   }
 
-  /** Gives tokens of a team away to another process, beyond what is likely to be used here. */
+  /** Transfers tokens of a team to another process, except those that are likely to be used here. */
   grantTokens(name: string, wanted: number): TokenGrant {
     const { clock, findTeam } = this.ports;
     const team = findTeam(name);
     if (team?.rate === undefined || this.isDisposed) return { tokens: 0, lifeMs: 0 };
     const now = clock.now();
-    const state = this.open(team, now);
-    const kept = estimateUse(state, now, keptMs);
-    const spare = Math.max(0, state.purse.count(now) - kept);
-    return state.purse.withdraw(Math.min(wanted, spare), now);
+    const state = this.ensureState(team, now);
+    const retained = estimateDemand(state, now, retainHorizonMs);
+    const spare = Math.max(0, state.pool.count(now) - retained);
+    return state.pool.withdraw(Math.min(wanted, spare), now);
   }
 
   /**
-   * Follows the teams of the configuration and this process's shares of their rates; what is due by those
-   * before is made first. Tokens are made from a team's first sight on, whether it has callers here or not.
+   * Applies the teams of the configuration and this process's shares of their rates. Tokens that are due by the
+   * previous rates and shares are issued first. Tokens of a team are issued as soon as the team is known here,
+   * whether or not it has callers at this proxy.
    */
   update(teams: readonly Team[]): void {
     const now = this.ports.clock.now();
-    const bound = teams.filter(({ rate }) => rate !== undefined);
-    const names = new Set(bound.map(({ name }) => name));
+    const limited = teams.filter(({ rate }) => rate !== undefined);
+    const names = new Set(limited.map(({ name }) => name));
     for (const name of this.teams.keys()) if (!names.has(name)) this.teams.delete(name);
-    for (const team of bound) this.follow(team, this.open(team, now), now);
+    for (const team of limited) this.applyRate(team, this.ensureState(team, now), now);
   }
 
-  /** Drops what is held: the process stood still for a time that its clock does not show. */
+  /** Drops all tokens, for when the process was suspended for a time that its clock does not show. */
   dropTokens(): void {
     const now = this.ports.clock.now();
-    for (const { purse } of this.teams.values()) purse.clear(now);
+    for (const { pool } of this.teams.values()) pool.clear(now);
   }
 
   dispose(): void {
     this.isDisposed = true;
   }
 
-  private open(team: Team, now: number): TeamState {
+  private ensureState(team: Team, now: number): TeamState {
     const known = this.teams.get(team.name);
     if (known !== undefined) {
-      this.make(known, now);
-      if (known.rate !== team.rate) this.follow(team, known, now);
+      this.issue(known, now);
+      if (known.rate !== team.rate) this.applyRate(team, known, now);
       return known;
     }
-    const state = makeState(now);
+    const state = createState(now);
     this.teams.set(team.name, state);
-    this.follow(team, state, now);
+    this.applyRate(team, state, now);
     return state;
   }
 
-  /** Takes over what holds for a team from now on. */
-  private follow({ name, rate }: Team, state: TeamState, now: number): void {
-    this.make(state, now);
-    // What was made by a greater rate would come on top of all that the smaller one allows.
-    if (isLower(rate, state.rate)) state.purse.clear(now);
+  /** Applies a team's rate and this process's share of it from now on. */
+  private applyRate({ name, rate }: Team, state: TeamState, now: number): void {
+    this.issue(state, now);
+    // Tokens of a higher rate would come on top of all that the lower rate allows.
+    if (isLower(rate, state.rate)) state.pool.clear(now);
     state.rate = rate;
-    state.share = this.ports.findShare(name, this.countMakers(rate));
+    state.share = this.ports.findShare(name, this.countIssuers(rate));
   }
 
-  private make({ purse, rate, share }: TeamState, now: number): void {
-    if (rate !== undefined) purse.issue(toTokenRate(rate, this.ports.bounds), share, now);
+  private issue({ pool, rate, share }: TeamState, now: number): void {
+    if (rate !== undefined) pool.issue(toTokenRate(rate, this.ports.bounds), share, now);
   }
 
-  private countMakers(rate: TeamRate | undefined): number {
+  private countIssuers(rate: TeamRate | undefined): number {
     if (rate === undefined) return 0;
     const { perSecond, lifeMs } = toTokenRate(rate, this.ports.bounds);
     return countIssuers((perSecond * lifeMs) / 1000);
   }
 
-  private takeClaim(team: Team, state: TeamState, now: number): RateReservation | undefined {
-    const until = state.purse.take(now);
-    if (until === undefined) return undefined;
-    state.refused = 0;
-    return { type: "granted", claim: this.createClaim(state, until, now) };
+  private tryReserve(team: Team, state: TeamState, now: number): RateReservation | undefined {
+    const expiresAt = state.pool.take(now);
+    if (expiresAt === undefined) return undefined;
+    state.refusedCount = 0;
+    return { type: "granted", claim: this.createClaim(state, expiresAt, now) };
   }
 
-  private canAsk(now: number): boolean {
-    if (now - this.askedSince >= 1000) {
-      this.askedSince = now;
-      this.asked = 0;
+  private canRequest(now: number): boolean {
+    if (now - this.requestWindowStart >= 1000) {
+      this.requestWindowStart = now;
+      this.requestCount = 0;
     }
-    return this.asked < maxAsksPerSecond;
+    return this.requestCount < maxRequestsPerSecond;
   }
 
-  /** Asks others until there is a token, or a few have none. */
-  private async collect(
+  /** Waits for a request to other proxies, which all waiting operations of the team share. */
+  private async reserveFromPeers(
     team: Team,
     state: TeamState,
     deadlineAt: number,
-    gone: AbortSignal,
+    signal: AbortSignal,
   ): Promise<RateReservation> {
     const { clock } = this.ports;
-    state.asking ??= this.askOthers(team, state).finally(() => (state.asking = undefined));
-    await state.asking;
+    state.pendingRequest ??= this.requestFromPeers(team, state).finally(
+      () => (state.pendingRequest = undefined),
+    );
+    await state.pendingRequest;
     const now = clock.now();
-    const isLate = now >= deadlineAt || gone.aborted;
-    const claim = isLate ? undefined : this.takeClaim(team, this.open(team, now), now);
-    return claim ?? this.refuse(team, state, now);
+    const isLate = now >= deadlineAt || signal.aborted;
+    const granted = isLate ? undefined : this.tryReserve(team, this.ensureState(team, now), now);
+    return granted ?? this.refuse(team, state, now);
   }
 
-  private async askOthers(team: Team, state: TeamState): Promise<void> {
-    const { clock, random, listIssuers: listMakers } = this.ports;
-    const peers = [...listMakers(team.name, this.countMakers(team.rate))];
-    for (const count of askedAtOnce) {
+  /** Asks randomly chosen issuers, round after round, until there is a token; then backs off. */
+  private async requestFromPeers(team: Team, state: TeamState): Promise<void> {
+    const { clock, random, listIssuers } = this.ports;
+    const peers = [...listIssuers(team.name, this.countIssuers(team.rate))];
+    for (const count of peersPerRound) {
       const chosen: string[] = [];
       while (chosen.length < count && peers.length > 0) {
         chosen.push(...peers.splice(Math.floor(random.draw() * peers.length), 1));
       }
-      await Promise.all(chosen.map((peer) => this.askOne(peer, team, state)));
-      if (state.purse.count(clock.now()) >= 1) {
-        state.emptyMs = firstEmptyMs;
+      await Promise.all(chosen.map((peer) => this.requestFromPeer(peer, team, state)));
+      if (state.pool.count(clock.now()) >= 1) {
+        state.backoffMs = initialBackoffMs;
         return;
       }
     }
-    state.emptyUntil = clock.now() + state.emptyMs;
-    state.emptyMs = Math.min(longestEmptyMs, state.emptyMs * 2);
+    state.backoffUntil = clock.now() + state.backoffMs;
+    state.backoffMs = Math.min(maxBackoffMs, state.backoffMs * 2);
   }
 
-  private async askOne(peer: string, team: Team, state: TeamState): Promise<void> {
-    const { clock, requestTokens: ask, bounds } = this.ports;
-    const askedAt = clock.now();
-    this.asked += 1;
-    const parcel = await ask(
+  private async requestFromPeer(peer: string, team: Team, state: TeamState): Promise<void> {
+    const { clock, requestTokens, bounds } = this.ports;
+    const requestedAt = clock.now();
+    this.requestCount += 1;
+    const grant = await requestTokens(
       peer,
       team.name,
-      1 + estimateUse(state, askedAt, findWantedMs(team, bounds)),
+      1 + estimateDemand(state, requestedAt, findRequestHorizonMs(team, bounds)),
     );
-    // Their life counts from the question on: how long its way took is not known.
-    if (parcel !== undefined && parcel.tokens > 0) {
-      state.purse.add(parcel.tokens, askedAt + parcel.lifeMs);
+    // The life is counted from the request, since the time that the answer took is not known.
+    if (grant !== undefined && grant.tokens > 0) {
+      state.pool.add(grant.tokens, requestedAt + grant.lifeMs);
     }
   }
 
-  private createClaim(state: TeamState, firstUntil: number, reservedAt: number): RateClaim {
+  private createClaim(state: TeamState, firstExpiresAt: number, reservedAt: number): RateClaim {
     const { clock, hasStalledSince } = this.ports;
-    let until = firstUntil;
-    let phase: "reserved" | "used" | "ended" = "reserved";
+    let expiresAt = firstExpiresAt;
+    let phase: "reserved" | "consumed" | "released" = "reserved";
     return {
       consume: () => {
         const now = clock.now();
-        if (phase === "ended") return false;
-        const hasLapsed = now >= until || hasStalledSince(reservedAt);
-        // A try before this one may have run: this one counts as well. What has waited for longer than its
-        // token lives takes another one; refused, it would have waited in vain.
-        if (phase === "used" || hasLapsed) {
-          this.make(state, now);
-          const next = state.purse.take(now);
+        if (phase === "released") return false;
+        const hasExpired = now >= expiresAt || hasStalledSince(reservedAt);
+        // After an attempt that may have run, the next attempt counts as well. An operation that has waited
+        // for longer than its token's life takes another token: if it were refused, it would have waited in vain.
+        if (phase === "consumed" || hasExpired) {
+          this.issue(state, now);
+          const next = state.pool.take(now);
           if (next === undefined) return false;
-          until = next;
+          expiresAt = next;
         }
-        phase = "used";
+        phase = "consumed";
         return true;
       },
       noteNotRun: () => {
-        if (phase === "used") phase = "reserved";
+        if (phase === "consumed") phase = "reserved";
       },
       release: () => {
-        if (phase === "reserved" && !hasStalledSince(reservedAt)) state.purse.add(1, until);
-        phase = "ended";
+        if (phase === "reserved" && !hasStalledSince(reservedAt)) state.pool.add(1, expiresAt);
+        phase = "released";
       },
     };
   }
 
   private refuse(team: Team, state: TeamState, now: number): RateReservation {
     const perSecond = team.rate?.perSecond ?? 0;
-    const eachMs = perSecond > 0 ? 1000 / perSecond : longestBackMs;
-    const missing = Math.max(0, 1 - state.purse.count(now));
-    const retryAfterMs = Math.min(longestBackMs, (missing + state.refused) * eachMs);
-    state.refused += 1;
+    const tokenIntervalMs = perSecond > 0 ? 1000 / perSecond : maxRetryAfterMs;
+    const missing = Math.max(0, 1 - state.pool.count(now));
+    const retryAfterMs = Math.min(
+      maxRetryAfterMs,
+      (missing + state.refusedCount) * tokenIntervalMs,
+    );
+    state.refusedCount += 1;
     this.ports.logger.write(rateEvents.overRate, { team: team.name, retryAfterMs });
     return { type: "refused", reason: "the team is over its rate", retryAfterMs };
   }
 }
 
-function makeState(now: number): TeamState {
+function createState(now: number): TeamState {
   return {
-    purse: new TokenPool(now),
+    pool: new TokenPool(now),
     rate: undefined,
     share: 0,
-    pace: 0,
-    pacedAt: now,
-    emptyUntil: 0,
-    emptyMs: firstEmptyMs,
-    refused: 0,
-    asking: undefined,
+    demand: 0,
+    demandAt: now,
+    backoffUntil: 0,
+    backoffMs: initialBackoffMs,
+    refusedCount: 0,
+    pendingRequest: undefined,
   };
 }
 
@@ -289,22 +296,22 @@
   return rate.perSecond < before.perSecond || rate.burst < before.burst;
 }
 
-function notePace(state: TeamState, now: number): void {
-  state.pace = measurePace(state, now) + 1;
-  state.pacedAt = now;
+function recordDemand(state: TeamState, now: number): void {
+  state.demand = measureDemand(state, now) + 1;
+  state.demandAt = now;
 }
 
-function measurePace({ pace, pacedAt }: TeamState, now: number): number {
-  return pace * 2 ** (-(now - pacedAt) / halfLifeMs);
+function measureDemand({ demand, demandAt }: TeamState, now: number): number {
+  return demand * 2 ** (-(now - demandAt) / demandHalfLifeMs);
 }
 
-function findWantedMs({ rate }: Team, bounds: RateBounds): number {
-  return rate === undefined ? 0 : Math.min(wantedMs, toTokenRate(rate, bounds).lifeMs / 2);
+function findRequestHorizonMs({ rate }: Team, bounds: RateBounds): number {
+  return rate === undefined ? 0 : Math.min(requestHorizonMs, toTokenRate(rate, bounds).lifeMs / 2);
 }
 
-/** Operations that are likely to come within a time ahead. */
-function estimateUse(state: TeamState, now: number, aheadMs: number): number {
-  // A steady pace of one a second adds up to the half-life over the logarithm of two.
-  const perMs = (measurePace(state, now) * Math.LN2) / halfLifeMs;
+/** The operations that are expected in the next `aheadMs` milliseconds. */
+function estimateDemand(state: TeamState, now: number, aheadMs: number): number {
+  // At one operation per millisecond the decaying sum approaches the half-life divided by ln 2.
+  const perMs = (measureDemand(state, now) * Math.LN2) / demandHalfLifeMs;
   return perMs * aheadMs;
 }
--- a/test/rates/token-limiter.test.ts
+++ b/test/rates/token-limiter.test.ts
@@ -5,23 +5,23 @@
 import { makeRandom } from "../fleet/fakes.js";
 
 const team: Team = { name: "cello", plan: "paying", rate: { perSecond: 10, burst: 10 } };
-const gone = new AbortController().signal;
+const signal = new AbortController().signal;
 
-interface BenchOptions {
+interface FixtureOptions {
   readonly share?: number;
   readonly peers?: readonly string[];
   readonly ask?: (peer: string) => Promise<TokenGrant | undefined>;
 }
 
-/** One process's keeper, with time that stands still and peers that the test answers for. */
-class Bench {
+/** One process's limiter with a clock that only the test moves, and peers that the test answers for. */
+class LimiterFixture {
   now = 0;
   stalledAt = -1;
   readonly asked: string[] = [];
-  readonly keeper: TokenRateLimiter;
+  readonly limiter: TokenRateLimiter;
 
-  constructor({ share = 1, peers = [], ask }: BenchOptions = {}) {
-    this.keeper = new TokenRateLimiter({
+  constructor({ share = 1, peers = [], ask }: FixtureOptions = {}) {
+    this.limiter = new TokenRateLimiter({
       clock: { now: () => this.now },
       random: makeRandom(1),
       logger: silentLogger,
@@ -35,11 +35,11 @@
       },
       hasStalledSince: (time) => this.stalledAt >= time,
     });
-    this.keeper.update([team]);
+    this.limiter.update([team]);
   }
 
   async reserve(): Promise<RateReservation> {
-    return this.keeper.reserve(team, this.now + 1000, gone);
+    return this.limiter.reserve(team, this.now + 1000, signal);
   }
 
   async claim() {
@@ -48,7 +48,7 @@
     return reserved.claim;
   }
 
-  /** How many more operations may begin now. */
+  /** Reserves until refused, and returns how many operations were granted. */
   async count(): Promise<number> {
     let count = 0;
     while ((await this.reserve()).type === "granted") count += 1;
@@ -56,73 +56,76 @@
   }
 }
 
-// A statement waits in a queue for longer than its token lives. The token must not be used any more, but others
-// have been made meanwhile: refused, the caller would have waited in vain though its team is within its rate.
-test("what waits for longer than its token lives takes one that was made meanwhile", async () => {
-  const bench = new Bench();
-  bench.now = 500;
-  const claim = await bench.claim();
-  bench.now = 5000;
+// A statement waits in a queue for longer than its token's life. The token must not be used any more, but others
+// have been issued meanwhile. If the statement were refused, the caller would have waited in vain although its
+// team is within its rate.
+test("an operation that waits for longer than its token's life takes a token issued meanwhile", async () => {
+  const fixture = new LimiterFixture();
+  fixture.now = 500;
+  const claim = await fixture.claim();
+  fixture.now = 5000;
   expect(claim.consume()).toBe(true);
-  const left = await bench.count();
+  const left = await fixture.count();
   expect(left).toBeGreaterThan(0);
   expect(left).toBeLessThan(9);
 });
 
-// The same, where no token was made meanwhile. Sent all the same it would run in a window that its token does
-// not belong to.
-test("what waits for longer than its token lives is not sent where there is no other", async () => {
-  const bench = new Bench();
-  bench.now = 500;
-  const claim = await bench.claim();
-  bench.now = 5000;
-  await bench.count();
+// The same, but all tokens issued meanwhile are taken. If the statement were sent anyway, it would run in a window
+// that its expired token does not belong to.
+test("an operation that waits for longer than its token's life is not sent when no other token is left", async () => {
+  const fixture = new LimiterFixture();
+  fixture.now = 500;
+  const claim = await fixture.claim();
+  fixture.now = 5000;
+  await fixture.count();
   expect(claim.consume()).toBe(false);
 });
 
-// A read is tried at a target, which may have run it, and again at another. Both may count against the team.
-test("a try after one that may have run counts once more, and one after none that ran does not", async () => {
-  const bench = new Bench();
-  bench.now = 500;
-  const claim = await bench.claim();
+// A read is attempted at a target, which may have run it, and then at another target: both attempts may have
+// run, so both count against the team.
+test("an attempt counts again after one that may have run, and not after one that has not run", async () => {
+  const fixture = new LimiterFixture();
+  fixture.now = 500;
+  const claim = await fixture.claim();
   expect(claim.consume()).toBe(true);
   claim.noteNotRun();
   expect(claim.consume()).toBe(true);
-  const twice = new Bench();
+  const twice = new LimiterFixture();
   twice.now = 500;
   const other = await twice.claim();
   expect(other.consume()).toBe(true);
   expect(other.consume()).toBe(true);
-  expect(await twice.count()).toBe((await bench.count()) - 1);
+  expect(await twice.count()).toBe((await fixture.count()) - 1);
 });
 
-test("what was reserved and not used is there for the next", async () => {
-  const bench = new Bench();
-  bench.now = 500;
-  const [first, ...rest] = await Promise.all([bench.claim(), bench.claim()]);
-  const left = await bench.count();
+test("tokens that were reserved but not consumed are returned", async () => {
+  const fixture = new LimiterFixture();
+  fixture.now = 500;
+  const [first, ...rest] = await Promise.all([fixture.claim(), fixture.claim()]);
+  const left = await fixture.count();
   expect(left).toBeGreaterThan(0);
   for (const claim of [first, ...rest]) claim.release();
-  expect(await bench.count()).toBe(2);
+  expect(await fixture.count()).toBe(2);
 });
 
-// The process is suspended, and its clock with it. By that clock its tokens live; by everybody else's they
-// lapsed long ago.
-test("tokens from before a stall are not used", async () => {
-  const bench = new Bench();
-  bench.now = 500;
-  const claim = await bench.claim();
-  bench.stalledAt = 600;
-  bench.keeper.dropTokens();
+// The process is suspended and its clock does not advance. By that clock its tokens are still valid; by the
+// clocks of all other processes they expired long ago.
+test("tokens from before a suspension are not used", async () => {
+  const fixture = new LimiterFixture();
+  fixture.now = 500;
+  const claim = await fixture.claim();
+  fixture.stalledAt = 600;
+  fixture.limiter.dropTokens();
   expect(claim.consume()).toBe(false);
-  expect(await bench.count()).toBe(0);
+  expect(await fixture.count()).toBe(0);
 });
 
-// A proxy makes none of a team's tokens, and most of those that do are cut off. It finds one that answers, and
-// where none does it refuses at once from then on, without asking for each of a hot team's operations.
-test("others are asked a few at a time, and not again at once when none has any", async () => {
+// A proxy issues none of a team's tokens, and most of those that do are cut off. The proxy finds one that
+// answers. When none answers, it refuses at once for a while instead of asking again for each operation of a
+// busy team.
+test("peers are asked a few at a time, and not again right after none had tokens", async () => {
   const parcel = { tokens: 3, lifeMs: 500 };
-  const answering = new Bench({
+  const answering = new LimiterFixture({
     share: 0,
     peers: ["a", "b", "c", "d"],
     ask: (peer) => Promise.resolve(peer === "d" ? parcel : undefined),
@@ -131,9 +134,9 @@
     expect(await answering.reserve()).toMatchObject({ type: "granted" });
   expect(new Set(answering.asked)).toContain("d");
   expect(answering.asked.length).toBeLessThanOrEqual(4);
-  // However much there is to be had, a process asks so often a second and no more.
+  // However many tokens are available, the requests per second of a process are limited.
   expect(await answering.count()).toBeLessThanOrEqual(3 * 120);
-  const silent = new Bench({ share: 0, peers: ["a", "b", "c", "d"] });
+  const silent = new LimiterFixture({ share: 0, peers: ["a", "b", "c", "d"] });
   expect(await silent.reserve()).toMatchObject({ type: "refused" });
   const asked = silent.asked.length;
   expect(asked).toBe(4);
