--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -110,10 +110,10 @@
   },
   {
     invariant: "A non-idempotent request runs at most once",
-    safeguard: "a write that left for a gateway is never handed to another",
+    safeguard: "a write that was sent to a gateway is never sent to another",
     file: "src/gateway/runner.ts",
-    find: 'if (!result.sent || effect === "read") return undefined;',
-    put: "if (!result.sent || effect !== undefined) return undefined;",
+    find: 'if (!result.isSent || effect === "read") return undefined;',
+    put: "if (!result.isSent || effect !== undefined) return undefined;",
     tests: "test/gateway/hop",
   },
   {
@@ -147,7 +147,7 @@
   },
   {
     invariant: "A caller is not left waiting by a silent gateway",
-    safeguard: "a silent connection is asked for a sign of life",
+    safeguard: "a connection without traffic is probed",
     file: "src/gateway/liveness.ts",
     find: "else this.options.onTimeout();",
     put: "else this.waitForData();",
--- a/src/gateway/answers.ts
+++ b/src/gateway/answers.ts
@@ -3,21 +3,24 @@
 import { failLocally, type Reply } from "../statement/index.js";
 import type { GatewayAnswer } from "./codec.js";
 
-/** Told where no gateway took a statement: by then a listing has been read again. In milliseconds. */
+/**
+ * The retry delay that a caller is told when no gateway accepted its statement, in milliseconds. By then the
+ * list of proxies has been read again.
+ */
 const noGatewayRetryMs = 500;
 
-/** What a gateway's answer means to the session. */
+/** Converts a gateway's answer to the end of a statement; only the mark of a commit of this session is kept. */
 export function toStatementEnd({ reply, isWritten }: GatewayAnswer): StatementEnd {
   return isWritten && reply.mark !== undefined ? { reply, written: reply.mark } : { reply };
 }
 
-/** The answer where no gateway took a statement. Nothing has run. */
+/** Logs and builds the refusal for when no gateway accepted a statement. Nothing has run. */
 export function refuseWithoutGateway(
   { session, ports, trace }: SessionContext,
   id: string,
   state: Reply["state"],
 ): Reply {
-  const reason = "no gateway of the group took it";
+  const reason = "no gateway of the group accepted the statement";
   trace.noteReason(reason);
   ports.logger.write(gatewayEvents.noGateway, { id, session });
   return failLocally("busy", describeRefusal(reason, noGatewayRetryMs), state);
--- a/src/gateway/channel.ts
+++ b/src/gateway/channel.ts
@@ -1,63 +1,63 @@
 import type { Socket } from "node:net";
 import { FrameReader } from "./frames.js";
 
-/** What the owner of a channel hears of it. */
+/** Callbacks to the owner of a channel. */
 export interface ChannelHandlers {
-  /** Bytes came: the other end lives. */
+  /** Some bytes arrived, so that the other end is alive. */
   readonly onData: () => void;
-  /** Takes in one message; an error says that it can't be read, and ends the channel. */
+  /** Handles one message. When it throws, the message counts as unreadable and the channel is closed. */
   readonly onFrame: (frame: Uint8Array) => void;
-  /** Once, whoever ended it. */
+  /** Called once, whichever end closed the connection. */
   readonly onClose: (reason: string) => void;
 }
 
-/** One connection between a node and a gateway, which carries messages behind their length. */
+/** A connection between a node and a gateway that carries length-prefixed messages. */
 export class FrameChannel {
   private readonly reader = new FrameReader();
-  private hasEnded = false;
+  private hasClosed = false;
 
   constructor(
     private readonly socket: Socket,
     private readonly handlers: ChannelHandlers,
   ) {
-    socket.on("data", (chunk: Buffer) => this.take(chunk));
+    socket.on("data", (chunk: Buffer) => this.handleChunk(chunk));
     socket.on("error", (error) => this.close(error.message));
     socket.on("close", () => this.close("the other end closed the connection"));
   }
 
-  /** False once it broke or was ended. */
+  /** False once the connection broke or was closed. */
   get isOpen(): boolean {
-    return !this.hasEnded;
+    return !this.hasClosed;
   }
 
   write(bytes: Uint8Array): void {
     if (this.isOpen) this.socket.write(bytes);
   }
 
-  /** Ends it at once; what is on its way is lost. */
+  /** Closes the connection at once; data in transit is lost. */
   close(reason: string): void {
-    if (this.hasEnded) return;
-    this.hasEnded = true;
+    if (this.hasClosed) return;
+    this.hasClosed = true;
     this.socket.destroy();
     this.handlers.onClose(reason);
   }
 
-  private take(chunk: Buffer): void {
+  private handleChunk(chunk: Buffer): void {
     this.handlers.onData();
     const frames = this.reader.push(chunk);
     if (frames === "tooLong") {
       this.close("a message is longer than allowed");
       return;
     }
-    for (const frame of frames) this.read(frame);
+    for (const frame of frames) this.handleFrame(frame);
   }
 
-  private read(frame: Uint8Array): void {
+  private handleFrame(frame: Uint8Array): void {
     if (!this.isOpen) return;
     try {
       this.handlers.onFrame(frame);
     } catch (error) {
-      this.close(`a message can't be read: ${String(error)}`);
+      this.close(`a message can't be decoded: ${String(error)}`);
     }
   }
 }
--- a/src/gateway/choose.ts
+++ b/src/gateway/choose.ts
@@ -2,85 +2,97 @@
 import type { Proxy } from "../leadership/index.js";
 import { hashPair } from "../policy/index.js";
 
-/** The proxies that hold a group's connections, by data centre, each with the one to ask first in front. */
+/** The proxies that hold connections to a group's targets. */
 export interface GatewayPlan {
-  /** Each listed proxy holds connections of its own: nothing need be forwarded. */
+  /** Whether each listed proxy holds connections of its own, so that no statement is forwarded. */
   readonly isEveryProxyGateway: boolean;
+  /** The gateways of each data centre, the preferred one first. */
   readonly byDataCentre: ReadonlyMap<string, readonly Proxy[]>;
 }
 
 /**
- * Gateways of a group in each data centre that has a target of it: one that serves, and one that takes
- * over without a listing read anew. More would split a target's few slots between queues that don't know
- * of each other.
+ * The number of a group's gateways in each data centre that has one of its targets: one that serves, and one
+ * that takes over without a new read of the list of proxies. More gateways would split a target's few slots
+ * between queues that don't know of each other.
  */
 export const gatewaysPerDataCentre = 2;
 /**
- * Connections of one proxy to a target from which on nobody need forward statements, counted so that the
- * connections of the processes before fit beside them for the seconds that a target counts them on.
+ * When each proxy can open this many connections to each target, no statement is forwarded. The target's limit
+ * must hold them twice: for some seconds after a restart a target still counts the connections of the previous
+ * processes.
  */
-const leastConnections = 1;
-/** With two in each of four data centres, most of so few would be chosen; each then serves its own callers. */
-const smallFleet = 12;
-/** The weight of a proxy that does not say what it may spend: about a third of a core. */
-const leastPower = 0.3;
-/** What an entry says beyond this counts as this: no proxy takes all groups of 20. In cores. */
-const mostPower = 2;
+const minConnectionsPerProxy = 1;
+/**
+ * In a fleet of at most this many proxies each serves its own callers: with two gateways in each of four data
+ * centres most of them would be gateways anyway.
+ */
+const smallFleetSize = 12;
+/** Processor power of a proxy whose entry does not state it, and the minimum for all, in cores. */
+const minPower = 0.3;
+/** Higher values in an entry count as this, so that no proxy wins all groups among 20 proxies. In cores. */
+const maxPower = 2;
 
 /**
- * Chooses a group's gateways by weighted rendezvous hashing: a proxy that comes or goes moves only the
- * groups that it wins or held, and one with twice the processor gets four times the groups. A target takes a
- * few dozen connections: of a fleet that opens one each, most are refused.
+ * Chooses a group's gateways by weighted rendezvous hashing. A proxy that joins or leaves moves only the groups
+ * that it wins or held, and one with twice the processor power gets four times the groups. Gateways are needed
+ * because a target accepts only a few dozen connections: if each proxy of a large fleet opened one, most would
+ * be refused.
  */
 export function chooseGateways(
   { name, connections, targets }: Pick<AnnouncedGroup, "name" | "connections" | "targets">,
   proxies: readonly Proxy[],
 ): GatewayPlan {
-  const fit = proxies.filter((proxy) => proxy.gateway !== undefined && proxy.isMissed !== true);
-  const isEveryProxyGateway = fit.length <= smallFleet || connections >= 2 * leastConnections * fit.length;
-  const places = new Set(targets.map((target) => target.dataCentre));
-  const near = fit.filter(({ dataCentre }) => places.has(dataCentre ?? ""));
-  // With nobody left beside the targets, some from elsewhere are better than none.
-  const pool = near.length > 0 ? near : fit;
+  const eligible = proxies.filter(
+    (proxy) => proxy.gateway !== undefined && proxy.isMissed !== true,
+  );
+  const isEveryProxyGateway =
+    eligible.length <= smallFleetSize ||
+    connections >= 2 * minConnectionsPerProxy * eligible.length;
+  const targetDataCentres = new Set(targets.map((target) => target.dataCentre));
+  const near = eligible.filter(({ dataCentre }) => targetDataCentres.has(dataCentre ?? ""));
+  // When no proxy is left in the targets' data centres, gateways elsewhere are better than none.
+  const pool = near.length > 0 ? near : eligible;
   const byDataCentre = new Map<string, readonly Proxy[]>();
-  for (const place of [...new Set(pool.map((proxy) => proxy.dataCentre ?? ""))].sort()) {
-    const inPlace = pool.filter((proxy) => (proxy.dataCentre ?? "") === place);
-    byDataCentre.set(place, orderByScore(name, inPlace).slice(0, gatewaysPerDataCentre));
+  for (const centre of [...new Set(pool.map((proxy) => proxy.dataCentre ?? ""))].sort()) {
+    const local = pool.filter((proxy) => (proxy.dataCentre ?? "") === centre);
+    byDataCentre.set(centre, orderByScore(name, local).slice(0, gatewaysPerDataCentre));
   }
   return { isEveryProxyGateway, byDataCentre };
 }
 
-/** Whether a proxy holds a group's connections. */
+/** Whether a proxy holds connections to the group's targets. */
 export function isGateway(plan: GatewayPlan, vm: string): boolean {
   return plan.isEveryProxyGateway || listGateways(plan).some((proxy) => proxy.vm === vm);
 }
 
-/** All gateways of a plan. */
+/** The gateways of all data centres. */
 export function listGateways({ byDataCentre }: GatewayPlan): readonly Proxy[] {
   return [...byDataCentre.values()].flat();
 }
 
 function orderByScore(group: string, proxies: readonly Proxy[]): readonly Proxy[] {
   return proxies
-    .map((proxy) => ({ proxy, score: measureProxy(group, proxy) }))
+    .map((proxy) => ({ proxy, score: scoreProxy(group, proxy) }))
     .sort((a, b) => b.score - a.score || (a.proxy.vm < b.proxy.vm ? -1 : 1))
     .map(({ proxy }) => proxy);
 }
 
 /**
- * The weighted score: each proxy wins a share of all groups that is as its weight to that of all. The weight
- * is the square of its power: a process that is busy for a third of its time makes each statement wait, one
- * that is four times as fast is left nearly idle by the same work.
+ * The score of weighted rendezvous hashing: each proxy wins a share of all groups in proportion to its weight.
+ * The weight is the square of its power: a process that is busy a third of the time makes each statement wait,
+ * while the same work leaves a process that is four times as fast nearly idle.
  */
-function measureProxy(group: string, { vm, power }: Proxy): number {
-  const drawn = (hashPair(group, vm) + 1) / (hashRange + 1);
-  return limitPower(power) ** 2 / -Math.log(drawn);
+function scoreProxy(group: string, { vm, power }: Proxy): number {
+  const uniform = (hashPair(group, vm) + 1) / (hashRange + 1);
+  return clampPower(power) ** 2 / -Math.log(uniform);
 }
 
-/** Hashes are below this, plus one so that none is drawn as 1. */
+/**
+ * Hashes are below this. One is added to the hash and to the range, so that the fraction is neither 0 nor 1.
+ */
 const hashRange = 2 ** 32;
 
-function limitPower(power: number | undefined): number {
-  if (power === undefined || !Number.isFinite(power)) return leastPower;
-  return Math.max(leastPower, Math.min(mostPower, power));
+function clampPower(power: number | undefined): number {
+  if (power === undefined || !Number.isFinite(power)) return minPower;
+  return Math.max(minPower, Math.min(maxPower, power));
 }
--- a/src/gateway/codec.ts
+++ b/src/gateway/codec.ts
@@ -22,26 +22,26 @@
   type Work,
 } from "../statement/index.js";
 
-/** A step of a request, as it is written. */
+/** The `step` of a request message. */
 export type RequestStep = NonNullable<MessageInitShape<typeof GatewayRequestSchema>["step"]>;
 
-/** What a gateway told of a statement: the answer, and how it came about. */
+/** A gateway's answer to a statement, with the target that gave it. */
 export interface GatewayAnswer {
   readonly reply: Reply;
-  /** Whether the reply's mark is that of a commit of the session's. */
+  /** Whether the reply's mark is that of a commit of this session. */
   readonly isWritten: boolean;
   readonly target: string;
   readonly role: "primary" | "replica" | "none";
   readonly tries: number;
 }
 
-/** What a gateway needs of a session to run its work. Times are on the gateway's clock. */
-export interface ForwardedSession {
+/** The part of a session that a gateway needs to run its statements. Times are on the gateway's clock. */
+export interface ServedSession {
   readonly session: string;
   readonly database: Database;
   readonly values: ReadonlyMap<string, string>;
   readonly written: Mark | undefined;
-  /** The name of its team; absent where it is nobody's in particular. */
+  /** The name of the session's team; undefined when it belongs to no team. */
   readonly teamName: string | undefined;
 }
 
@@ -64,19 +64,19 @@
   none: GatewayRole.UNSPECIFIED,
 };
 
-/** The transaction that a step belongs to. */
+/** The transaction that a step belongs to. The fields are those of the step messages. */
 export interface TransactionPart {
-  /** 0 for a statement by itself. */
+  /** 0 for a statement outside a transaction. */
   readonly transaction: number;
-  /** Whether this is its first step at the gateway. */
+  /** Whether this is the transaction's first step at the gateway. */
   readonly opens: boolean;
   readonly isReadOnly: boolean;
 }
 
-/** A statement by itself. */
+/** For a statement outside a transaction. */
 export const noTransaction: TransactionPart = { transaction: 0, opens: false, isReadOnly: false };
 
-/** Writes a statement's step. */
+/** Encodes the step that runs a statement; `leftMs` is the time left for its answer. */
 export function encodeRun(
   context: SessionContext,
   work: Work,
@@ -87,7 +87,7 @@
   return { case: "run", value: { session, ...part, work: encodeWork(work) } };
 }
 
-/** Writes a commit's step. */
+/** Encodes the step that commits a transaction; `leftMs` is the time left for its answer. */
 export function encodeCommit(
   context: SessionContext,
   { id, text }: { readonly id: string; readonly text: string },
@@ -98,8 +98,8 @@
   return { case: "commit", value: { session, ...part, id, text } };
 }
 
-/** Reads the session's part of a step; nothing comes of one that names no route. */
-export function decodeSession(part: SessionPart | undefined): ForwardedSession | undefined {
+/** Decodes the session's part of a step; undefined when it names no route. */
+export function decodeSession(part: SessionPart | undefined): ServedSession | undefined {
   const route = part === undefined ? undefined : decodeRoute(part);
   if (part === undefined || route === undefined) return undefined;
   const { session, database: name, group, leftMs, maxQueueMs, values, written, team } = part;
@@ -121,7 +121,7 @@
   };
 }
 
-/** Reads a statement; nothing comes of a step without one. */
+/** Decodes a statement; undefined when the step has none. */
 export function decodeWork({ work }: RunStep): Work | undefined {
   switch (work.case) {
     case "access": {
@@ -138,7 +138,7 @@
   }
 }
 
-/** Writes a gateway's answer. */
+/** Encodes a gateway's answer. */
 export function encodeAnswer(answer: GatewayAnswer): MessageInitShape<typeof GatewayReplySchema> {
   const { reply, isWritten, target, role, tries } = answer;
   return {
@@ -153,7 +153,7 @@
   };
 }
 
-/** Reads a gateway's answer. */
+/** Decodes a gateway's answer. */
 export function decodeAnswer(message: GatewayReply): GatewayAnswer {
   const { rows, isWritten, target, tries, mark } = message;
   const reply: Reply = {
@@ -208,7 +208,7 @@
   }
 }
 
-/** One that is not known was written by a later version of the program; it waits behind the others. */
+/** A priority that is unknown here was sent by a newer version of the program and gets the lowest priority. */
 function decodePriority(priority: GatewayPriority): Priority {
   switch (priority) {
     case GatewayPriority.CRITICAL:
@@ -239,7 +239,7 @@
     : ({ case: "error", value: { code: end.code, text: end.text } } as const);
 }
 
-/** An answer without an ending, or with an error that is not known, promises nothing. */
+/** An answer without an ending, or with an unknown error code, leaves open whether the statement ran. */
 function decodeEnding({ end }: GatewayReply): Ending {
   switch (end.case) {
     case "signature":
@@ -249,7 +249,7 @@
       return { type: "error", code: isErrorCode(code) ? code : "inDoubt", text };
     }
     case undefined:
-      return { type: "error", code: "inDoubt", text: "the gateway's answer can't be read" };
+      return { type: "error", code: "inDoubt", text: "the gateway's answer can't be decoded" };
   }
 }
 
--- a/src/gateway/connection.ts
+++ b/src/gateway/connection.ts
@@ -12,132 +12,138 @@
 import { maxFrameBytes } from "./frames.js";
 import { LivenessMonitor } from "./liveness.js";
 
-/** How a call to a gateway ended. */
+/** The result of a call to a gateway. */
 export type ForwardResult =
   | { readonly type: "answered"; readonly answer: GatewayAnswer }
-  /** Nothing has run: that process does not serve the group now. */
+  /** Nothing has run: the gateway does not serve the group now. */
   | { readonly type: "turnedAway"; readonly reason: string }
-  /** Nothing has run, and no gateway would take it: the statement and its session's values are too long. */
+  /** Nothing has run, and no gateway would accept it: the statement and the session's values are too long. */
   | { readonly type: "tooLarge" }
-  /** `sent`: the call may have reached the gateway, and run. */
-  | { readonly type: "broken"; readonly sent: boolean; readonly reason: string };
+  /** When `isSent`, the call may have reached the gateway and run. */
+  | { readonly type: "broken"; readonly isSent: boolean; readonly reason: string };
 
-/** A connection within a data centre opens in 1 ms, on a busy machine some tens more. */
-const connectMs = 250;
-/** Longer than most statements take, 14 to 55 ms, and their queue. */
-const quietMs = 200;
-/** A process that runs answers within this, busy or not. */
-const patienceMs = 250;
-/** More calls than this on one connection at once are turned away here, to bound memory. */
-const maxCalls = 4096;
+/** A connection within a data centre opens in 1 ms, or in some tens of milliseconds on a busy machine. */
+const connectTimeoutMs = 250;
+/** Longer than most statements take with their time in the queue; by themselves they take 14 to 55 ms. */
+const probeAfterMs = 200;
+/** A running process answers a ping within this time even when it is busy. */
+const probeTimeoutMs = 250;
+/** More concurrent calls on one connection fail at once, to bound memory. */
+const maxConcurrentCalls = 4096;
 
 interface Call {
-  readonly end: (result: ForwardResult) => void;
+  readonly settle: (result: ForwardResult) => void;
 }
 
 /**
- * One connection to a gateway, with the calls that are under way on it. Nothing is sent before the
- * gateway's greeting: a process that is being killed may still have connections accepted for it, and what
- * was sent on one would be in doubt, though nobody was there to run it.
+ * A connection to a gateway, with its pending calls. Nothing is sent before the gateway's greeting: for a
+ * process that is being killed, the system may still accept connections, and a statement sent on one would be
+ * in doubt although there was no process to run it.
  */
 export class GatewayConnection {
   private readonly channel: FrameChannel;
   private readonly calls = new Map<number, Call>();
-  private readonly silence: LivenessMonitor;
+  private readonly liveness: LivenessMonitor;
   private readonly connectTimer: NodeJS.Timeout;
   private nextCall = 1;
   private nextTransaction = 1;
   private isGreeted = false;
-  /** What waits for the greeting. */
-  private readonly unsent: Uint8Array[] = [];
+  /** Messages that wait for the greeting. */
+  private readonly queued: Uint8Array[] = [];
 
   constructor(
     address: Address,
     private readonly onEnd: (reason: string) => void,
   ) {
     this.channel = new FrameChannel(connect({ ...address, noDelay: true }), {
-      onData: () => this.silence.recordData(),
+      onData: () => this.liveness.recordData(),
       onFrame: (frame) => this.handle(fromBinary(GatewayResponseSchema, frame)),
-      onClose: (reason) => this.noteEnd(reason),
+      onClose: (reason) => this.handleClose(reason),
     });
-    this.connectTimer = setTimeout(() => this.channel.close("no connection in time"), connectMs);
-    this.silence = new LivenessMonitor({
-      probeAfterMs: quietMs,
-      probeTimeoutMs: patienceMs,
+    this.connectTimer = setTimeout(
+      () => this.channel.close(`no greeting from the gateway within ${connectTimeoutMs} ms`),
+      connectTimeoutMs,
+    );
+    this.liveness = new LivenessMonitor({
+      probeAfterMs,
+      probeTimeoutMs,
       sendProbe: () => this.send({ case: "ping", value: true }),
-      onTimeout: () => this.channel.close("the gateway is silent"),
+      onTimeout: () => this.channel.close("the gateway does not answer"),
     });
   }
 
-  /** False once it broke or was closed. */
+  /** False once the connection broke or was closed. */
   get isOpen(): boolean {
     return this.channel.isOpen;
   }
 
-  /** An id for a transaction that no other on this connection has. */
+  /** Returns an id that no other transaction on this connection has. */
   allocateTransactionId(): number {
     this.nextTransaction += 1;
     return this.nextTransaction - 1;
   }
 
   /**
-   * Sends a step and waits for its answer. Never rejects. After `timeoutMs`, or once the caller has gone,
-   * the gateway is told to give it up, and whatever it answers then reaches nobody.
+   * Sends a step and waits for its answer. Never rejects. After `timeoutMs`, or when `signal` aborts because
+   * the caller has disconnected, the call is cancelled at the gateway and a later answer is ignored.
    */
-  call(step: RequestStep, timeoutMs: number, gone: AbortSignal): Promise<ForwardResult> {
-    if (!this.isOpen || this.calls.size >= maxCalls) {
-      const reason = this.isOpen ? "too much is under way" : "the connection is closed";
-      return Promise.resolve({ type: "broken", sent: false, reason });
+  call(step: RequestStep, timeoutMs: number, signal: AbortSignal): Promise<ForwardResult> {
+    if (!this.isOpen || this.calls.size >= maxConcurrentCalls) {
+      const reason = this.isOpen ? "too many calls are pending" : "the connection is closed";
+      return Promise.resolve({ type: "broken", isSent: false, reason });
     }
     const id = this.nextCall;
     this.nextCall += 1;
     const bytes = encodeRequest(step, id);
-    // Sent all the same it would end the connection, and what others have under way on it.
+    // The gateway would close the connection, and with it the pending calls of other sessions.
     if (bytes.length > maxFrameBytes) return Promise.resolve({ type: "tooLarge" });
     return new Promise((resolve) => {
-      const giveUp = (reason: string) => {
+      const cancel = (reason: string) => {
         this.send({ case: "cancel", value: id });
-        this.calls.get(id)?.end({ type: "broken", sent: this.isGreeted, reason });
+        this.calls.get(id)?.settle({ type: "broken", isSent: this.isGreeted, reason });
       };
-      const onGone = () => giveUp("the caller has gone");
-      const timer = setTimeout(() => giveUp("no answer in time"), Math.max(1, timeoutMs));
-      const end = (result: ForwardResult) => {
+      const onAbort = () => cancel("the caller has disconnected");
+      const timer = setTimeout(
+        () => cancel("the gateway did not answer in time"),
+        Math.max(1, timeoutMs),
+      );
+      const settle = (result: ForwardResult) => {
         clearTimeout(timer);
-        gone.removeEventListener("abort", onGone);
+        signal.removeEventListener("abort", onAbort);
         this.calls.delete(id);
-        this.silence.setAwaiting(this.calls.size > 0);
+        this.liveness.setAwaiting(this.calls.size > 0);
         resolve(result);
       };
-      this.calls.set(id, { end });
-      gone.addEventListener("abort", onGone, { once: true });
+      this.calls.set(id, { settle });
+      signal.addEventListener("abort", onAbort, { once: true });
       this.write(bytes);
-      this.silence.setAwaiting(true);
+      this.liveness.setAwaiting(true);
     });
   }
 
-  /** Sends a step that has no answer. */
+  /** Sends a step that gets no answer. */
   send(step: RequestStep): void {
     this.write(encodeRequest(step, 0));
   }
 
   private write(bytes: Uint8Array): void {
     if (this.isGreeted) this.channel.write(bytes);
-    else this.unsent.push(bytes);
+    else this.queued.push(bytes);
   }
 
-  /** Closes the connection; what is under way ends as broken. */
+  /** Closes the connection; pending calls end as `broken`. */
   close(): void {
-    this.channel.close("closed here");
+    this.channel.close("closed by this process");
   }
 
   private handle({ call, outcome }: GatewayResponse): void {
-    this.noteGreeting();
+    this.handleGreeting();
     switch (outcome.case) {
       case "reply":
-        this.calls.get(call)?.end({ type: "answered", answer: decodeAnswer(outcome.value) });
+        this.calls.get(call)?.settle({ type: "answered", answer: decodeAnswer(outcome.value) });
         return;
       case "turnedAway":
-        this.calls.get(call)?.end({ type: "turnedAway", reason: outcome.value });
+        this.calls.get(call)?.settle({ type: "turnedAway", reason: outcome.value });
         return;
       case "ping":
         this.send({ case: "pong", value: true });
@@ -148,19 +154,19 @@
     }
   }
 
-  /** The first message of a gateway greets. */
-  private noteGreeting(): void {
+  /** The gateway's first message is its greeting, whatever it is. */
+  private handleGreeting(): void {
     if (this.isGreeted) return;
     this.isGreeted = true;
     clearTimeout(this.connectTimer);
-    for (const bytes of this.unsent.splice(0)) this.channel.write(bytes);
+    for (const bytes of this.queued.splice(0)) this.channel.write(bytes);
   }
 
-  private noteEnd(reason: string): void {
+  private handleClose(reason: string): void {
     clearTimeout(this.connectTimer);
-    const sent = this.isGreeted;
-    for (const { end } of [...this.calls.values()]) end({ type: "broken", sent, reason });
-    this.silence.stop();
+    const isSent = this.isGreeted;
+    for (const { settle } of [...this.calls.values()]) settle({ type: "broken", isSent, reason });
+    this.liveness.stop();
     this.onEnd(reason);
   }
 }
--- a/src/gateway/connections.ts
+++ b/src/gateway/connections.ts
@@ -5,52 +5,55 @@
 import { recordGatewayFailure, type GatewayHealth } from "./health.js";
 import { GatewayConnection } from "./connection.js";
 
-/** What connections to gateways need. */
+/** The environment of `GatewayConnections`. */
 export interface GatewayConnectionsPorts {
   readonly clock: Pick<Clock, "now">;
   readonly logger: Logger;
 }
 
-/** This process's connections to gateways, one to each that is in use, and what it has seen of them. */
+/** This process's connections to gateways, one to each that is in use, with its recent failures. */
 export class GatewayConnections implements Disposable {
-  private readonly links = new Map<string, GatewayConnection>();
+  private readonly connections = new Map<string, GatewayConnection>();
   private readonly health = new Map<string, GatewayHealth>();
 
   constructor(private readonly ports: GatewayConnectionsPorts) {}
 
-  /** The connection to a gateway, opened with its first use. */
+  /**
+   * Returns the connection to a gateway, which is opened at its first use; undefined when the proxy takes no
+   * statements of others.
+   */
   open({ vm, gateway }: Proxy): GatewayConnection | undefined {
     if (gateway === undefined) return undefined;
     const key = `${vm} ${gateway.host}:${gateway.port}`;
-    const known = this.links.get(key);
+    const known = this.connections.get(key);
     if (known?.isOpen === true) return known;
-    const link: GatewayConnection = new GatewayConnection(gateway, (reason) => {
-      if (this.links.get(key) === link) this.links.delete(key);
+    const connection: GatewayConnection = new GatewayConnection(gateway, (reason) => {
+      if (this.connections.get(key) === connection) this.connections.delete(key);
       this.recordFailure(vm, reason);
     });
-    this.links.set(key, link);
-    return link;
+    this.connections.set(key, connection);
+    return connection;
   }
 
-  /** Notes that a gateway failed or turned a statement away: others go first for a while. */
+  /** Records that a gateway failed or refused a statement; others are preferred for a while. */
   recordFailure(vm: string, reason: string): void {
     this.ports.logger.write(gatewayEvents.passedOver, { gateway: vm, reason });
     this.health.set(vm, recordGatewayFailure(this.health.get(vm), this.ports.clock.now()));
   }
 
-  /** Notes that a gateway answered. */
+  /** Records that a gateway answered. */
   recordAnswer(vm: string): void {
     this.health.delete(vm);
   }
 
-  /** Whether others are asked before this gateway. */
+  /** Whether other gateways are preferred to this one. */
   isAvoided(vm: string): boolean {
     const until = this.health.get(vm)?.avoidUntil;
     return until !== undefined && this.ports.clock.now() < until;
   }
 
   dispose(): void {
-    for (const link of [...this.links.values()]) link.close();
-    this.links.clear();
+    for (const connection of [...this.connections.values()]) connection.close();
+    this.connections.clear();
   }
 }
--- a/src/gateway/forward.ts
+++ b/src/gateway/forward.ts
@@ -4,41 +4,47 @@
 import type { GatewayConnections } from "./connections.js";
 import type { Destination, DestinationSource } from "./router.js";
 
-/** A gateway refuses by itself what runs out of its time; its word is waited for so long, in milliseconds. */
+/**
+ * A gateway itself refuses a statement that runs out of time. Its answer is waited for this much longer than
+ * the time it was given, in milliseconds.
+ */
 const answerMarginMs = 150;
-/** Below this no answer can come: four network passes and the shortest work, in milliseconds. */
+/** With less time no answer can arrive: it takes four network transfers and the shortest statement. */
 export const minForwardMs = 10;
-/** Why a statement that is too long to be forwarded is refused. */
+/** The reason given when a statement is too long to be forwarded. */
 export const tooLargeReason = "the statement and its session's values are too long together";
-/** A statement that no gateway takes is refused after this, in milliseconds: three looks of a newcomer. */
-const longestWaitMs = 300;
-/** Between two rounds of all ways, in milliseconds: half a newcomer's pause between two looks. */
+/**
+ * A statement that no gateway accepts is refused after this time, in which a gateway that has just been
+ * listed reads the store three times.
+ */
+const maxWaitMs = 300;
+/** The pause between two rounds over all destinations: half the time between two reads of the store. */
 const roundPauseMs = 50;
-/** Kept for the way back: what comes later reaches a caller that has given up. */
-const wayBackMs = 5;
+/** Time kept for returning the answer: a later one reaches a caller that has already given up. */
+const returnMarginMs = 5;
 
-/** How much time a gateway is given for what has to be answered by `deadlineAt`. */
+/** The milliseconds that a gateway is given for a statement that must be answered by `deadlineAt`. */
 export function countRemainingMs({ ports }: SessionContext, deadlineAt: number): number {
-  return deadlineAt - ports.clock.now() - wayBackMs;
+  return deadlineAt - ports.clock.now() - returnMarginMs;
 }
 
-/** Sends one step to a gateway and takes in what that tells of it. */
+/** Sends one step to a gateway, and records the result for the gateway's health and for the trace. */
 export async function forwardStep(
-  links: GatewayConnections,
-  link: GatewayConnection,
+  connections: GatewayConnections,
+  connection: GatewayConnection,
   vm: string,
   context: SessionContext,
   step: RequestStep,
   leftMs: number,
 ): Promise<ForwardResult> {
-  const result = await link.call(step, leftMs + answerMarginMs, context.gone);
+  const result = await connection.call(step, leftMs + answerMarginMs, context.gone);
   switch (result.type) {
     case "answered":
-      links.recordAnswer(vm);
+      connections.recordAnswer(vm);
       context.trace.noteHop(toHop(vm, result.answer));
       break;
     case "turnedAway":
-      links.recordFailure(vm, result.reason);
+      connections.recordFailure(vm, result.reason);
       context.trace.noteReason(`${vm}: ${result.reason}`);
       break;
     case "tooLarge":
@@ -56,26 +62,28 @@
 }
 
 /**
- * Tries the ways of a statement one after the other, and once more after a pause while that is likely to
- * help; nothing where none took it. Whoever knows of others is asked meanwhile: right after a start a node may
- * know of a single gateway, which leaves. A gateway that has just been listed may use no primary until its next
- * look at the store, 0.1 s later; where the one before it leaves meanwhile, every caller was refused.
+ * Tries a statement's destinations one after the other, and again after a pause while that is likely to help.
+ * Returns undefined when none accepted it. A gateway that has just been listed may use no primary until it
+ * next reads the store, 0.1 s later; if its predecessor leaves meanwhile, every caller would be refused
+ * without the further rounds. `onNoneAccepted` is called after each round so that the node looks for other
+ * gateways: right after its start it may know a single one, which is shutting down.
  */
 export async function tryDestinations<T>(
   { ports: { clock }, gone }: SessionContext,
-  { listDestinations: listWays, onNoneAccepted: onNobody }: DestinationSource,
+  { listDestinations, onNoneAccepted }: DestinationSource,
   deadlineAt: number,
-  tryWay: (way: Destination) => Promise<T | undefined>,
+  tryDestination: (destination: Destination) => Promise<T | undefined>,
 ): Promise<T | undefined> {
-  const until = Math.min(deadlineAt, clock.now() + longestWaitMs);
+  const giveUpAt = Math.min(deadlineAt, clock.now() + maxWaitMs);
   for (;;) {
-    const ways = listWays();
-    for (const way of ways) {
-      const found = await tryWay(way);
+    const destinations = listDestinations();
+    for (const destination of destinations) {
+      const found = await tryDestination(destination);
       if (found !== undefined) return found;
     }
-    onNobody();
-    if (ways.length === 0 || gone.aborted || clock.now() + roundPauseMs >= until) return undefined;
+    onNoneAccepted();
+    if (destinations.length === 0 || gone.aborted || clock.now() + roundPauseMs >= giveUpAt)
+      return undefined;
     await clock.sleep(roundPauseMs);
   }
 }
--- a/src/gateway/frames.ts
+++ b/src/gateway/frames.ts
@@ -1,18 +1,21 @@
 import { sizeDelimitedPeek } from "@bufbuild/protobuf/wire";
 
 /**
- * A message may be as long as a caller's longest line, 1 MiB, with each of its bytes as two, and as many
- * values of its session again. In bytes.
+ * The longest message, in bytes. It holds a caller's longest line of 1 MiB, each byte of which may take two
+ * bytes in the message, and the same again for the session's values.
  */
 export const maxFrameBytes = 4 * 1024 * 1024;
 
-const nothing = new Uint8Array(0);
+const noBytes = new Uint8Array(0);
 
-/** Cuts what comes on a connection into messages, each behind its length. */
+/** Splits the data of a connection into length-prefixed messages. */
 export class FrameReader {
-  private rest: Uint8Array = nothing;
+  private rest: Uint8Array = noBytes;
 
-  /** The messages that are whole with this chunk; `tooLong` ends the connection. */
+  /**
+   * Returns the messages that this chunk completes, or `tooLong` when a message exceeds the limit; the
+   * connection must then be closed.
+   */
   push(chunk: Uint8Array): readonly Uint8Array[] | "tooLong" {
     const frames: Uint8Array[] = [];
     let bytes = this.rest.length === 0 ? chunk : Buffer.concat([this.rest, chunk]);
--- a/src/gateway/liveness.ts
+++ b/src/gateway/liveness.ts
@@ -1,34 +1,34 @@
 import { startTimer } from "../peer/patience.js";
 
-/** How silence on a connection is noticed. Times in milliseconds. */
+/** How a dead connection is detected. Times are in milliseconds. */
 export interface LivenessOptions {
-  /** Nothing heard for so long, while something is awaited: the other side is asked for a sign of life. */
+  /** A probe is sent when nothing arrived for this long while something is awaited. */
   readonly probeAfterMs: number;
-  /** Without one for so long after the question the connection counts as lost. */
+  /** The connection counts as lost when nothing arrives for this long after a probe. */
   readonly probeTimeoutMs: number;
   readonly sendProbe: () => void;
   readonly onTimeout: () => void;
 }
 
 /**
- * Notices that a connection on which something is awaited has gone silent: its other end was lost
- * without a word, or something between the two has forgotten it. What waits would do so to its deadline.
- * While nothing is awaited nothing is sent, so that idle connections cost nothing.
+ * Detects a dead connection while something is awaited on it: its other end was lost without closing it, or a
+ * device in between has dropped its state. Without this, pending calls would wait until their deadlines.
+ * While nothing is awaited no probes are sent, so that idle connections cost nothing.
  */
 export class LivenessMonitor {
   private stopTimer: (() => void) | undefined;
-  private hasHeard = false;
+  private hasReceived = false;
 
   constructor(private readonly options: LivenessOptions) {}
 
-  /** Something came. */
+  /** Records that data arrived. */
   recordData(): void {
-    this.hasHeard = true;
+    this.hasReceived = true;
   }
 
-  /** Whether something is awaited now. */
-  setAwaiting(isNeeded: boolean): void {
-    if (!isNeeded) this.stop();
+  /** Sets whether something is awaited on the connection. */
+  setAwaiting(isAwaiting: boolean): void {
+    if (!isAwaiting) this.stop();
     else if (this.stopTimer === undefined) this.waitForData();
   }
 
@@ -38,9 +38,9 @@
   }
 
   private waitForData(): void {
-    this.hasHeard = false;
+    this.hasReceived = false;
     this.stopTimer = startTimer(this.options.probeAfterMs, () => {
-      if (this.hasHeard) this.waitForData();
+      if (this.hasReceived) this.waitForData();
       else this.probe();
     });
   }
@@ -48,7 +48,7 @@
   private probe(): void {
     this.options.sendProbe();
     this.stopTimer = startTimer(this.options.probeTimeoutMs, () => {
-      if (this.hasHeard) this.waitForData();
+      if (this.hasReceived) this.waitForData();
       else this.options.onTimeout();
     });
   }
--- a/src/gateway/route.ts
+++ b/src/gateway/route.ts
@@ -2,43 +2,43 @@
 import { hashPair } from "../policy/index.js";
 import type { GatewayPlan } from "./choose.js";
 
-/** What decides which of a group's gateways a statement goes to. */
+/** What the order of a group's gateways for a statement depends on. */
 export interface RouteQuery {
   readonly group: string;
   readonly needsPrimary: boolean;
-  /** Where the group's primary is, as far as this process knows. */
+  /** The data centre of the group's primary; undefined when this process does not know it. */
   readonly primaryDataCentre: string | undefined;
-  /** This process and its place. */
+  /** This process and its data centre. */
   readonly vm: string;
   readonly dataCentre: string;
 }
 
 /**
- * A group's gateways in the order in which they are asked. What needs the primary goes to its data
- * centre: from elsewhere it would pass between data centres twice, and wait in a queue that does not know
- * of the others before the same slots. A read goes to this data centre; where that has no target, to one
- * with a replica, which one is drawn by this process's name so that all share the load.
+ * A group's gateways, the preferred one first. A statement that needs the primary goes to the primary's data
+ * centre: through a gateway elsewhere it would cross between data centres twice, and wait in a queue that does
+ * not know of the other queues for the same slots. A read goes to this data centre or, when that has no
+ * target, to one with a replica; the hash of this process's name picks which, to distribute the load.
  */
-export function orderGateways(
-  { byDataCentre }: GatewayPlan,
-  question: RouteQuery,
-): readonly Proxy[] {
-  const places = [...byDataCentre.keys()];
-  const ranked = places
-    .map((place) => ({ place, rank: findRank(place, question) }))
-    .sort((a, b) => a.rank - b.rank || drawPlace(a.place, question) - drawPlace(b.place, question));
-  return ranked.flatMap(({ place }) => byDataCentre.get(place) ?? []);
+export function orderGateways({ byDataCentre }: GatewayPlan, query: RouteQuery): readonly Proxy[] {
+  const dataCentres = [...byDataCentre.keys()];
+  const ranked = dataCentres
+    .map((centre) => ({ centre, rank: rankDataCentre(centre, query) }))
+    .sort(
+      (a, b) =>
+        a.rank - b.rank || hashDataCentre(a.centre, query) - hashDataCentre(b.centre, query),
+    );
+  return ranked.flatMap(({ centre }) => byDataCentre.get(centre) ?? []);
 }
 
-function findRank(
-  place: string,
+function rankDataCentre(
+  centre: string,
   { needsPrimary, primaryDataCentre, dataCentre }: RouteQuery,
 ): number {
-  if (needsPrimary && place === primaryDataCentre) return 0;
-  if (place === dataCentre) return 1;
-  return place === primaryDataCentre ? 3 : 2;
+  if (needsPrimary && centre === primaryDataCentre) return 0;
+  if (centre === dataCentre) return 1;
+  return centre === primaryDataCentre ? 3 : 2;
 }
 
-function drawPlace(place: string, { group, vm }: RouteQuery): number {
-  return hashPair(`${group} ${place}`, vm);
+function hashDataCentre(centre: string, { group, vm }: RouteQuery): number {
+  return hashPair(`${group} ${centre}`, vm);
 }
--- a/src/gateway/router.ts
+++ b/src/gateway/router.ts
@@ -3,85 +3,89 @@
 import { chooseGateways, isGateway, listGateways, type GatewayPlan } from "./choose.js";
 import { orderGateways } from "./route.js";
 
-/** Where a statement may be run: over this process's own connections, or at a gateway. */
+/** Where a statement may run: over this process's own connections, or at a gateway. */
 export type Destination =
-  { readonly type: "here" } | { readonly type: "gateway"; readonly gateway: Proxy };
+  { readonly type: "local" } | { readonly type: "gateway"; readonly gateway: Proxy };
 
-/** Where a statement may go, and whom to tell that nobody there took it. */
+/** Lists a statement's destinations. */
 export interface DestinationSource {
   readonly listDestinations: () => readonly Destination[];
+  /** Called when no destination accepted the statement. */
   readonly onNoneAccepted: () => void;
 }
 
-/** What the choice of ways needs to know. */
+/** The environment of a `GatewayRouter`. */
 export interface RouterPorts {
   readonly vm: string;
   readonly dataCentre: string;
-  /** The listed proxies; a new list is a new object. */
+  /** The listed proxies; a changed list must be a new object. */
   readonly listProxies: () => readonly Proxy[];
   readonly findGroup: (group: string) => AnnouncedGroup | undefined;
-  /** Who leads a group as far as this process knows, whether it may act on it or not. */
+  /** The primary of a group as far as this process knows, even while it may not use primaries. */
   readonly findLeader: (group: string) => PrimaryState;
-  /** Whether this process is listed itself, and may hold connections. */
+  /** Whether this process is listed and so may hold connections. */
   readonly isListed: () => boolean;
+  /** Whether other gateways are preferred to this one, because it failed recently. */
   readonly isAvoided: (vm: string) => boolean;
-  /** A statement was taken by nobody that this process knows of. */
+  /** Called when none of the gateways that this process knows accepted a statement. */
   readonly onNoneAccepted: () => void;
 }
 
-/** Gateways that one statement is forwarded to at most, one after the other. */
-const maxWays = 3;
-const nobody: GatewayPlan = { isEveryProxyGateway: false, byDataCentre: new Map() };
+/** The most destinations of one statement, which are tried one after the other. */
+const maxDestinations = 3;
+const emptyPlan: GatewayPlan = { isEveryProxyGateway: false, byDataCentre: new Map() };
 
-interface KnownPlan {
+interface CachedPlan {
   readonly proxies: readonly Proxy[];
   readonly group: AnnouncedGroup;
   readonly plan: GatewayPlan;
 }
 
-/** Decides who runs a group's statements, by the proxies that are listed. */
+/** Decides which proxies run a group's statements, from the list of proxies. */
 export class GatewayRouter {
-  private readonly plans = new Map<string, KnownPlan>();
+  private readonly plans = new Map<string, CachedPlan>();
 
   constructor(private readonly ports: RouterPorts) {}
 
-  /** The ways that a statement may take, the best first; none where no proxy is listed. */
+  /** A statement's destinations, the preferred one first; empty when no proxy is listed. */
   listDestinations(group: string, needsPrimary: boolean): readonly Destination[] {
-    const { vm, dataCentre, isAvoided: isPassedOver } = this.ports;
+    const { vm, dataCentre, isAvoided } = this.ports;
     const plan = this.findPlan(group);
-    const canServe = this.ports.isListed() && !isPassedOver(vm);
-    if (plan.isEveryProxyGateway && canServe) return [here];
-    const primaryDataCentre = this.findPrimaryPlace(group);
-    const question = { group, needsPrimary, primaryDataCentre, vm, dataCentre };
-    const ordered = orderGateways(plan, question);
-    const fit = ordered.filter((proxy) => !isPassedOver(proxy.vm));
-    const avoided = ordered.filter((proxy) => isPassedOver(proxy.vm));
-    const ways = [...fit, ...avoided].slice(0, maxWays).map((gateway) => this.toWay(gateway));
-    // With nobody to ask a listed process runs it over a connection opened for that.
-    return ways.length === 0 && this.ports.isListed() ? [here] : ways;
+    const canServe = this.ports.isListed() && !isAvoided(vm);
+    if (plan.isEveryProxyGateway && canServe) return [localDestination];
+    const primaryDataCentre = this.findPrimaryDataCentre(group);
+    const query = { group, needsPrimary, primaryDataCentre, vm, dataCentre };
+    const ordered = orderGateways(plan, query);
+    const preferred = ordered.filter((proxy) => !isAvoided(proxy.vm));
+    const avoided = ordered.filter((proxy) => isAvoided(proxy.vm));
+    const destinations = [...preferred, ...avoided]
+      .slice(0, maxDestinations)
+      .map((gateway) => this.toDestination(gateway));
+    // Without any gateway a listed process runs the statement over a connection opened for it.
+    return destinations.length === 0 && this.ports.isListed() ? [localDestination] : destinations;
   }
 
-  /** The ways of one statement, listed anew with each round of tries. */
+  /** The destinations of one statement, computed again for each round of attempts. */
   createDestinationSource(group: string, needsPrimary: boolean): DestinationSource {
-    const { onNoneAccepted: onNobody } = this.ports;
+    const { onNoneAccepted } = this.ports;
     return {
       listDestinations: () => this.listDestinations(group, needsPrimary),
-      onNoneAccepted: onNobody,
+      onNoneAccepted,
     };
   }
 
-  /** The proxies that hold a group's connections. */
+  /** The proxies that hold connections to a group's targets. */
   listGroupGateways(group: string): readonly Proxy[] {
     const plan = this.findPlan(group);
     return plan.isEveryProxyGateway ? this.ports.listProxies() : listGateways(plan);
   }
 
-  /** Whether this process holds a group's connections. */
+  /** Whether this process holds connections to a group's targets. */
   isGateway(group: string): boolean {
     return this.ports.isListed() && isGateway(this.findPlan(group), this.ports.vm);
   }
 
-  /** What this process holds of the connections to a group's targets in one data centre. */
+  /** This process's part of the connections to a group's targets in one data centre. */
   findHolding(group: string, dataCentre: string): Holding {
     if (!this.isGateway(group)) return { type: "none" };
     const plan = this.findPlan(group);
@@ -91,23 +95,23 @@
     return { type: "chosen", proxies, isFirst: first?.vm === this.ports.vm };
   }
 
-  private toWay(gateway: Proxy): Destination {
-    const isHere = gateway.vm === this.ports.vm && this.ports.isListed();
-    return isHere ? here : { type: "gateway", gateway };
+  private toDestination(gateway: Proxy): Destination {
+    const isLocal = gateway.vm === this.ports.vm && this.ports.isListed();
+    return isLocal ? localDestination : { type: "gateway", gateway };
   }
 
-  private findPrimaryPlace(group: string): string | undefined {
+  private findPrimaryDataCentre(group: string): string | undefined {
     const leader = this.ports.findLeader(group);
     if (leader.type !== "serving") return undefined;
     const targets = this.ports.findGroup(group)?.targets ?? [];
     return targets.find(({ name }) => name === leader.target)?.dataCentre;
   }
 
-  /** The plan of a group, made anew once the proxies or the group's targets have changed. */
+  /** The plan of a group, computed again when the list of proxies or the group has changed. */
   private findPlan(name: string): GatewayPlan {
     const proxies = this.ports.listProxies();
     const group = this.ports.findGroup(name);
-    if (group === undefined) return nobody;
+    if (group === undefined) return emptyPlan;
     const known = this.plans.get(name);
     if (known?.proxies === proxies && known.group === group) return known.plan;
     const plan = chooseGateways(group, proxies);
@@ -116,4 +120,4 @@
   }
 }
 
-const here: Destination = { type: "here" };
+const localDestination: Destination = { type: "local" };
--- a/src/gateway/runner.ts
+++ b/src/gateway/runner.ts
@@ -21,55 +21,63 @@
   tryDestinations,
 } from "./forward.js";
 
-/** Runs work here where this process holds the group's connections, else at one of its gateways. */
+/** Runs statements locally when this process holds the group's connections, else at a gateway. */
 export class RoutedRunner implements WorkRunner {
   constructor(
     private readonly router: GatewayRouter,
-    private readonly links: GatewayConnections,
+    private readonly connections: GatewayConnections,
   ) {}
 
   async runSingle(context: SessionContext, work: Work, arrivedAt: number): Promise<StatementEnd> {
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
-    const ways = this.router.createDestinationSource(
+    const source = this.router.createDestinationSource(
       context.group.name,
       needsPrimary(context, work),
     );
-    const end = await tryDestinations(context, ways, deadlineAt, async (way) =>
-      way.type === "here"
+    const end = await tryDestinations(context, source, deadlineAt, async (destination) =>
+      destination.type === "local"
         ? directRunner.runSingle(context, work, arrivedAt)
-        : this.tryAt(way, context, work, deadlineAt),
+        : this.tryGateway(destination, context, work, deadlineAt),
     );
     return end ?? { reply: refuseWithoutGateway(context, work.id, "idle") };
   }
 
   openTransaction(isReadOnly: boolean): OpenTransaction {
-    return new RoutedTransaction(isReadOnly, this.router, this.links);
+    return new RoutedTransaction(isReadOnly, this.router, this.connections);
   }
 
-  /** One trip; gives the answer, or nothing when another gateway may be asked. */
-  private async tryAt(
+  /** Forwards the statement to one gateway. Undefined means that another gateway may be tried. */
+  private async tryGateway(
     { gateway }: Extract<Destination, { type: "gateway" }>,
     context: SessionContext,
     work: Work,
     deadlineAt: number,
   ): Promise<StatementEnd | undefined> {
     const leftMs = countRemainingMs(context, deadlineAt);
-    const link = this.links.open(gateway);
-    if (link === undefined || leftMs < minForwardMs || context.gone.aborted) return undefined;
+    const connection = this.connections.open(gateway);
+    if (connection === undefined || leftMs < minForwardMs || context.gone.aborted) return undefined;
     const step = encodeRun(context, work, leftMs, noTransaction);
-    const result = await forwardStep(this.links, link, gateway.vm, context, step, leftMs);
+    const result = await forwardStep(
+      this.connections,
+      connection,
+      gateway.vm,
+      context,
+      step,
+      leftMs,
+    );
     return interpretResult(result, findEffect(work));
   }
 }
 
-/** What needs the primary itself, as far as it can be told here; the gateway may find that more does. */
+/** Whether the statement certainly needs the primary. The gateway may find that others need it as well. */
 function needsPrimary({ database }: SessionContext, work: Work): boolean {
   return findEffect(work) === "write" || database.action.route.type === "primary";
 }
 
 /**
- * What follows from a trip; nothing where another gateway may be asked. A write that left and was not
- * answered may have run, and must never be sent again; a read has no effect to repeat.
+ * The end of a statement by the result of forwarding it; undefined means that another gateway may be tried.
+ * A write that was sent and not answered may have run, and must never be sent again. A read may be, since it
+ * has no effect.
  */
 export function interpretResult(result: ForwardResult, effect: Effect): StatementEnd | undefined {
   switch (result.type) {
@@ -80,7 +88,7 @@
     case "tooLarge":
       return { reply: failLocally("tooLarge", tooLargeReason, "idle") };
     case "broken": {
-      if (!result.sent || effect === "read") return undefined;
+      if (!result.isSent || effect === "read") return undefined;
       return { reply: failLocally("inDoubt", `may have run: ${result.reason}`, "idle") };
     }
   }
--- a/src/gateway/served.ts
+++ b/src/gateway/served.ts
@@ -27,41 +27,41 @@
 import { FrameChannel } from "./channel.js";
 import { LivenessMonitor } from "./liveness.js";
 
-/** What serving other nodes needs. */
+/** The environment of a `ServedConnection`. */
 export interface ServedConnectionPorts {
   readonly direct: DirectPorts;
   readonly groups: GroupDirectory;
-  /** Why this process does not serve a group now; absent while it does. */
+  /** Why this process does not serve a group now; undefined while it does. */
   readonly findRefusal: (group: string) => string | undefined;
   readonly nextId: () => string;
 }
 
 type ResponseOutcome = NonNullable<MessageInitShape<typeof GatewayResponseSchema>["outcome"]>;
 
-/** A node with an open transaction that says nothing for this long is asked for a sign of life. */
-const quietMs = 500;
-/** Twice what a busy process takes to answer: what a false alarm ends is rolled back. */
-const patienceMs = 500;
-/** A node ends a transaction that rests for too long; its gateway does so this much later, in milliseconds. */
+/** A node with an open transaction is probed when nothing arrived from it for this long. */
+const probeAfterMs = 500;
+/** Twice the time a busy process takes to answer, since a false alarm rolls transactions back. */
+const probeTimeoutMs = 500;
+/** A node ends a transaction that is idle for too long; its gateway does so this much later. */
 const idleMarginMs = 1000;
-/** More at once from one node than this are turned away, to bound memory. */
-const maxCalls = 4096;
+/** More concurrent calls and transactions of one node are refused, to bound memory. */
+const maxConcurrentCalls = 4096;
 const maxTransactions = 1024;
 
 interface ServedTransaction {
   readonly body: OpenTransaction;
   readonly context: SessionContext;
-  stopRest?: () => void;
-  /** Its node has ended it while a statement of it was on its way. */
+  stopIdleTimer?: () => void;
+  /** Whether its node ended it while one of its statements was running. */
   isEnded?: boolean;
 }
 
-/** The gateway's end of one connection: runs what a node forwards. */
+/** The gateway's end of a connection: runs the statements that a node forwards. */
 export class ServedConnection {
   private readonly calls = new Map<number, AbortController>();
   private readonly transactions = new Map<number, ServedTransaction>();
   private readonly channel: FrameChannel;
-  private readonly silence: LivenessMonitor;
+  private readonly liveness: LivenessMonitor;
 
   constructor(
     socket: Socket,
@@ -69,44 +69,44 @@
     private readonly onEnd: () => void,
   ) {
     this.channel = new FrameChannel(socket, {
-      onData: () => this.silence.recordData(),
+      onData: () => this.liveness.recordData(),
       onFrame: (frame) => this.handle(fromBinary(GatewayRequestSchema, frame)),
-      onClose: (reason) => this.noteEnd(reason),
+      onClose: (reason) => this.handleClose(reason),
     });
-    this.silence = new LivenessMonitor({
-      probeAfterMs: quietMs,
-      probeTimeoutMs: patienceMs,
+    this.liveness = new LivenessMonitor({
+      probeAfterMs,
+      probeTimeoutMs,
       sendProbe: () => this.send(0, { case: "ping", value: true }),
-      onTimeout: () => this.channel.close("the node is silent"),
+      onTimeout: () => this.channel.close("the node does not answer"),
     });
-    // The greeting: from now on what the node sends may be run.
+    // The greeting: from now on the node may send steps.
     this.send(0, { case: "pong", value: true });
   }
 
-  /** What is under way for the node. */
+  /** The number of the node's running calls and open transactions. */
   get activeCount(): number {
     return this.calls.size + this.transactions.size;
   }
 
-  /** Rolls back the transactions that rest between two statements: their time to end is over. */
+  /** Rolls back transactions that are idle between two statements, once the time to end them has passed. */
   rollBackIdleTransactions(): void {
     for (const [id, { body }] of this.transactions) {
       if (!body.isRunning) this.endTransaction(id);
     }
   }
 
-  /** Ends the connection, with all that is under way on it. */
+  /** Closes the connection and ends all calls and transactions on it. */
   close(): void {
-    this.channel.close("closed here");
+    this.channel.close("closed by this process");
   }
 
   private handle({ call, step }: GatewayRequest): void {
     switch (step.case) {
       case "run":
-        this.serve(this.run(call, step.value));
+        this.superviseRun(this.run(call, step.value));
         return;
       case "commit":
-        this.serve(this.commit(call, step.value));
+        this.superviseRun(this.commit(call, step.value));
         return;
       case "rollback":
         this.endTransaction(step.value);
@@ -123,19 +123,19 @@
     }
   }
 
-  /** A fault of this program ends one node's connection, which counts what was under way as in doubt. */
-  private serve(run: Promise<void>): void {
+  /** On a fault of this program, closes the connection; the node counts its pending calls as in doubt. */
+  private superviseRun(run: Promise<void>): void {
     run.catch((error: unknown) => {
       this.ports.direct.logger.write(gatewayEvents.servedBroken, { reason: String(error) });
-      this.channel.close("a statement's run has failed");
+      this.channel.close("running a statement failed with an internal error");
     });
   }
 
-  /** Runs one statement, by itself or in a transaction. */
+  /** Runs one statement, inside or outside a transaction. */
   private async run(call: number, step: RunStep): Promise<void> {
     const work = decodeWork(step);
     if (work === undefined) {
-      this.refuse(call, "the message names no statement");
+      this.refuse(call, "the message contains no statement");
       return;
     }
     const context = this.admit(call, step.session, step.transaction !== 0 && !step.opens);
@@ -150,10 +150,10 @@
     await this.answer(call, context, async () => ({
       reply:
         held === undefined
-          ? lostTransaction("failed")
+          ? createLostReply("failed")
           : await held.body.run(context, work, context.ports.clock.now()),
     }));
-    this.noteStatementEnd(step.transaction, held);
+    this.handleStatementEnd(step.transaction, held);
   }
 
   private async commit(call: number, step: CommitStep): Promise<void> {
@@ -163,16 +163,17 @@
     const held = this.findTransaction(step, context);
     await this.answer(call, context, async () =>
       held === undefined
-        ? { reply: lostTransaction("idle") }
+        ? { reply: createLostReply("idle") }
         : held.body.commit(context, id, text, context.ports.clock.now()),
     );
     this.transactions.delete(transaction);
-    this.noteAwaited();
+    this.updateLiveness();
   }
 
   /**
-   * What a statement's run needs; nothing where it is turned away, unrun. What belongs to an open
-   * transaction is never turned away: its connection is here.
+   * Builds the context for running a step; undefined when the step is refused and nothing has run. Steps of an
+   * open transaction (`isHeld`) are accepted even while the group is not served, since the transaction's
+   * connection is held here.
    */
   private admit(
     call: number,
@@ -181,23 +182,23 @@
   ): SessionContext | undefined {
     const session = decodeSession(part);
     if (session === undefined) {
-      this.refuse(call, "the message names no route");
+      this.refuse(call, "the message contains no known route");
       return undefined;
     }
     const name = session.database.group;
     const group = this.ports.groups.find(name);
     const refusal = isHeld ? undefined : this.ports.findRefusal(name);
     if (group === undefined || refusal !== undefined) {
-      this.refuse(call, refusal ?? `no group ${name} is known here`);
+      this.refuse(call, refusal ?? `the group ${name} is unknown to this gateway`);
       return undefined;
     }
     const team = this.findTeam(session.teamName);
     if (team === "unknown") {
-      this.refuse(call, `no team ${session.teamName ?? ""} is known here`);
+      this.refuse(call, `the team ${session.teamName ?? ""} is unknown to this gateway`);
       return undefined;
     }
-    if (this.calls.size >= maxCalls || this.transactions.size >= maxTransactions) {
-      this.refuse(call, "too much is under way for this node");
+    if (this.calls.size >= maxConcurrentCalls || this.transactions.size >= maxTransactions) {
+      this.refuse(call, "too many calls or transactions of this node are pending");
       return undefined;
     }
     const abort = new AbortController();
@@ -208,8 +209,8 @@
   }
 
   /**
-   * The team as this process's configuration knows it. The node that forwards has looked the key up; what
-   * bounds the team is looked up here, where its statements are sent from.
+   * Finds the team in this process's configuration. The forwarding node has already checked the caller's key;
+   * the team's limits are applied here, where its statements are sent to targets.
    */
   private findTeam(name: string | undefined): Team | "unknown" | undefined {
     if (name === undefined) return undefined;
@@ -225,11 +226,11 @@
       this.transactions.set(id, { body, context });
     }
     const held = this.transactions.get(id);
-    stopIdle(held);
+    cancelIdleTimer(held);
     return held;
   }
 
-  /** Runs what was asked and sends its answer; the caller of one that was given up hears nothing. */
+  /** Runs a step and sends its answer, which the node ignores if it has cancelled the call. */
   private async answer(
     call: number,
     { trace }: SessionContext,
@@ -246,11 +247,12 @@
   }
 
   /**
-   * A transaction that has failed holds nothing any more; one that is open may rest only for so long. One
-   * that its node ended meanwhile has only now a connection that can be given back: rolled back before its
-   * first statement was placed, it would hold one, with its slot, for good, and the gateway would run out of them.
+   * Removes a failed transaction, which holds nothing any more, and limits how long an open one may be idle.
+   * A transaction that its node ended during the statement is rolled back only now, when its connection can be
+   * released. If it were rolled back before its first statement got a connection, that connection and its
+   * slot would be held for ever, and the gateway would run out of them.
    */
-  private noteStatementEnd(id: number, held: ServedTransaction | undefined): void {
+  private handleStatementEnd(id: number, held: ServedTransaction | undefined): void {
     if (held === undefined) return;
     if (held.isEnded === true) {
       held.body.rollback(held.context);
@@ -261,7 +263,7 @@
       return;
     }
     const limitMs = this.ports.direct.scene().transactionIdleMs + idleMarginMs;
-    held.stopRest = watchRest({
+    held.stopIdleTimer = watchRest({
       limitMs,
       isWanted: () => held.body.isWanted,
       end: (restedMs) => {
@@ -270,21 +272,21 @@
         this.endTransaction(id);
       },
     });
-    this.noteAwaited();
+    this.updateLiveness();
   }
 
   private endTransaction(id: number): void {
     const held = this.transactions.get(id);
     this.transactions.delete(id);
-    stopIdle(held);
+    cancelIdleTimer(held);
     if (held?.body.isRunning === true) held.isEnded = true;
     else held?.body.rollback(held.context);
-    this.noteAwaited();
+    this.updateLiveness();
   }
 
-  /** Of an open transaction's node something must come: its end would free the connection. */
-  private noteAwaited(): void {
-    this.silence.setAwaiting(this.channel.isOpen && this.transactions.size > 0);
+  /** Monitors the connection while transactions are open: if the node is lost, they must be rolled back. */
+  private updateLiveness(): void {
+    this.liveness.setAwaiting(this.channel.isOpen && this.transactions.size > 0);
   }
 
   private refuse(call: number, reason: string): void {
@@ -298,9 +300,9 @@
     this.channel.write(sizeDelimitedEncode(GatewayResponseSchema, message));
   }
 
-  /** What waits gives up, and open transactions are rolled back at once. */
-  private noteEnd(reason: string): void {
-    this.silence.stop();
+  /** Cancels running calls and rolls back open transactions at once. */
+  private handleClose(reason: string): void {
+    this.liveness.stop();
     for (const abort of this.calls.values()) abort.abort();
     for (const id of [...this.transactions.keys()]) this.endTransaction(id);
     this.ports.direct.logger.write(gatewayEvents.servedClosed, { reason });
@@ -308,10 +310,10 @@
   }
 }
 
-function stopIdle(held: ServedTransaction | undefined): void {
-  held?.stopRest?.();
+function cancelIdleTimer(held: ServedTransaction | undefined): void {
+  held?.stopIdleTimer?.();
 }
 
-function lostTransaction(state: "idle" | "failed"): Reply {
-  return failLocally("aborted", "the transaction has ended at its gateway", state);
+function createLostReply(state: "idle" | "failed"): Reply {
+  return failLocally("aborted", "the transaction has already ended at its gateway", state);
 }
--- a/src/gateway/server.ts
+++ b/src/gateway/server.ts
@@ -2,13 +2,13 @@
 import type { Address, Disposable } from "../model/index.js";
 import { ServedConnection, type ServedConnectionPorts } from "./served.js";
 
-/** Waiting connections: after a loss of power all nodes connect within a second. */
+/** Connections that may wait to be accepted: after a loss of power all nodes connect within a second. */
 const backlog = 1024;
 
-/** Serves other nodes' statements over this process's connections to targets. */
+/** Runs other nodes' statements over this process's connections to targets. */
 export class GatewayServer implements Disposable {
   private readonly server: Server;
-  private readonly links = new Set<ServedConnection>();
+  private readonly connections = new Set<ServedConnection>();
 
   constructor(
     private readonly address: Address,
@@ -25,25 +25,25 @@
     });
   }
 
-  /** Statements and transactions that are under way for other nodes. */
+  /** The number of statements that run and transactions that are open for other nodes. */
   countActive(): number {
-    return [...this.links].reduce((sum, link) => sum + link.activeCount, 0);
+    return [...this.connections].reduce((sum, connection) => sum + connection.activeCount, 0);
   }
 
-  /** Rolls back open transactions, which have had their time. */
+  /** Rolls back transactions that are idle between two statements, once the time to end them has passed. */
   rollBackIdleTransactions(): void {
-    for (const link of this.links) link.rollBackIdleTransactions();
+    for (const connection of this.connections) connection.rollBackIdleTransactions();
   }
 
   dispose(): void {
     this.server.close();
-    for (const link of this.links) link.close();
+    for (const connection of this.connections) connection.close();
   }
 
   private accept(socket: Socket): void {
-    const link: ServedConnection = new ServedConnection(socket, this.ports, () =>
-      this.links.delete(link),
+    const connection: ServedConnection = new ServedConnection(socket, this.ports, () =>
+      this.connections.delete(connection),
     );
-    this.links.add(link);
+    this.connections.add(connection);
   }
 }
--- a/src/gateway/transaction.ts
+++ b/src/gateway/transaction.ts
@@ -25,56 +25,56 @@
   tryDestinations,
 } from "./forward.js";
 
-/** Where a transaction is. */
-type Place =
+/** Where a transaction runs. */
+type Location =
   | { readonly type: "none" }
-  | { readonly type: "here"; readonly body: OpenTransaction }
+  | { readonly type: "local"; readonly body: OpenTransaction }
   | {
       readonly type: "gateway";
       readonly vm: string;
-      readonly link: GatewayConnection;
+      readonly connection: GatewayConnection;
       readonly id: number;
     }
-  /** It failed or ended; nothing is held anywhere. */
+  /** It failed or ended, and holds no connection. */
   | { readonly type: "over" };
 
-/** A step of a transaction, built for the gateway that it goes to. */
+/** Builds a step of a transaction for the gateway that it is sent to. */
 type BuildStep = (leftMs: number, part: TransactionPart) => RequestStep;
 
 /**
- * A transaction that is run here or at one gateway, where its connection is held from the first statement
- * to the end. Until its commit is sent nothing of it is kept, whatever happens to the way there: a
- * gateway rolls back what it holds for a node as soon as that node's connection ends.
+ * A transaction that runs locally or at one gateway, which holds its connection to the target from the first
+ * statement to the end. Until its commit is sent none of its changes last, even if the gateway is lost: a
+ * gateway rolls back a node's transactions as soon as that node's connection ends.
  */
 export class RoutedTransaction implements OpenTransaction {
-  private place: Place = { type: "none" };
+  private location: Location = { type: "none" };
   private hasWritten = false;
   private isBusy = false;
 
   constructor(
     private readonly isReadOnly: boolean,
     private readonly router: GatewayRouter,
-    private readonly links: GatewayConnections,
+    private readonly connections: GatewayConnections,
   ) {}
 
   get state(): SessionState {
-    if (this.place.type === "here") return this.place.body.state;
-    return this.place.type === "over" ? "failed" : "transaction";
+    if (this.location.type === "local") return this.location.body.state;
+    return this.location.type === "over" ? "failed" : "transaction";
   }
 
   get isRunning(): boolean {
     return this.isBusy;
   }
 
-  /** What is held at a gateway is that gateway's to end. */
+  /** Only for local transactions; a gateway itself ends those that hold a connection others wait for. */
   get isWanted(): boolean {
-    return this.place.type === "here" && this.place.body.isWanted;
+    return this.location.type === "local" && this.location.body.isWanted;
   }
 
   async run(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
     this.isBusy = true;
     try {
-      return await this.runNow(context, work, arrivedAt);
+      return await this.runStep(context, work, arrivedAt);
     } finally {
       this.isBusy = false;
     }
@@ -88,8 +88,8 @@
   ): Promise<StatementEnd> {
     this.isBusy = true;
     try {
-      const end = await this.commitNow(context, id, text, arrivedAt);
-      this.place = { type: "over" };
+      const end = await this.commitStep(context, id, text, arrivedAt);
+      this.location = { type: "over" };
       return end;
     } finally {
       this.isBusy = false;
@@ -97,142 +97,156 @@
   }
 
   rollback(context: SessionContext): void {
-    const { place } = this;
-    this.place = { type: "over" };
-    if (place.type === "here") place.body.rollback(context);
-    if (place.type === "gateway") place.link.send({ case: "rollback", value: place.id });
+    const { location } = this;
+    this.location = { type: "over" };
+    if (location.type === "local") location.body.rollback(context);
+    if (location.type === "gateway")
+      location.connection.send({ case: "rollback", value: location.id });
   }
 
-  private async runNow(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
-    if (this.place.type === "over") {
+  private async runStep(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
+    if (this.location.type === "over") {
       return failLocally("malformed", "the transaction has failed; roll it back", "failed");
     }
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
     const build: BuildStep = (leftMs, part) => encodeRun(context, work, leftMs, part);
     const result = await this.send(context, build, deadlineAt);
-    if (result === "here") return this.runHere(context, work, arrivedAt);
+    if (result === "local") return this.runLocally(context, work, arrivedAt);
     if (result === undefined) {
-      this.place = { type: "over" };
+      this.location = { type: "over" };
       return refuseWithoutGateway(context, work.id, "failed");
     }
-    return this.takeResult(context, work, result);
+    return this.handleResult(context, work, result);
   }
 
-  private async runHere(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
-    if (this.place.type !== "here") throw new Error("a transaction that runs here has its body");
-    return this.place.body.run(context, work, arrivedAt);
+  private async runLocally(context: SessionContext, work: Work, arrivedAt: number): Promise<Reply> {
+    if (this.location.type !== "local") throw new Error("a local transaction has no body");
+    return this.location.body.run(context, work, arrivedAt);
   }
 
-  private takeResult(context: SessionContext, work: Work, result: ForwardResult): Reply {
+  private handleResult(context: SessionContext, work: Work, result: ForwardResult): Reply {
     if (result.type !== "answered") return this.abort(context, work.id, describeFailure(result));
     const { reply } = result.answer;
-    if (reply.state !== "transaction") this.place = { type: "over" };
+    if (reply.state !== "transaction") this.location = { type: "over" };
     if (reply.end.type === "complete" && findEffect(work) === "write") this.hasWritten = true;
     return reply;
   }
 
-  private async commitNow(
+  private async commitStep(
     context: SessionContext,
     id: string,
     text: string,
     arrivedAt: number,
   ): Promise<StatementEnd> {
-    if (this.place.type === "over") {
+    if (this.location.type === "over") {
       const reply = failLocally("aborted", "the transaction failed and was rolled back", "idle");
       return { reply };
     }
     const deadlineAt = arrivedAt + context.database.action.deadlineMs;
     const build: BuildStep = (leftMs, part) => encodeCommit(context, { id, text }, leftMs, part);
     const result = await this.send(context, build, deadlineAt);
-    if (result === "here") {
-      if (this.place.type !== "here") throw new Error("a transaction that runs here has its body");
-      return this.place.body.commit(context, id, text, arrivedAt);
+    if (result === "local") {
+      if (this.location.type !== "local") throw new Error("a local transaction has no body");
+      return this.location.body.commit(context, id, text, arrivedAt);
     }
     if (result === undefined) return { reply: refuseWithoutGateway(context, id, "idle") };
-    return this.takeCommitResult(context, id, result);
+    return this.handleCommitResult(context, id, result);
   }
 
-  /** A transaction that wrote nothing leaves nothing behind, whether its commit ran or not. */
-  private takeCommitResult(
+  /**
+   * Only a transaction that has written can be in doubt: without writes it makes no difference whether the
+   * commit ran.
+   */
+  private handleCommitResult(
     context: SessionContext,
     id: string,
     result: ForwardResult,
   ): StatementEnd {
     if (result.type === "answered") return toStatementEnd(result.answer);
     const reason = describeFailure(result);
-    const maySent = result.type === "broken" && result.sent && this.hasWritten;
-    if (!maySent) return { reply: { ...this.abort(context, id, reason), state: "idle" } };
+    const mayHaveCommitted = result.type === "broken" && result.isSent && this.hasWritten;
+    if (!mayHaveCommitted) return { reply: { ...this.abort(context, id, reason), state: "idle" } };
     context.ports.logger.write(directEvents.commitUnanswered, { id, reason });
     return { reply: failLocally("inDoubt", `the commit may have run: ${reason}`, "idle") };
   }
 
-  /** Sends a step to where the transaction is, or to the first gateway that takes it. */
+  /**
+   * Sends a step to the transaction's gateway, or to the first destination that accepts it. Returns `local` when
+   * the transaction runs in this process, undefined when no destination accepted it.
+   */
   private async send(
     context: SessionContext,
     build: BuildStep,
     deadlineAt: number,
-  ): Promise<ForwardResult | "here" | undefined> {
-    const { place, isReadOnly } = this;
-    switch (place.type) {
+  ): Promise<ForwardResult | "local" | undefined> {
+    const { location, isReadOnly } = this;
+    switch (location.type) {
       case "none":
         return this.open(context, build, deadlineAt);
-      case "here":
-        return "here";
+      case "local":
+        return "local";
       case "gateway": {
-        const { vm, link, id: transaction } = place;
+        const { vm, connection, id: transaction } = location;
         const leftMs = Math.max(1, countRemainingMs(context, deadlineAt));
         const step = build(leftMs, { transaction, opens: false, isReadOnly });
-        return forwardStep(this.links, link, vm, context, step, leftMs);
+        return forwardStep(this.connections, connection, vm, context, step, leftMs);
       }
       case "over":
         return undefined;
     }
   }
 
-  /** Sends the first step to whoever takes it. */
+  /** Sends the first step to the first destination that accepts it. */
   private async open(
     context: SessionContext,
     build: BuildStep,
     deadlineAt: number,
-  ): Promise<ForwardResult | "here" | undefined> {
+  ): Promise<ForwardResult | "local" | undefined> {
     const needsPrimary = !this.isReadOnly || context.database.action.route.type === "primary";
-    const ways = this.router.createDestinationSource(context.group.name, needsPrimary);
-    return tryDestinations<ForwardResult | "here">(context, ways, deadlineAt, async (way) => {
-      if (way.type === "gateway") return this.openAt(way, context, build, deadlineAt);
-      this.place = { type: "here", body: directRunner.openTransaction(this.isReadOnly) };
-      return "here";
-    });
+    const source = this.router.createDestinationSource(context.group.name, needsPrimary);
+    return tryDestinations<ForwardResult | "local">(
+      context,
+      source,
+      deadlineAt,
+      async (destination) => {
+        if (destination.type === "gateway")
+          return this.openAtGateway(destination, context, build, deadlineAt);
+        this.location = { type: "local", body: directRunner.openTransaction(this.isReadOnly) };
+        return "local";
+      },
+    );
   }
 
   /**
-   * Sends the first step to one gateway. Nothing has run before its answer, and what a broken connection
-   * leaves behind is rolled back, so that another gateway may be tried each time.
+   * Sends the first step to one gateway. Whenever that fails another gateway may be tried: nothing of the
+   * transaction has been committed, and what it did at a gateway whose connection breaks is rolled back there.
    */
-  private async openAt(
+  private async openAtGateway(
     { gateway }: Extract<Destination, { type: "gateway" }>,
     context: SessionContext,
     build: BuildStep,
     deadlineAt: number,
   ): Promise<ForwardResult | undefined> {
     const leftMs = countRemainingMs(context, deadlineAt);
-    const link = this.links.open(gateway);
-    if (link === undefined || leftMs < minForwardMs || context.gone.aborted) return undefined;
-    const transaction = link.allocateTransactionId();
+    const connection = this.connections.open(gateway);
+    if (connection === undefined || leftMs < minForwardMs || context.gone.aborted) return undefined;
+    const transaction = connection.allocateTransactionId();
     const { vm } = gateway;
-    this.place = { type: "gateway", vm, link, id: transaction };
+    this.location = { type: "gateway", vm, connection, id: transaction };
     const step = build(leftMs, { transaction, opens: true, isReadOnly: this.isReadOnly });
-    const result = await forwardStep(this.links, link, vm, context, step, leftMs);
+    const result = await forwardStep(this.connections, connection, vm, context, step, leftMs);
     if (result.type === "answered" || result.type === "tooLarge") return result;
-    link.send({ case: "rollback", value: transaction });
+    connection.send({ case: "rollback", value: transaction });
     return undefined;
   }
 
   private abort(context: SessionContext, id: string, reason: string): Reply {
     const { logger } = context.ports;
     logger.write(directEvents.transactionLost, { id, session: context.session, reason });
-    const { place } = this;
-    if (place.type === "gateway") place.link.send({ case: "rollback", value: place.id });
-    this.place = { type: "over" };
+    const { location } = this;
+    if (location.type === "gateway")
+      location.connection.send({ case: "rollback", value: location.id });
+    this.location = { type: "over" };
     return failLocally("aborted", `rolled back: ${reason}`, "failed");
   }
 }
--- a/test/gateway/builders.ts
+++ b/test/gateway/builders.ts
@@ -1,7 +1,7 @@
 import type { AnnouncedGroup } from "../../src/direct/index.js";
 import type { Proxy } from "../../src/leadership/index.js";
 
-/** A listed proxy that takes other nodes' statements. */
+/** Creates a listed proxy that accepts other nodes' statements. */
 export function makeProxy(index: number, dataCentre = "a"): Proxy {
   const host = `10.0.${Math.floor(index / 250)}.${(index % 250) + 1}`;
   return {
@@ -13,7 +13,7 @@
   };
 }
 
-/** A group with one target in each data centre, the first of them primary. */
+/** Creates a group with one target in each data centre; the first target is the primary. */
 export function makeGroup(options: {
   readonly connections: number;
   readonly dataCentres: readonly string[];
--- a/test/gateway/choose.test.ts
+++ b/test/gateway/choose.test.ts
@@ -12,18 +12,18 @@
 import { makeGroup, makeProxy } from "./builders.js";
 
 const seed = 71;
-const places = ["a", "b", "c", "d"];
-/** So few connections that a fleet of these tests can't hold one each. */
+const dataCentres = ["a", "b", "c", "d"];
+/** With so few connections the proxies of these fleets can't each hold one. */
 const group = makeGroup({ connections: 8, dataCentres: ["a", "b", "c"] });
 
 const fleets = fc
   .integer({ min: 16, max: 60 })
-  .map((count) => Array.from({ length: count }, (_, i) => makeProxy(i, places[i % 4])));
+  .map((count) => Array.from({ length: count }, (_, i) => makeProxy(i, dataCentres[i % 4])));
 
 const list = (proxies: readonly Proxy[], name = group.name) =>
   listGateways(chooseGateways({ ...group, name }, proxies)).map(({ vm }) => vm);
 
-test("each data centre with a target has its gateways, the others none", () => {
+test("each data centre with a target has gateways, the others have none", () => {
   fc.assert(
     fc.property(fleets, (proxies) => {
       const { byDataCentre, isEveryProxyGateway } = chooseGateways(group, proxies);
@@ -37,7 +37,7 @@
   );
 });
 
-// A proxy ends. Only what it held moves: every other gateway keeps its connections and its queue.
+// A proxy stops. Only the groups that it held may move: all other gateways keep their connections and queues.
 test("a proxy that leaves moves only the groups that it held", () => {
   fc.assert(
     fc.property(fleets, fc.nat(), fc.string(), (proxies, pick, name) => {
@@ -55,7 +55,7 @@
   );
 });
 
-test("the order in which proxies are listed decides nothing", () => {
+test("the order of the list of proxies makes no difference", () => {
   fc.assert(
     fc.property(fleets, (proxies) => {
       expect(list([...proxies].reverse()).sort()).toEqual([...list(proxies)].sort());
@@ -64,7 +64,7 @@
   );
 });
 
-test("a proxy with twice the processor gets about four times the groups", () => {
+test("a proxy with twice the processor power gets about four times the groups", () => {
   const proxies = Array.from({ length: 20 }, (_, i) => ({
     ...makeProxy(i, "a"),
     power: i < 2 ? 0.6 : 0.3,
@@ -72,24 +72,27 @@
   const names = Array.from({ length: 4000 }, (_, i) => `group-${i}`);
   const firsts = names.map((name) => list(proxies, name)[0]);
   const strong = firsts.filter((vm) => vm === "vm-0" || vm === "vm-1").length;
-  // Two of 20 that count as eight of 26.
+  // Two of 20 proxies with a weight of eight out of 26.
   expect(strong / names.length).toBeGreaterThan(0.27);
   expect(strong / names.length).toBeLessThan(0.35);
 });
 
-// An entry says that its process may use a million cores, or something that is no number. Taken at its
-// word it would be the gateway of every group.
-test.each([1e6, Number.NaN, -3, undefined])("a power of %p does not take all groups", (power) => {
-  const proxies = Array.from({ length: 20 }, (_, i) => ({
-    ...makeProxy(i, "a"),
-    ...(i === 0 && power !== undefined ? { power } : {}),
-  }));
-  const names = Array.from({ length: 500 }, (_, i) => `group-${i}`);
-  const firsts = names.map((name) => list(proxies, name)[0]);
-  expect(firsts.filter((vm) => vm === "vm-0").length).toBeLessThan(400);
-});
+// An entry states a million cores, or a value that is not a valid number. Used unchecked, it would make its
+// proxy the gateway of every group.
+test.each([1e6, Number.NaN, -3, undefined])(
+  "a proxy with a power of %p does not win all groups",
+  (power) => {
+    const proxies = Array.from({ length: 20 }, (_, i) => ({
+      ...makeProxy(i, "a"),
+      ...(i === 0 && power !== undefined ? { power } : {}),
+    }));
+    const names = Array.from({ length: 500 }, (_, i) => `group-${i}`);
+    const firsts = names.map((name) => list(proxies, name)[0]);
+    expect(firsts.filter((vm) => vm === "vm-0").length).toBeLessThan(400);
+  },
+);
 
-test("a proxy that was missed, or takes no statements, is no gateway", () => {
+test("a proxy that is marked as missed or accepts no statements is no gateway", () => {
   const proxies = Array.from({ length: 20 }, (_, i) => makeProxy(i, "a"));
   const [first = "", second = ""] = list(proxies);
   const changed = proxies.map((proxy): Proxy => {
@@ -102,36 +105,36 @@
   expect(list(changed)).toHaveLength(gatewaysPerDataCentre);
 });
 
-test("few proxies, or connections for all, make everybody a gateway", () => {
-  const proxies = Array.from({ length: 40 }, (_, i) => makeProxy(i, places[i % 4]));
+test("every proxy is a gateway when proxies are few or connections suffice for all", () => {
+  const proxies = Array.from({ length: 40 }, (_, i) => makeProxy(i, dataCentres[i % 4]));
   const plenty = chooseGateways({ ...group, connections: 80 }, proxies);
   const few = chooseGateways(group, proxies.slice(0, 9));
   expect([plenty.isEveryProxyGateway, few.isEveryProxyGateway]).toEqual([true, true]);
   expect(isGateway(few, "vm-8")).toBe(true);
 });
 
-test("with nobody beside the targets, others hold the connections", () => {
+test("without proxies in the targets' data centres, others are gateways", () => {
   const proxies = Array.from({ length: 20 }, (_, i) => makeProxy(i, "d"));
   expect(list(proxies)).toHaveLength(gatewaysPerDataCentre);
 });
 
-test("what needs the primary goes to its data centre, a read stays in its own", () => {
-  const proxies = Array.from({ length: 20 }, (_, i) => makeProxy(i, places[i % 4]));
+test("a statement for the primary goes to its data centre, a read stays in its own", () => {
+  const proxies = Array.from({ length: 20 }, (_, i) => makeProxy(i, dataCentres[i % 4]));
   const plan = chooseGateways(group, proxies);
-  const question = {
+  const query = {
     group: group.name,
     primaryDataCentre: "b",
     vm: "vm-x",
     dataCentre: "c",
   };
   const order = (needsPrimary: boolean, dataCentre = "c") =>
-    orderGateways(plan, { ...question, needsPrimary, dataCentre }).map((p) => p.dataCentre);
+    orderGateways(plan, { ...query, needsPrimary, dataCentre }).map((p) => p.dataCentre);
   expect(order(true)).toEqual(["b", "b", "c", "c", "a", "a"]);
   expect(order(false).slice(0, 2)).toEqual(["c", "c"]);
   expect(order(false, "d").slice(0, 4)).not.toContain("b");
 });
 
-test("places for proxies are as many as the scarcest targets can hold twice", () => {
+test("the quota of listed proxies is what the smallest connection limit holds twice", () => {
   expect(countListedProxyQuota([{ connections: 37 }, { connections: 185 }], 4)).toBe(5);
   expect(countListedProxyQuota([{ connections: 16 }], 3)).toBe(3);
   expect(countListedProxyQuota([{ connections: 2 }], 4)).toBe(2);
--- a/test/gateway/hop.test.ts
+++ b/test/gateway/hop.test.ts
@@ -27,7 +27,7 @@
   return gateway;
 }
 
-/** Opens a transaction at a gateway, and writes in it. */
+/** Opens a transaction at a gateway and writes in it. */
 async function openWritten(session: DirectSession, gateway: HopGateway): Promise<void> {
   await session.run(begin("1"));
   const wrote = session.run(makeWrite("2"));
@@ -38,7 +38,7 @@
 
 const mark: Mark = { term: { round: 1, vm: "" }, offset: 7 };
 
-test("a statement is run at the gateway with its session's values, and its answer comes back", async () => {
+test("a statement runs at the gateway with its session's values, and its answer is returned", async () => {
   const gateway = await startOne();
   const session = hop.open("primary");
   await session.run({ type: "set", id: "1", name: "shop", value: "caf\u00e9 7" });
@@ -58,9 +58,9 @@
   expect(hop.node.sent).toEqual([]);
 });
 
-// The session writes at one gateway and reads at another, which knows nothing of it. Its read must ask a
-// replica for the commit that it was told of.
-test("what a session has written goes with its reads", async () => {
+// A session writes at one gateway and reads at another, which does not know of the write. The read must require
+// that the replica has the commit that the session was told of.
+test("a session's reads carry the mark of its last write", async () => {
   const gateway = await startOne();
   const session = hop.open("own");
   const written = session.run(makeWrite("1"));
@@ -72,8 +72,9 @@
   expect(gateway.stage.list("q", "work")[0]?.command).toMatchObject({ atLeast: mark });
 });
 
-// A gateway's process is gone: its port resets connections. Nothing was sent, so that a write is safe.
-test("a write goes to the next gateway where the first takes no connection", async () => {
+// A gateway's process has ended and its port resets connections. Nothing was sent, so that a write may go to
+// another gateway.
+test("a write goes to the next gateway when the first refuses connections", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   first.link.setRefusing(true);
@@ -85,9 +86,9 @@
   expect(first.stage.list("p", "work")).toHaveLength(0);
 });
 
-// A gateway dies with a write on its way to the target. The caller hears that it may have run, and no
-// other gateway gets it: it could land twice.
-test("a write whose gateway is lost is in doubt and never sent again", async () => {
+// A gateway is lost after it has sent a write to the target. The caller must be told that the write may have run,
+// and no other gateway may get it, since it could run twice.
+test("a write whose gateway is lost is in doubt and is never sent again", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   const reply = hop.open("primary").run(makeWrite("1"));
@@ -97,7 +98,7 @@
   expect(second.stage.list("p", "work")).toHaveLength(0);
 });
 
-// The same with a read: it has no effect, and its caller need not know.
+// The same with a read: it has no effect and may be repeated, so that its caller need not notice.
 test("a read whose gateway is lost is answered by the next", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
@@ -109,9 +110,9 @@
   expect(findEnd(await reply)).toBe("complete");
 });
 
-// The connection to the gateway goes silent for good while new ones work. Nothing breaks it: without a
-// sign of life asked for, the read would wait out its whole time.
-test("a read on a connection that has gone silent is answered by the next gateway", async () => {
+// The connection to the gateway stops carrying data without being closed, while new connections work. Without
+// probes the read would wait until its deadline.
+test("a read on a connection that went dead is answered by the next gateway", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   first.link.forgetAll();
@@ -121,9 +122,9 @@
   expect(findEnd(await reply)).toBe("complete");
 });
 
-// A gateway that answers only after a second: its target is slow, it says so when asked, and it is waited
-// for. Taken as silent, each of its writes would be in doubt.
-test("a gateway that works for long is not taken as silent", async () => {
+// A gateway takes long to answer because its target is slow, but it answers pings and is waited for. If it were
+// taken as lost, each of its writes would be in doubt.
+test("a gateway that is busy for long is not taken as lost", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   const reply = hop.open("primary").run(makeWrite("1"));
@@ -134,8 +135,8 @@
   expect(second.stage.list("p", "work")).toHaveLength(0);
 });
 
-// A gateway that is about to end, or may use no primary, says so before anything runs.
-test("a statement that is turned away goes to the next gateway; with none left nothing has run", async () => {
+// A gateway that is shutting down, or may use no primary, refuses a statement before anything runs.
+test("a refused statement goes to the next gateway; when none is left it is refused as not run", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   first.refusal = "leaving";
@@ -146,13 +147,13 @@
   second.refusal = "leaving";
   expect(findEnd(await hop.open("primary").run(makeWrite("2")))).toBe("busy");
   expect(first.stage.list("p", "work")).toHaveLength(0);
-  // The node asks who else holds connections.
-  expect(hop.unplaced).toBeGreaterThan(0);
+  // The node is told, so that it looks for other gateways.
+  expect(hop.notAcceptedCount).toBeGreaterThan(0);
 });
 
-// The first gateway leaves right after the second was listed, which may use no primary until its next look.
-// Its callers wait for that; refused at once they would all come back, to find the same.
-test("a statement waits for a gateway that is about to take it", async () => {
+// The first gateway leaves right after the second was listed, which may use no primary until it next reads the
+// store. Callers wait for that; if they were refused at once, they would all retry and be refused again.
+test("a statement waits for a gateway that is about to accept it", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   first.refusal = "leaving";
@@ -169,7 +170,7 @@
   expect(first.stage.list("p", "work")).toHaveLength(0);
 });
 
-test("a transaction keeps to one gateway from its first statement to its commit", async () => {
+test("a transaction stays at one gateway from its first statement to its commit", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
   const session = hop.open("primary");
@@ -178,7 +179,7 @@
   await waitForSent(first, "work");
   first.stage.list("p", "work")[0]?.answer(answered("transaction"));
   expect((await wrote).state).toBe("transaction");
-  // It turns new work away by now; what is open may end.
+  // The gateway now refuses new work, but open transactions may finish.
   first.refusal = "leaving";
   const committed = session.run(commit("3"));
   await waitForSent(first, "commit");
@@ -188,9 +189,9 @@
   expect(second.stage.sent).toHaveLength(0);
 });
 
-// The connection to the gateway breaks between two statements. Nothing of the transaction is kept, and
-// its caller hears so; the gateway rolls it back at once and has its connection free again.
-test("a transaction whose gateway is lost before its commit is aborted, and rolled back there", async () => {
+// The connection to the gateway breaks between two statements. The caller is told that the transaction was
+// aborted; the gateway rolls it back at once and can use its connection to the target again.
+test("a transaction whose gateway is lost before its commit is aborted and rolled back there", async () => {
   const gateway = await startOne();
   const session = hop.open("primary");
   await openWritten(session, gateway);
@@ -201,7 +202,7 @@
   expect(gateway.stage.list("p", "commit")).toHaveLength(0);
 });
 
-// The commit is on its way when the gateway is lost: it may have run.
+// The gateway is lost after the commit was sent to it, so that the commit may have run.
 test("a commit whose gateway is lost is in doubt if the transaction wrote", async () => {
   const gateway = await startOne();
   const session = hop.open("primary");
@@ -212,10 +213,10 @@
   expect(findEnd(await committed)).toBe("inDoubt");
 });
 
-// A caller leaves while its transaction is being begun at the target, before its first statement. Its node
-// rolls back what the gateway has not opened yet. Once open it must be rolled back too: it would hold a
-// connection and its slot for good, and the statement need not run any more.
-test("a transaction that was ended while it began gives its connection back", async () => {
+// A caller disconnects while its transaction is being begun at the target, before its first statement. Its node's
+// rollback reaches the gateway before the transaction is open. Once open it must be rolled back, or it would
+// hold a connection and its slot for ever; the statement need not run any more.
+test("a transaction that was ended while it was being begun releases its connection", async () => {
   const gateway = await startOne();
   gateway.stage.hold({ type: "equal", proxies: 16 });
   gateway.stage.isHoldingBegins = true;
@@ -235,7 +236,7 @@
   expect(findEnd(await last)).toBe("complete");
 });
 
-// The same with its first statement on its way to the target: the answer comes after the rollback.
+// The same while its first statement runs at the target: the rollback arrives before the statement's answer.
 test("a transaction that was ended during a statement is rolled back after it", async () => {
   const gateway = await startOne();
   const leaving = hop.open("primary");
@@ -249,9 +250,10 @@
   expect(gateway.stage.closed).toEqual([]);
 });
 
-// A caller begins, writes and stays away. Its transaction has the only connection to the primary, and
-// another caller's statement waits for it: that one is served, though the first might rest for 3 s.
-test("a transaction that rests gives its connection to who waits for it", async () => {
+// A caller begins a transaction, writes and then sends nothing. Its transaction holds the only connection to the
+// primary, for which another caller's statement waits. That statement must be served although the transaction
+// would be allowed to be idle for 3 s.
+test("an idle transaction is rolled back when another statement waits for its connection", async () => {
   const gateway = await startOne();
   gateway.stage.hold({ type: "equal", proxies: 16 });
   const away = hop.open("primary");
@@ -264,8 +266,8 @@
   expect(findEnd(await away.run(commit("4")))).toBe("aborted");
 });
 
-// The node dies with a transaction open at the gateway: its connection and its locks are free at once.
-test("the death of a node rolls its transactions back", async () => {
+// A node is killed with a transaction open at the gateway. Its connection and its locks must be released at once.
+test("a node's transactions are rolled back when it is killed", async () => {
   const gateway = await startOne();
   const session = hop.open("primary");
   await openWritten(session, gateway);
@@ -273,9 +275,9 @@
   await waitForSent(gateway, "rollback");
 });
 
-// The node loses its power: nothing closes its connections. A transaction that is open there would hold
-// a target's connection until its time to rest is over.
-test("a node that fell silent has its transactions rolled back", async () => {
+// A node loses power, and nothing closes its connections. Its open transaction would hold a connection to the
+// target until the idle limit.
+test("a node that stops answering has its transactions rolled back", async () => {
   const gateway = await startOne();
   const session = hop.open("primary");
   await openWritten(session, gateway);
@@ -283,9 +285,9 @@
   await waitForSent(gateway, "rollback");
 });
 
-// A session has set values of 5 MiB together. Handed on with a statement they would be more than a gateway
-// takes, and the connection would end with what other callers have under way on it.
-test("a statement that is too long with its session's values is refused alone", async () => {
+// A session has set values of 5 MiB in total. Forwarded with a statement they would exceed the gateway's message
+// limit, and the gateway would close the connection with the pending statements of other callers.
+test("a statement that is too long with its session's values is refused without affecting others", async () => {
   const gateway = await startOne();
   const other = hop.open("primary").run(makeWrite("1"));
   await waitForSent(gateway, "work");
@@ -298,11 +300,11 @@
   expect(findEnd(await other)).toBe("complete");
 });
 
-// What is no message, or longer than any may be, ends the connection; the gateway goes on serving.
+// Data that is not a message, or a message over the size limit, closes the connection; the gateway goes on serving.
 test.each([
   ["a length beyond the limit", Buffer.from([0xff, 0xff, 0xff, 0xff, 0x0f])],
-  ["bytes of no message", Buffer.from([0x05, 0xff, 0xff, 0xff, 0xff, 0xff])],
-])("%s ends the connection", async (_name, bytes) => {
+  ["an undecodable message", Buffer.from([0x05, 0xff, 0xff, 0xff, 0xff, 0xff])],
+])("%s closes the connection", async (_name, bytes) => {
   const gateway = await startOne();
   const socket = connect(gateway.address);
   socket.on("error", () => undefined);
--- a/test/gateway/hop.ts
+++ b/test/gateway/hop.ts
@@ -14,32 +14,32 @@
 import { group, Stage } from "../direct/stage.js";
 import { findAddress, waitUntil } from "../node/cluster.js";
 
-/** One gateway of a hop: what it sends to its targets, and the link to it. */
+/** A gateway with a fake of its targets, which records what is sent to them, and a network link to it. */
 export interface HopGateway {
   readonly vm: string;
   readonly stage: Stage;
   readonly link: FaultyLink;
   readonly address: Address;
   readonly server: GatewayServer;
-  /** Why it turns statements away; absent while it serves. */
+  /** Why it refuses statements; undefined while it serves. */
   refusal: string | undefined;
 }
 
-/** A node that holds no connections, and gateways that do, with links between that can fail. */
+/** A node without connections to targets, and gateways that have some, with links in between that can fail. */
 export class Hop {
   readonly gateways: HopGateway[] = [];
   readonly node = new Stage();
   private readonly owned = new DisposableStore();
-  private readonly links: GatewayConnections;
+  private readonly connections: GatewayConnections;
   private readonly runner: RoutedRunner;
   private proxies: readonly Proxy[] = [];
   private nextSession = 1;
-  /** How often nobody that the node knows of took a statement. */
-  unplaced = 0;
+  /** How often none of the gateways that the node knows accepted a statement. */
+  notAcceptedCount = 0;
 
   private constructor() {
     const clock = createSystemClock();
-    this.links = this.owned.add(new GatewayConnections({ clock, logger: silentLogger }));
+    this.connections = this.owned.add(new GatewayConnections({ clock, logger: silentLogger }));
     const router = new GatewayRouter({
       vm: "vm-entry",
       dataCentre: "a",
@@ -47,10 +47,10 @@
       findGroup: (name) => this.node.ports.scene().groups.get(name),
       findLeader: () => ({ type: "serving", target: "p" }),
       isListed: () => false,
-      onNoneAccepted: () => (this.unplaced += 1),
-      isAvoided: (vm) => this.links.isAvoided(vm),
+      onNoneAccepted: () => (this.notAcceptedCount += 1),
+      isAvoided: (vm) => this.connections.isAvoided(vm),
     });
-    this.runner = new RoutedRunner(router, this.links);
+    this.runner = new RoutedRunner(router, this.connections);
   }
 
   static async start(count = 1): Promise<Hop> {
@@ -63,7 +63,7 @@
     return this.owned.dispose();
   }
 
-  /** The gateway that is asked first: both need the primary, so that their order is the plan's. */
+  /** Finds the preferred gateway for statements that need the primary, by sending one. */
   async findFirst(): Promise<{ readonly first: HopGateway; readonly second: HopGateway }> {
     const probe = this.open("primary");
     const answer = probe.run(makeRead("probe"));
@@ -77,7 +77,7 @@
     return { first, second };
   }
 
-  /** A session with the node. */
+  /** Opens a session at the node. */
   open(database: string): DirectSession {
     const { ports, groups } = this.node;
     const id = `s${this.nextSession}`;
@@ -93,15 +93,15 @@
     });
   }
 
-  /** Waits until the node has seen a gateway's connection end, and would ask it again. */
+  /** Waits until the node has avoided a gateway after a failure and would use it again. */
   async waitForRetry({ vm }: HopGateway): Promise<void> {
-    await waitUntil(() => this.links.isAvoided(vm));
-    await waitUntil(() => !this.links.isAvoided(vm));
+    await waitUntil(() => this.connections.isAvoided(vm));
+    await waitUntil(() => !this.connections.isAvoided(vm));
   }
 
-  /** Ends all connections of the node, as its death does. */
+  /** Closes all connections of the node, as when its process is killed. */
   killNode(): void {
-    this.links.dispose();
+    this.connections.dispose();
   }
 
   private async addGateway(vm: string): Promise<void> {
@@ -140,11 +140,11 @@
 export const begin = (id: string): Statement => ({ type: "begin", id, isReadOnly: false });
 export const commit = (id: string): Statement => ({ type: "commit", id, text: "COMMIT" });
 
-/** How a reply ended: `complete`, or its error's code. */
+/** `complete`, or the code of the reply's error. */
 export const findEnd = ({ end }: Reply): string =>
   end.type === "complete" ? "complete" : end.code;
 
-/** Waits until a gateway has sent so many commands of a kind to the primary. */
+/** Waits until a gateway has sent at least `count` commands of this type to the primary. */
 export async function waitForSent(
   { stage }: HopGateway,
   type: "work" | "commit" | "begin" | "rollback",
