--- a/src/directpeer/client.ts
+++ b/src/directpeer/client.ts
@@ -13,15 +13,16 @@
 import type { Address } from "../model/index.js";
 import { DirectPeer } from "../peer/gen/radishwalk/direct/v1/direct_pb.js";
 import type { TokenGrant } from "../rates/index.js";
-import { decodeLeadershipAnswer, decodeTargetAnswer, encodeLeadershipMessage } from "./codec.js";
+import { decodeLeadershipAnswer, decodeTargetAnswer, encodeLeadershipUpdate } from "./codec.js";
 
-/** What a process asks of another whose tokens may do for both. */
+/** A request for tokens of a team, in the fields of the message. */
 export interface TokenRequest {
   readonly team: string;
+  /** How many tokens are wanted at most. */
   readonly wanted: number;
 }
 
-/** Calls to peers. Each ends within its timeout; one without an answer gives `undefined`. */
+/** Calls to peers. Each ends within its timeout, with `undefined` when it was not answered. */
 export class DirectPeerClient implements LeadershipPeers {
   private readonly clients = new Map<string, Client<typeof DirectPeer>>();
 
@@ -35,9 +36,9 @@
     word: LeadershipWord,
     timeoutMs: number,
   ): Promise<LeadershipAnswer | undefined> {
-    const request = { vm: this.vm, ...encodeLeadershipMessage(word) };
-    const answer = await this.ask(proxy.vm, () =>
-      this.open(proxy.address).share(request, { timeoutMs }),
+    const request = { vm: this.vm, ...encodeLeadershipUpdate(word) };
+    const answer = await this.callPeer(proxy.vm, () =>
+      this.getClient(proxy.address).share(request, { timeoutMs }),
     );
     return answer === undefined ? undefined : decodeLeadershipAnswer(answer);
   }
@@ -48,30 +49,32 @@
     timeoutMs: number,
   ): Promise<TargetAnswer | undefined> {
     const request = { group, target, ...(demoteRound === undefined ? {} : { demoteRound }) };
-    const answer = await this.ask(proxy.vm, () =>
-      this.open(proxy.address).askTarget(request, { timeoutMs }),
+    const answer = await this.callPeer(proxy.vm, () =>
+      this.getClient(proxy.address).askTarget(request, { timeoutMs }),
     );
     return answer === undefined ? undefined : decodeTargetAnswer(answer);
   }
 
-  /** Takes tokens of a team; those that are lost on the way let nothing run. */
+  /** Requests tokens of a team. If the answer is lost, so are its tokens, and they let nothing run. */
   async takeTokens(
     proxy: Proxy,
-    question: TokenRequest,
+    request: TokenRequest,
     timeoutMs: number,
   ): Promise<TokenGrant | undefined> {
-    return this.ask(proxy.vm, () => this.open(proxy.address).takeTokens(question, { timeoutMs }));
+    return this.callPeer(proxy.vm, () =>
+      this.getClient(proxy.address).takeTokens(request, { timeoutMs }),
+    );
   }
 
-  /** What a peer knows of the scene, as JSON. */
+  /** Fetches the scene that a peer knows, as JSON. */
   async fetchScene(address: Address, timeoutMs: number): Promise<string | undefined> {
-    const answer = await this.ask(`${address.host}:${address.port}`, () =>
-      this.open(address).fetchScene({}, { timeoutMs }),
+    const answer = await this.callPeer(`${address.host}:${address.port}`, () =>
+      this.getClient(address).fetchScene({}, { timeoutMs }),
     );
     return answer?.snapshot;
   }
 
-  private async ask<T>(peer: string, call: () => Promise<T>): Promise<T | undefined> {
+  private async callPeer<T>(peer: string, call: () => Promise<T>): Promise<T | undefined> {
     try {
       return await call();
     } catch (error) {
@@ -80,7 +83,7 @@
     }
   }
 
-  private open({ host, port }: Address): Client<typeof DirectPeer> {
+  private getClient({ host, port }: Address): Client<typeof DirectPeer> {
     const baseUrl = `http://${host}:${port}`;
     const known = this.clients.get(baseUrl);
     if (known !== undefined) return known;
--- a/src/directpeer/codec.ts
+++ b/src/directpeer/codec.ts
@@ -15,8 +15,8 @@
 } from "../peer/gen/radishwalk/direct/v1/direct_pb.js";
 import type { TargetReport } from "../statement/index.js";
 
-/** The fields of a word in either direction. */
-export function encodeLeadershipMessage({ leadership, made }: LeadershipWord) {
+/** Encodes the fields that requests and answers share. */
+export function encodeLeadershipUpdate({ leadership, made }: LeadershipWord) {
   return {
     version: leadership.version,
     document: JSON.stringify(encodeLeadership(leadership.document)),
@@ -24,8 +24,8 @@
   };
 }
 
-/** Reads a word. A document that can't be read counts as none, of version 0. */
-export function decodeLeadershipMessage(message: ShareRequest | ShareResponse): LeadershipWord {
+/** Decodes the shared fields. A document that can't be decoded counts as empty, with version 0. */
+export function decodeLeadershipUpdate(message: ShareRequest | ShareResponse): LeadershipWord {
   const document = decodeLeadership(parseJson(message.document));
   const made = message.made.map(({ group, round, target }) => ({ group, round, target }));
   const leadership =
@@ -35,20 +35,20 @@
   return { leadership, made };
 }
 
-/** Reads the answer to a word. */
+/** Decodes an answer. */
 export function decodeLeadershipAnswer(message: ShareResponse): LeadershipAnswer {
   const { vm, confirmedAgoMs, listsAsker, storeAgoMs, storeRevision, lookedAgoMs } = message;
   const ages = { confirmedAgoMs, storeAgoMs, lookedAgoMs };
-  return { ...decodeLeadershipMessage(message), vm, listsAsker, storeRevision, ...ages };
+  return { ...decodeLeadershipUpdate(message), vm, listsAsker, storeRevision, ...ages };
 }
 
-/** Writes the answer to a word. What is not known is left out. */
+/** Encodes an answer; fields that are undefined are left out. */
 export function encodeLeadershipAnswer(answer: LeadershipAnswer) {
   const { vm, listsAsker, confirmedAgoMs, storeAgoMs, storeRevision, lookedAgoMs } = answer;
   return {
     vm,
     listsAsker,
-    ...encodeLeadershipMessage(answer),
+    ...encodeLeadershipUpdate(answer),
     ...(confirmedAgoMs === undefined ? {} : { confirmedAgoMs }),
     ...(storeAgoMs === undefined ? {} : { storeAgoMs }),
     ...(storeRevision === undefined ? {} : { storeRevision }),
@@ -56,7 +56,7 @@
   };
 }
 
-/** Writes what a target said to a question. */
+/** Encodes a target's answer. */
 export function encodeTargetAnswer(answer: TargetAnswer) {
   switch (answer.type) {
     case "report":
@@ -68,7 +68,7 @@
   }
 }
 
-/** Reads what a target said to a question. */
+/** Decodes a target's answer. */
 export function decodeTargetAnswer({ report, isAlive }: AskTargetResponse): TargetAnswer {
   if (report !== undefined) return { type: "report", report: decodeReport(report) };
   return { type: isAlive ? "alive" : "silent" };
@@ -97,7 +97,7 @@
   try {
     return JSON.parse(text) as Json;
   } catch {
-    // The sender runs another version of the program, or sent nothing: `decodeWord` says so.
+    // The sender runs another version of the program or sent nothing; the caller handles `undefined`.
     return undefined;
   }
 }
--- a/src/directpeer/server.ts
+++ b/src/directpeer/server.ts
@@ -10,15 +10,17 @@
 import type { Address, Disposable } from "../model/index.js";
 import { DirectPeer, type TakeTokensRequest } from "../peer/gen/radishwalk/direct/v1/direct_pb.js";
 import type { TokenGrant } from "../rates/index.js";
-import { decodeLeadershipMessage, encodeLeadershipAnswer, encodeTargetAnswer } from "./codec.js";
+import { decodeLeadershipUpdate, encodeLeadershipAnswer, encodeTargetAnswer } from "./codec.js";
 
-/** What a process does for its peers. */
+/** Handles the calls of peers. */
 export interface DirectPeerHandlers {
+  /** Takes in what the peer `from` knows of the leadership, and returns what this process knows. */
   receiveLeadership(from: string, word: LeadershipWord): LeadershipAnswer;
+  /** Asks a target over a connection of this process. */
   askTarget(question: TargetQuestion): Promise<TargetAnswer>;
-  /** What this process knows of the scene, in JSON; empty when it knows nothing. */
+  /** The scene that this process knows, as JSON; empty when it knows none. */
   encodeScene(): string;
-  /** Tokens of a team for another process, as many as it wants or as can be spared here. */
+  /** Transfers tokens of a team to another process, at most as many as it wants and as can be spared here. */
   grantTokens(team: string, wanted: number): TokenGrant;
 }
 
@@ -52,9 +54,9 @@
 
 function createService(handlers: DirectPeerHandlers) {
   return {
-    share: (request: Parameters<typeof decodeLeadershipMessage>[0] & { readonly vm: string }) =>
+    share: (request: Parameters<typeof decodeLeadershipUpdate>[0] & { readonly vm: string }) =>
       encodeLeadershipAnswer(
-        handlers.receiveLeadership(request.vm, decodeLeadershipMessage(request)),
+        handlers.receiveLeadership(request.vm, decodeLeadershipUpdate(request)),
       ),
     askTarget: async (request: {
       readonly group: string;
--- a/test/directpeer/codec.test.ts
+++ b/test/directpeer/codec.test.ts
@@ -21,7 +21,7 @@
   fc.constant({ type: "silent" } as const),
 );
 
-test("what a target said reaches another proxy unchanged", () => {
+test("a target's answer is decoded unchanged by another proxy", () => {
   fc.assert(
     fc.property(answers, (answer) => {
       const message = create(AskTargetResponseSchema, encodeTargetAnswer(answer));
