--- a/src/gateway/router.ts
+++ b/src/gateway/router.ts
@@ -25,7 +25,7 @@
   readonly findLeader: (group: string) => PrimaryState;
   /** Whether this process is listed and so may hold connections. */
   readonly isListed: () => boolean;
-  /** Whether other gateways are preferred to this one, because it failed recently. */
+  /** Whether other gateways are preferred to this one, because it failed recently or can't serve now. */
   readonly isAvoided: (vm: string) => boolean;
   /** Called when none of the gateways that this process knows accepted a statement. */
   readonly onNoneAccepted: () => void;
