--- a/src/directpeer/codec.ts
+++ b/src/directpeer/codec.ts
@@ -15,7 +15,7 @@
 } from "../peer/gen/radishwalk/direct/v1/direct_pb.js";
 import type { TargetReport } from "../statement/index.js";
 
-/** The fields of a word in either direction. */
+/** Encodes the fields that requests and answers share. */
 export function encodeLeadershipUpdate({ leadership, promoted: made }: LeadershipUpdate) {
   return {
     version: leadership.version,
@@ -24,7 +24,7 @@
   };
 }
 
-/** Reads a word. A document that can't be read counts as none, of version 0. */
+/** Decodes the shared fields. A document that can't be decoded counts as empty, with version 0. */
 export function decodeLeadershipUpdate(message: ShareRequest | ShareResponse): LeadershipUpdate {
   const document = decodeLeadership(parseJson(message.document));
   const made = message.made.map(({ group, round, target }) => ({ group, round, target }));
@@ -35,14 +35,14 @@
   return { leadership, promoted: made };
 }
 
-/** Reads the answer to a word. */
+/** Decodes an answer. */
 export function decodeLeadershipAnswer(message: ShareResponse): LeadershipAnswer {
   const { vm, confirmedAgoMs, listsAsker, storeAgoMs, storeRevision, lookedAgoMs } = message;
   const ages = { confirmedAgoMs, storeAgoMs, lookedAgoMs };
   return { ...decodeLeadershipUpdate(message), vm, listsAsker, storeRevision, ...ages };
 }
 
-/** Writes the answer to a word. What is not known is left out. */
+/** Encodes an answer; fields that are undefined are left out. */
 export function encodeLeadershipAnswer(answer: LeadershipAnswer) {
   const { vm, listsAsker, confirmedAgoMs, storeAgoMs, storeRevision, lookedAgoMs } = answer;
   return {
@@ -56,7 +56,7 @@
   };
 }
 
-/** Writes what a target said to a question. */
+/** Encodes a target's answer. */
 export function encodeTargetAnswer(answer: TargetAnswer) {
   switch (answer.type) {
     case "report":
@@ -68,7 +68,7 @@
   }
 }
 
-/** Reads what a target said to a question. */
+/** Decodes a target's answer. */
 export function decodeTargetAnswer({ report, isAlive }: AskTargetResponse): TargetAnswer {
   if (report !== undefined) return { type: "report", report: decodeReport(report) };
   return { type: isAlive ? "alive" : "silent" };
@@ -97,7 +97,7 @@
   try {
     return JSON.parse(text) as Json;
   } catch {
-    // The sender runs another version of the program, or sent nothing: `decodeWord` says so.
+    // The sender runs another version of the program or sent nothing; the caller handles `undefined`.
     return undefined;
   }
 }
--- a/src/directpeer/server.ts
+++ b/src/directpeer/server.ts
@@ -12,13 +12,15 @@
 import type { TokenGrant } from "../rates/index.js";
 import { decodeLeadershipUpdate, encodeLeadershipAnswer, encodeTargetAnswer } from "./codec.js";
 
-/** What a process does for its peers. */
+/** Handles the calls of peers. */
 export interface DirectPeerHandlers {
+  /** Takes in what the peer `from` knows of the leadership, and returns what this process knows. */
   receiveLeadership(from: string, word: LeadershipUpdate): LeadershipAnswer;
+  /** Asks a target over a connection of this process. */
   askTarget(question: TargetQuestion): Promise<TargetAnswer>;
-  /** What this process knows of the scene, in JSON; empty when it knows nothing. */
+  /** The scene that this process knows, as JSON; empty when it knows none. */
   encodeScene(): string;
-  /** Tokens of a team for another process, as many as it wants or as can be spared here. */
+  /** Transfers tokens of a team to another process, at most as many as it wants and as can be spared here. */
   grantTokens(team: string, wanted: number): TokenGrant;
 }
 
