--- a/bench/capacity/owner.ts
+++ b/bench/capacity/owner.ts
@@ -44,7 +44,7 @@
 function makeFind(vms: readonly Vm[]): () => void {
   const table = new OwnerTable(() => vms);
   return () => {
-    table.find("group-1");
+    table.findOwners("group-1");
   };
 }
 
@@ -53,7 +53,7 @@
   let live = vms;
   const table = new OwnerTable(() => live);
   const findAll = () => {
-    for (const group of groups) table.find(group);
+    for (const group of groups) table.findOwners(group);
   };
   return () => {
     live = vms.slice(1);
--- a/bench/fleet/main.ts
+++ b/bench/fleet/main.ts
@@ -56,7 +56,7 @@
   for (let revision = 2; revision < 2 + changes; revision++) {
     const start = performance.now();
     version = write(platform, revision, version);
-    while (nodes.some((n) => n.configuration.current().revision < revision)) await sleep(stepMs);
+    while (nodes.some((n) => n.configuration.getCurrent().revision < revision)) await sleep(stepMs);
     spreads.push(performance.now() - start);
     await sleep(100);
   }
--- a/bench/fleet/node.ts
+++ b/bench/fleet/node.ts
@@ -1,5 +1,5 @@
 import { openIncarnation } from "../../src/controller/membership/index.js";
-import { ConfigurationKeeper, MembershipKeeper } from "../../src/fleet/index.js";
+import { ConfigurationTracker, MembershipTracker } from "../../src/fleet/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import { DisposableStore, type Clock, type Vm } from "../../src/model/index.js";
 import { ConnectPeerClient, PeerLinks, PeerServer } from "../../src/peer/index.js";
@@ -8,8 +8,8 @@
 
 /** One node's configuration and membership, with real connections. */
 export class Node {
-  readonly configuration: ConfigurationKeeper;
-  readonly membership: MembershipKeeper;
+  readonly configuration: ConfigurationTracker;
+  readonly membership: MembershipTracker;
   private readonly owned = new DisposableStore();
   private readonly server: PeerServer;
 
@@ -20,27 +20,27 @@
     const links = this.owned.add(new PeerLinks({ clock }));
     const peers = new ConnectPeerClient({
       links,
-      getHello: () => this.membership.describe(),
+      getHello: () => this.membership.createHello(),
       onHello: (hello) => {
-        this.membership.hear(hello);
+        this.membership.receiveHello(hello);
       },
     });
     const ports = { store, peers, clock, random, logger };
     this.configuration = this.owned.add(
-      new ConfigurationKeeper({
+      new ConfigurationTracker({
         ...ports,
         vm: vm.name,
         listLive: () => this.membership.listLive(),
       }),
     );
     this.membership = this.owned.add(
-      new MembershipKeeper({
+      new MembershipTracker({
         ...ports,
         vm,
         incarnation: openIncarnation(Date.now()),
-        getRevision: () => this.configuration.current().revision,
+        getRevision: () => this.configuration.getCurrent().revision,
         onHello: (hello) => {
-          this.configuration.hear(hello);
+          this.configuration.receiveHello(hello);
         },
       }),
     );
@@ -64,15 +64,15 @@
       address: vm.peer,
       clock,
       handlers: {
-        getHello: () => membership.describe(),
+        getHello: () => membership.createHello(),
         onHello: (hello) => {
-          membership.hear(hello);
+          membership.receiveHello(hello);
         },
         chooseOwner: () => ({ type: "elsewhere" }),
-        probe: (other) => membership.relayProbe(other),
+        probe: (other) => membership.probeForPeer(other),
         checkTarget: () => Promise.resolve({ type: "unreachable", reason: "no targets here" }),
         fetchConfiguration: (after) => Promise.resolve(configuration.answerFetch(after)),
-        pushConfiguration: (json) => Promise.resolve(configuration.receive(json)),
+        pushConfiguration: (json) => Promise.resolve(configuration.receivePush(json)),
         report: () => null,
       },
     });
--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -27,19 +27,19 @@
   type StoreRead,
   type Vm,
 } from "../model/index.js";
-import { drawPause, runLoop } from "./loop.js";
+import { addJitter, runLoop } from "./loop.js";
 import { pushMessage } from "./push.js";
 import { ConfigurationReader } from "./reader.js";
 import { followConfiguration } from "./watcher.js";
 
 const peerTimeoutMs = 1000;
-const roleCheckMs = 1000;
-const startRetryMs = 500;
-const startPeers = 3;
-const antiEntropyMs = 60_000;
+const roleCheckIntervalMs = 1000;
+const startRetryPauseMs = 500;
+const startPeerCount = 3;
+const antiEntropyIntervalMs = 60_000;
 
 /** What a `ConfigurationKeeper` needs. */
-export interface ConfigurationKeeperOptions {
+export interface ConfigurationTrackerOptions {
   /** This VM's name. */
   readonly vm: string;
   readonly store: ObjectStore;
@@ -55,21 +55,21 @@
 export type ConfigurationListener = (configuration: Configuration) => void;
 
 /** Keeps the configuration in force on one proxy. */
-export class ConfigurationKeeper implements Disposable {
+export class ConfigurationTracker implements Disposable {
   private state: ConfigurationState = firstConfigurationState;
   private readonly listeners = new Set<ConfigurationListener>();
-  private readonly ended = new AbortController();
-  private watching: AbortController | undefined;
-  private rolesOf: readonly Vm[] | undefined;
+  private readonly disposeController = new AbortController();
+  private watchController: AbortController | undefined;
+  private lastRoleCheckVms: readonly Vm[] | undefined;
   private readonly reader: ConfigurationReader;
 
-  constructor(private readonly options: ConfigurationKeeperOptions) {
+  constructor(private readonly options: ConfigurationTrackerOptions) {
     const { store, logger } = options;
     this.reader = new ConfigurationReader({
       store,
       logger,
-      handle: (configuration) => {
-        this.takeStored(configuration);
+      onStored: (configuration) => {
+        this.applyStored(configuration);
       },
     });
   }
@@ -77,19 +77,19 @@
   /** Resolves once the store or a peer has said what is in force; then keeps following it. */
   async start(): Promise<void> {
     const { clock, random } = this.options;
-    const signal = this.ended.signal;
+    const signal = this.disposeController.signal;
     const known = new AbortController();
     await runLoop(clock, AbortSignal.any([signal, known.signal]), async () => {
-      await Promise.all([this.reader.read(), this.askPeers()]);
+      await Promise.all([this.reader.read(), this.fetchFromPeers()]);
       if (this.state.isKnown) known.abort();
-      return drawPause(random, startRetryMs);
+      return addJitter(random, startRetryPauseMs);
     });
-    void runLoop(clock, signal, () => this.checkRole());
-    void runLoop(clock, signal, () => this.compareWithOthers());
+    void runLoop(clock, signal, () => this.updateRelayRole());
+    void runLoop(clock, signal, () => this.runAntiEntropy());
   }
 
   /** The configuration in force; the empty one before any is known. */
-  current(): Configuration {
+  getCurrent(): Configuration {
     return this.state.inForce;
   }
 
@@ -105,10 +105,10 @@
   }
 
   /** Takes a peer's push and gives the revision that is then in force here. */
-  receive(json: Json): number {
+  receivePush(json: Json): number {
     const message = decodeMessage(json);
     if (message === undefined) this.options.logger.write(fleetEvents.configurationFaulty);
-    else this.offer(message.update, message.from);
+    else this.offerPeerUpdate(message.update, message.from);
     return this.state.inForce.revision;
   }
 
@@ -121,13 +121,13 @@
   }
 
   /** Takes note of the revision that a peer's message carries. */
-  hear(hello: PeerHello): void {
+  receiveHello(hello: PeerHello): void {
     this.apply({ type: "heard", vm: hello.vm, revision: hello.revision });
   }
 
   dispose(): void {
-    this.ended.abort();
-    this.watching?.abort();
+    this.disposeController.abort();
+    this.watchController?.abort();
     this.listeners.clear();
   }
 
@@ -146,7 +146,7 @@
   private execute(effect: ConfigurationEffect): void {
     switch (effect.type) {
       case "adopt":
-        this.noteAdoption(effect.before, effect.after);
+        this.publishAdoption(effect.before, effect.after);
         return;
       case "relay":
         this.relay(effect.update, effect.except);
@@ -155,12 +155,12 @@
         void this.fetchFrom(effect.vm, effect.afterRevision);
         return;
       case "alarm":
-        this.noteAlarm(effect.alarm);
+        this.logAlarm(effect.alarm);
         return;
     }
   }
 
-  private noteAdoption(before: Configuration, after: Configuration): void {
+  private publishAdoption(before: Configuration, after: Configuration): void {
     this.options.logger.write(fleetEvents.configurationAdopted, {
       revision: after.revision,
       before: before.revision,
@@ -169,7 +169,7 @@
     for (const listener of [...this.listeners]) listener(after);
   }
 
-  private noteAlarm(alarm: ConfigurationAlarm): void {
+  private logAlarm(alarm: ConfigurationAlarm): void {
     const { type, ...fields } = alarm;
     const event = type === "storeReverted" ? fleetEvents.storeReverted : fleetEvents.revisionClash;
     this.options.logger.write(event, fields);
@@ -184,7 +184,7 @@
   }
 
   private async push(vm: Vm, message: Json): Promise<void> {
-    const signal = this.ended.signal;
+    const signal = this.disposeController.signal;
     const revision = await pushMessage(this.options, vm, message, peerTimeoutMs, signal);
     if (revision !== undefined) this.apply({ type: "heard", vm: vm.name, revision });
   }
@@ -206,15 +206,15 @@
       logger.write(fleetEvents.configurationFaulty, { vm: vm.name });
       return false;
     }
-    this.offer(message.update, vm.name);
+    this.offerPeerUpdate(message.update, vm.name);
     return true;
   }
 
-  private offer(update: ConfigurationUpdate, vm: string): void {
+  private offerPeerUpdate(update: ConfigurationUpdate, vm: string): void {
     this.apply({ type: "offered", update, source: "peer", vm });
   }
 
-  private takeStored(configuration: Configuration | undefined): void {
+  private applyStored(configuration: Configuration | undefined): void {
     if (configuration === undefined) this.apply({ type: "absent" });
     else this.apply({ type: "offered", update: { type: "whole", configuration }, source: "store" });
   }
@@ -224,10 +224,10 @@
   }
 
   /** A new proxy asks a few peers beside the store: either may be out of reach or behind. */
-  private async askPeers(): Promise<void> {
+  private async fetchFromPeers(): Promise<void> {
     const others = this.listOthers();
     const first = Math.floor(this.options.random.draw() * others.length);
-    const asked = [...others.slice(first), ...others.slice(0, first)].slice(0, startPeers);
+    const asked = [...others.slice(first), ...others.slice(0, first)].slice(0, startPeerCount);
     const wasKnown = this.state.isKnown;
     const answers = await Promise.all(asked.map((vm) => this.fetchAndOffer(vm, 0)));
     if (!wasKnown && this.reader.isStoreDown() && answers.includes(true)) {
@@ -240,38 +240,38 @@
     return this.options.listLive().filter(({ name }) => name !== this.options.vm);
   }
 
-  private checkRole(): Promise<number> {
+  private updateRelayRole(): Promise<number> {
     const { vm, listLive, logger } = this.options;
     const live = listLive();
     // The list keeps its identity while nobody comes or goes.
-    if (live === this.rolesOf) return Promise.resolve(roleCheckMs);
-    this.rolesOf = live;
+    if (live === this.lastRoleCheckVms) return Promise.resolve(roleCheckIntervalMs);
+    this.lastRoleCheckVms = live;
     const watches = isRelay(vm, live);
-    if (watches && this.watching === undefined) {
-      this.watching = new AbortController();
+    if (watches && this.watchController === undefined) {
+      this.watchController = new AbortController();
       logger.write(fleetEvents.watchStarted);
-      void followConfiguration(this.options, this.reader, this.watching.signal);
+      void followConfiguration(this.options, this.reader, this.watchController.signal);
     }
-    if (!watches && this.watching !== undefined) {
-      this.watching.abort();
-      this.watching = undefined;
+    if (!watches && this.watchController !== undefined) {
+      this.watchController.abort();
+      this.watchController = undefined;
       logger.write(fleetEvents.watchStopped);
     }
-    return Promise.resolve(roleCheckMs);
+    return Promise.resolve(roleCheckIntervalMs);
   }
 
   /**
    * A watch that went silent, or pushes lost on every path, would leave this proxy behind without a
    * sign. Relays read the store and the others ask a relay now and then, so it ends within minutes.
    */
-  private async compareWithOthers(): Promise<number> {
-    if (this.watching !== undefined) {
+  private async runAntiEntropy(): Promise<number> {
+    if (this.watchController !== undefined) {
       await this.reader.read();
     } else {
       const relays = chooseRelays(this.listOthers());
       const relay = relays[Math.floor(this.options.random.draw() * relays.length)];
       if (relay !== undefined) await this.fetchAndOffer(relay, this.state.inForce.revision);
     }
-    return drawPause(this.options.random, antiEntropyMs);
+    return addJitter(this.options.random, antiEntropyIntervalMs);
   }
 }
--- a/src/fleet/drain.ts
+++ b/src/fleet/drain.ts
@@ -10,13 +10,13 @@
 import type { LogFields, Logger } from "../log/index.js";
 import { assertInvariant, type Clock } from "../model/index.js";
 
-const countMs = 50;
+const inFlightPollMs = 50;
 
 /** What a `DrainKeeper` needs. */
-export interface DrainKeeperOptions {
+export interface DrainRunnerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly times: DrainOptions;
+  readonly timings: DrainOptions;
   /** Requests and open transactions of callers and peers that are in flight here. */
   readonly countInFlight: () => number;
   /** What is still in flight, for the log when the longest wait is over. */
@@ -28,11 +28,11 @@
 }
 
 /** Takes a process from serving to drained. */
-export class DrainKeeper {
+export class DrainRunner {
   private state: DrainState = firstDrainState;
-  private ending: Promise<void> | undefined;
+  private drainPromise: Promise<void> | undefined;
 
-  constructor(private readonly options: DrainKeeperOptions) {}
+  constructor(private readonly options: DrainRunnerOptions) {}
 
   /** Whether a drain has begun. */
   isLeaving(): boolean {
@@ -41,15 +41,15 @@
 
   /** Begins a drain, once; resolves when nothing is in flight or the longest wait is over. */
   drain(): Promise<void> {
-    this.ending ??= this.run();
-    return this.ending;
+    this.drainPromise ??= this.run();
+    return this.drainPromise;
   }
 
   private async run(): Promise<void> {
     const { clock, countInFlight } = this.options;
     this.apply({ type: "asked", now: clock.now() });
     while (!this.isDrained()) {
-      await clock.sleep(countMs);
+      await clock.sleep(inFlightPollMs);
       this.apply({ type: "counted", now: clock.now(), inFlight: countInFlight() });
     }
   }
@@ -59,7 +59,7 @@
   }
 
   private apply(event: DrainEvent): void {
-    const applied = applyDrainEvent(this.state, event, this.options.times);
+    const applied = applyDrainEvent(this.state, event, this.options.timings);
     if (applied.type === "failed") return;
     this.state = applied.state;
     for (const effect of applied.effects) this.execute(effect);
--- a/src/fleet/editor.ts
+++ b/src/fleet/editor.ts
@@ -16,10 +16,10 @@
   StoreWrite,
 } from "../model/index.js";
 import { configurationKind, configurationName, historyKind } from "./kinds.js";
-import { drawPause } from "./loop.js";
+import { addJitter } from "./loop.js";
 
 const maxAttempts = 12;
-const retryMs = 250;
+const retryPauseMs = 250;
 const historySlots = 512;
 
 /** What a `ConfigurationEditor` needs. */
@@ -84,16 +84,16 @@
     let attempted = 0;
     let reason = "";
     for (let i = 0; i < maxAttempts; i++) {
-      const attempt = await this.tryOnce(change, baseRevision, inForce, attempted);
+      const attempt = await this.attemptEdit(change, baseRevision, inForce, attempted);
       if (attempt.type === "done") return attempt.result;
       attempted = Math.max(attempted, attempt.attempted);
       reason = attempt.reason;
-      await this.options.clock.sleep(drawPause(this.options.random, retryMs));
+      await this.options.clock.sleep(addJitter(this.options.random, retryPauseMs));
     }
     return attempted > 0 ? { type: "uncertain", reason } : { type: "unavailable", reason };
   }
 
-  private async tryOnce(
+  private async attemptEdit(
     change: { readonly changeId: string; readonly draft: Draft },
     baseRevision: number,
     inForce: Configuration | undefined,
@@ -132,12 +132,12 @@
     merged: boolean,
   ): Promise<Attempt> {
     // Kept before it is replaced: an editor that started from it finds its base, whoever dies when.
-    if (before !== undefined && !(await this.keepHistory(before))) {
+    if (before !== undefined && !(await this.saveHistory(before))) {
       return { type: "again", reason: "the history can't be written", attempted: 0 };
     }
     const { store } = this.options;
     const written = await store.put(configurationKind, configurationName, toJson(value), version);
-    return describeWrite(written, value.revision, merged);
+    return toAttempt(written, value.revision, merged);
   }
 
   private async findBase(
@@ -151,15 +151,15 @@
     if (revision === 0) return { type: "found", draft: { teams: [], rules: [] } };
     const near = [stored, inForce].find((held) => held?.revision === revision);
     if (near !== undefined) return { type: "found", draft: near };
-    const read = await this.options.store.get(historyKind, nameHistory(revision));
+    const read = await this.options.store.get(historyKind, formatHistoryName(revision));
     if (read.type === "unavailable") return read;
     const kept = read.type === "found" ? decodeStored(read.value.value) : undefined;
     return kept?.revision === revision ? { type: "found", draft: kept } : { type: "found" };
   }
 
-  private async keepHistory(before: StoredConfiguration): Promise<boolean> {
+  private async saveHistory(before: StoredConfiguration): Promise<boolean> {
     const { store } = this.options;
-    const name = nameHistory(before.revision);
+    const name = formatHistoryName(before.revision);
     const read = await store.get(historyKind, name);
     if (read.type === "unavailable") return false;
     const held: StoredObject | undefined = read.type === "found" ? read.value : undefined;
@@ -170,7 +170,7 @@
   }
 }
 
-function describeWrite(written: StoreWrite, revision: number, merged: boolean): Attempt {
+function toAttempt(written: StoreWrite, revision: number, merged: boolean): Attempt {
   switch (written.type) {
     case "written":
       return { type: "done", result: { type: "applied", revision, merged } };
@@ -183,7 +183,7 @@
   }
 }
 
-function nameHistory(revision: number): string {
+function formatHistoryName(revision: number): string {
   return `r${revision % historySlots}`;
 }
 
--- a/src/fleet/index.ts
+++ b/src/fleet/index.ts
@@ -1,14 +1,14 @@
 export {
-  ConfigurationKeeper,
-  type ConfigurationKeeperOptions,
+  ConfigurationTracker,
+  type ConfigurationTrackerOptions,
   type ConfigurationListener,
 } from "./configuration.js";
 export { ConfigurationEditor, type EditResult, type EditorOptions } from "./editor.js";
 export { configurationKind, configurationName, historyKind } from "./kinds.js";
-export { DrainKeeper, type DrainKeeperOptions } from "./drain.js";
+export { DrainRunner, type DrainRunnerOptions } from "./drain.js";
 export {
-  MembershipKeeper,
-  type MembershipKeeperOptions,
+  MembershipTracker,
+  type MembershipTrackerOptions,
   type MembershipListener,
 } from "./membership.js";
 export { OwnerTable } from "./owners.js";
--- a/src/fleet/loop.ts
+++ b/src/fleet/loop.ts
@@ -8,12 +8,16 @@
 ): Promise<void> {
   while (!signal.aborted) {
     const pauseMs = await step();
-    if (!(await canSleep(clock, pauseMs, signal))) return;
+    if (!(await sleepUnlessAborted(clock, pauseMs, signal))) return;
   }
 }
 
 /** Sleeps; false when the signal was aborted before or meanwhile. */
-export async function canSleep(clock: Clock, ms: number, signal: AbortSignal): Promise<boolean> {
+export async function sleepUnlessAborted(
+  clock: Clock,
+  ms: number,
+  signal: AbortSignal,
+): Promise<boolean> {
   if (signal.aborted) return false;
   try {
     await clock.sleep(ms, signal);
@@ -24,6 +28,6 @@
 }
 
 /** Spreads a pause over half to one and a half of `ms`, so that many processes don't act at once. */
-export function drawPause(random: Random, ms: number): number {
+export function addJitter(random: Random, ms: number): number {
   return ms * (0.5 + random.draw());
 }
--- a/src/fleet/owners.ts
+++ b/src/fleet/owners.ts
@@ -1,15 +1,15 @@
 import type { Vm } from "../model/index.js";
 import { hashPair } from "../policy/index.js";
 
-interface Ranked {
+interface RankedVm {
   readonly name: string;
   readonly score: number;
 }
 
 /** The two VMs with the highest scores, the owner first; fewer where fewer live. */
-type Pair = readonly Ranked[];
+type OwnerPair = readonly RankedVm[];
 
-const kept = 2;
+const ownersPerGroup = 2;
 
 /**
  * Keeps the owner of each group that was asked for, and who would own it next: the first two of
@@ -20,21 +20,21 @@
 export class OwnerTable {
   private live: readonly Vm[] = [];
   private vms: ReadonlyMap<string, Vm> = new Map();
-  private readonly pairs = new Map<string, Pair>();
+  private readonly pairs = new Map<string, OwnerPair>();
 
   constructor(private readonly listLive: () => readonly Vm[]) {}
 
   /** The owner of a group and the next one, where there are such. */
-  find(group: string): readonly Vm[] {
-    this.follow();
+  findOwners(group: string): readonly Vm[] {
+    this.applyLiveChanges();
     const known = this.pairs.get(group);
-    const pair = known ?? rank(group, this.live);
+    const pair = known ?? rankVms(group, this.live);
     if (known === undefined) this.pairs.set(group, pair);
     return pair.flatMap(({ name }) => this.vms.get(name) ?? []);
   }
 
   /** Takes changes of the live VMs over. The list keeps its identity while nobody comes or goes. */
-  private follow(): void {
+  private applyLiveChanges(): void {
     const live = this.listLive();
     if (live === this.live) return;
     const before = this.vms;
@@ -45,26 +45,26 @@
     for (const [group, pair] of this.pairs) {
       const isBroken = pair.some(({ name }) => !vms.has(name));
       if (isBroken) this.pairs.delete(group);
-      else if (joined.length > 0) this.pairs.set(group, insert(group, pair, joined));
+      else if (joined.length > 0) this.pairs.set(group, insertVms(group, pair, joined));
     }
   }
 }
 
-function rank(group: string, vms: readonly Vm[]): Pair {
-  return insert(group, [], vms);
+function rankVms(group: string, vms: readonly Vm[]): OwnerPair {
+  return insertVms(group, [], vms);
 }
 
-function insert(group: string, pair: Pair, vms: readonly Vm[]): Pair {
+function insertVms(group: string, pair: OwnerPair, vms: readonly Vm[]): OwnerPair {
   let best = pair;
   for (const { name } of vms) {
     const score = hashPair(group, name);
-    const last = best[kept - 1];
+    const last = best[ownersPerGroup - 1];
     if (last !== undefined && score < last.score) continue;
-    best = [...best, { name, score }].sort(compareRanked).slice(0, kept);
+    best = [...best, { name, score }].sort(compareRanked).slice(0, ownersPerGroup);
   }
   return best;
 }
 
-function compareRanked(a: Ranked, b: Ranked): number {
+function compareRanked(a: RankedVm, b: RankedVm): number {
   return b.score - a.score || (a.name < b.name ? -1 : 1);
 }
--- a/src/fleet/push.ts
+++ b/src/fleet/push.ts
@@ -1,5 +1,5 @@
 import type { Clock, Json, PeerClient, Random, Vm } from "../model/index.js";
-import { canSleep, drawPause } from "./loop.js";
+import { sleepUnlessAborted, addJitter } from "./loop.js";
 
 const pushRetryMs = 300;
 
@@ -17,7 +17,7 @@
   const { peers, clock, random } = ports;
   const first = await peers.pushConfiguration(vm, message, timeoutMs);
   if (first.type === "found") return first.value;
-  if (!(await canSleep(clock, drawPause(random, pushRetryMs), signal))) return undefined;
+  if (!(await sleepUnlessAborted(clock, addJitter(random, pushRetryMs), signal))) return undefined;
   const second = await peers.pushConfiguration(vm, message, timeoutMs);
   return second.type === "found" ? second.value : undefined;
 }
--- a/src/fleet/reader.ts
+++ b/src/fleet/reader.ts
@@ -10,7 +10,7 @@
   readonly store: ObjectStore;
   readonly logger: Logger;
   /** Takes what the store holds; nothing when it holds none. */
-  readonly handle: (configuration: Configuration | undefined) => void;
+  readonly onStored: (configuration: Configuration | undefined) => void;
 }
 
 /** Reads the configuration object, checks it, and notes when the store goes and comes back. */
@@ -40,19 +40,19 @@
   }
 
   onObject(object: StoredObject): void {
-    this.noteUp();
+    this.recordReachable();
     const stored = decodeStored(object.value);
     if (stored === undefined) {
       this.options.logger.write(fleetEvents.configurationFaulty, { version: object.version });
       return;
     }
     const { revision, changeId, teams, rules } = stored;
-    this.options.handle({ revision, changeId, teams, rules });
+    this.options.onStored({ revision, changeId, teams, rules });
   }
 
   onAbsent(): void {
-    this.noteUp();
-    this.options.handle(undefined);
+    this.recordReachable();
+    this.options.onStored(undefined);
   }
 
   onUnavailable(reason: string): void {
@@ -64,7 +64,7 @@
     this.options.logger.write(fleetEvents.watchBroken, { reason });
   }
 
-  private noteUp(): void {
+  private recordReachable(): void {
     if (this.isDown) this.options.logger.write(fleetEvents.storeReachable);
     this.isDown = false;
   }
--- a/src/fleet/watcher.ts
+++ b/src/fleet/watcher.ts
@@ -1,6 +1,6 @@
 import type { Clock, ObjectStore, Random, StoredObject } from "../model/index.js";
 import { configurationKind, configurationName } from "./kinds.js";
-import { drawPause, runLoop } from "./loop.js";
+import { addJitter, runLoop } from "./loop.js";
 
 const retryMs = 1000;
 
@@ -24,12 +24,12 @@
     if (signal.aborted) return 0;
     if (read.type === "unavailable") {
       handler.onUnavailable(read.reason);
-      return drawPause(random, retryMs);
+      return addJitter(random, retryMs);
     }
     if (read.type === "found") handler.onObject(read.value);
     else handler.onAbsent();
     await watch(store, read.type === "found" ? read.value.version : 0, handler, signal);
-    return drawPause(random, retryMs);
+    return addJitter(random, retryMs);
   });
 }
 
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -6,7 +6,7 @@
   type StatementSample,
 } from "../direct/index.js";
 import { DirectPeerClient, DirectPeerServer } from "../directpeer/index.js";
-import { DrainKeeper } from "../fleet/drain.js";
+import { DrainRunner } from "../fleet/drain.js";
 import {
   LeadershipKeeper,
   PrimaryChanger,
@@ -72,7 +72,7 @@
   private readonly watch: ProxyWatch;
   private readonly rates: NodeRates;
   private readonly server: LineServer;
-  private readonly drainer: DrainKeeper;
+  private readonly drainer: DrainRunner;
   private readonly drainPlan: DrainPlan;
   private wasReady = false;
   private askedForGatewaysAt = -Infinity;
@@ -189,10 +189,10 @@
         accept: (connection) => this.callers.accept(connection),
       }),
     );
-    this.drainer = new DrainKeeper({
+    this.drainer = new DrainRunner({
       clock,
       logger,
-      times: this.drainPlan,
+      timings: this.drainPlan,
       countInFlight: () => this.countInFlight(),
       onAnnounce: () => this.changer.stop(),
       onRefuseNew: () => {
--- a/src/proxy/directory.ts
+++ b/src/proxy/directory.ts
@@ -2,10 +2,10 @@
 import type { Logger } from "../log/index.js";
 import type { Clock, Disposable, Group, ObjectStore } from "../model/index.js";
 
-const readMs = 2000;
+const readIntervalMs = 2000;
 
 /** Each VM reads the list the more rarely the more there are, so that the store's load is bounded. */
-const readMsPerVm = 5;
+const readIntervalMsPerVm = 5;
 
 /** What a `GroupDirectory` needs. */
 export interface GroupDirectoryOptions {
@@ -19,15 +19,15 @@
 /** Keeps the platform's database groups. While the store is down the last list stays in use. */
 export class GroupDirectory implements Disposable {
   private groups: ReadonlyMap<string, Group> = new Map();
-  private readonly ended = new AbortController();
-  private known = "";
+  private readonly disposeController = new AbortController();
+  private lastGroupsJson = "";
 
   constructor(private readonly options: GroupDirectoryOptions) {}
 
   /** Resolves after the first reading, whatever came of it, and goes on reading. */
   async start(): Promise<void> {
     await this.read();
-    void this.keepReading();
+    void this.pollGroups();
   }
 
   list(): ReadonlyMap<string, Group> {
@@ -35,14 +35,17 @@
   }
 
   dispose(): void {
-    this.ended.abort();
+    this.disposeController.abort();
   }
 
-  private async keepReading(): Promise<void> {
+  private async pollGroups(): Promise<void> {
     const { clock, countVms } = this.options;
-    const { signal } = this.ended;
+    const { signal } = this.disposeController;
     for (;;) {
-      const pause = this.groups.size === 0 ? readMs / 4 : readMs + readMsPerVm * countVms();
+      const pause =
+        this.groups.size === 0
+          ? readIntervalMs / 4
+          : readIntervalMs + readIntervalMsPerVm * countVms();
       await clock.sleep(pause, signal).catch(() => undefined);
       if (signal.aborted) return;
       await this.read();
@@ -58,14 +61,14 @@
       case "absent":
         return;
       case "found":
-        this.take(read.value);
+        this.updateGroups(read.value);
     }
   }
 
-  private take(groups: readonly Group[]): void {
+  private updateGroups(groups: readonly Group[]): void {
     const text = JSON.stringify(groups);
-    if (text === this.known) return;
-    this.known = text;
+    if (text === this.lastGroupsJson) return;
+    this.lastGroupsJson = text;
     this.groups = new Map(groups.map((g) => [g.name, g]));
     this.options.onChange(this.groups);
   }
--- a/src/proxy/gateway.ts
+++ b/src/proxy/gateway.ts
@@ -4,7 +4,7 @@
 import { orderOwners } from "../policy/index.js";
 
 /** How long a VM that could not be reached is passed over, in milliseconds. */
-const doubtMs = 3000;
+const avoidUnreachableMs = 3000;
 
 /** What a `FleetGateway` chooses between. */
 export interface FleetGatewayOptions {
@@ -18,7 +18,7 @@
 /** Opens conversations at a group's owner, which is this process or another. */
 export class FleetGateway implements GroupGateway {
   /** Until when each VM that could not be reached is passed over. */
-  private readonly doubts = new Map<string, number>();
+  private readonly avoidedUntil = new Map<string, number>();
   private readonly owners: OwnerTable;
 
   constructor(private readonly options: FleetGatewayOptions) {
@@ -27,7 +27,7 @@
 
   open(group: string): Conversation {
     const { owner, remote } = this.options;
-    return this.findOther(group) === undefined ? owner.open(group) : remote.open(group);
+    return this.findRemoteOwner(group) === undefined ? owner.open(group) : remote.open(group);
   }
 
   /**
@@ -35,43 +35,43 @@
    * by one lost packet; a group's writes would stand still for as long. Two owners at once break
    * nothing, so the next in order can serve it at the first sign.
    */
-  noteBroken(vm: string): void {
-    this.doubts.set(vm, this.options.clock.now() + doubtMs);
+  markUnreachable(vm: string): void {
+    this.avoidedUntil.set(vm, this.options.clock.now() + avoidUnreachableMs);
   }
 
   /** The VM that owns the group when that is another one; nothing when this process serves it. */
-  findOther(group: string): Vm | undefined {
+  findRemoteOwner(group: string): Vm | undefined {
     const { vm } = this.options;
     const order = this.listOwners(group);
-    const [first, second] = order.filter((o) => !this.isDoubted(o.name));
+    const [first, second] = order.filter((o) => !this.isAvoided(o.name));
     const chosen = first ?? order[0];
     if (chosen?.name !== vm) return chosen;
     return this.isCutOff(group) ? second : undefined;
   }
 
   /** The next in order when this process serves the group but is cut off from its primary. */
-  findSuccessor(group: string): Vm | undefined {
+  findReplacementOwner(group: string): Vm | undefined {
     if (!this.isCutOff(group)) return undefined;
     return this.listOwners(group).find((o) => o.name !== this.options.vm);
   }
 
   /** Whether this process owns the group by the live VMs, cut off or not. */
   isOwned(group: string): boolean {
-    return this.owners.find(group)[0]?.name === this.options.vm;
+    return this.owners.findOwners(group)[0]?.name === this.options.vm;
   }
 
   /** The first two in order; all of them only while one of those is in doubt. */
   private listOwners(group: string): readonly Vm[] {
-    const pair = this.owners.find(group);
-    const hasDoubt = pair.some((o) => this.isDoubted(o.name));
+    const pair = this.owners.findOwners(group);
+    const hasDoubt = pair.some((o) => this.isAvoided(o.name));
     return hasDoubt ? orderOwners(group, this.options.listLive()) : pair;
   }
 
-  private isDoubted(vm: string): boolean {
-    const until = this.doubts.get(vm);
+  private isAvoided(vm: string): boolean {
+    const until = this.avoidedUntil.get(vm);
     if (until === undefined) return false;
     if (until > this.options.clock.now()) return true;
-    this.doubts.delete(vm);
+    this.avoidedUntil.delete(vm);
     return false;
   }
 
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -15,8 +15,8 @@
 import type { FleetMembers } from "./members.js";
 import type { ProxyPorts } from "./ports.js";
 
-const helperCount = 3;
-const tendMs = 1000;
+const checkerCount = 3;
+const maintenanceIntervalMs = 1000;
 
 /** The platform's groups: those that this process owns, and the way to the others. */
 export class FleetGroups implements Disposable {
@@ -46,7 +46,7 @@
         random,
         logger,
         hooks: createMetricHooks(metrics),
-        findHelpers: () => membership.findHelpers(helperCount),
+        findHelpers: () => membership.findProbeHelpers(checkerCount),
       }),
     );
     this.directory = this.owned.add(
@@ -56,11 +56,11 @@
         logger,
         countVms: () => listLive().length,
         onChange: () => {
-          this.placeGroups();
+          this.updateOwnedGroups();
         },
       }),
     );
-    const remote = this.createRemote(ports);
+    const remote = this.createRemoteGateway(ports);
     this.gateway = new FleetGateway({ vm, clock, listLive, owner: this.owner, remote });
   }
 
@@ -69,13 +69,13 @@
     await this.directory.start();
     this.owned.add(
       this.members.membership.subscribe(() => {
-        this.placeGroups();
+        this.updateOwnedGroups();
       }),
     );
-    this.placeGroups();
+    this.updateOwnedGroups();
     const timer = setInterval(() => {
-      this.tend();
-    }, tendMs);
+      this.runMaintenance();
+    }, maintenanceIntervalMs);
     this.owned.defer(() => {
       clearInterval(timer);
     });
@@ -98,16 +98,16 @@
     return this.owned.dispose();
   }
 
-  private createRemote({ clock }: ProxyPorts): RemoteGateway {
-    const { links, describe, membership } = this.members;
+  private createRemoteGateway({ clock }: ProxyPorts): RemoteGateway {
+    const { links, createHello, membership } = this.members;
     return new RemoteGateway({
       links,
       clock,
-      getHello: describe,
-      findOwner: (group) => this.gateway.findOther(group),
+      getHello: createHello,
+      findOwner: (group) => this.gateway.findRemoteOwner(group),
       onBroken: ({ name }) => {
-        this.gateway.noteBroken(name);
-        membership.doubt(name);
+        this.gateway.markUnreachable(name);
+        membership.requestProbe(name);
       },
     });
   }
@@ -118,13 +118,13 @@
   }
 
   /** Opens the groups that this process owns now. */
-  private placeGroups(): void {
+  private updateOwnedGroups(): void {
     const groups = this.directory.list();
     const owned = [...groups.keys()].filter((name) => this.gateway.isOwned(name));
     this.owner.setGroups(groups, new Set(owned));
   }
 
-  private tend(): void {
+  private runMaintenance(): void {
     void this.owner.tend();
     for (const served of this.owner.list()) {
       const counts = served.countConnections();
--- a/src/proxy/members.ts
+++ b/src/proxy/members.ts
@@ -1,4 +1,4 @@
-import { ConfigurationKeeper, MembershipKeeper } from "../fleet/index.js";
+import { ConfigurationTracker, MembershipTracker } from "../fleet/index.js";
 import {
   DisposableStore,
   type Disposable,
@@ -14,8 +14,8 @@
 export class FleetMembers implements Disposable {
   readonly links: PeerLinks;
   readonly peers: ConnectPeerClient;
-  readonly membership: MembershipKeeper;
-  readonly configuration: ConfigurationKeeper;
+  readonly membership: MembershipTracker;
+  readonly configuration: ConfigurationTracker;
   private readonly owned = new DisposableStore();
 
   constructor(
@@ -27,31 +27,31 @@
     this.links = this.owned.add(new PeerLinks({ clock, ...security }));
     this.peers = new ConnectPeerClient({
       links: this.links,
-      getHello: this.describe,
+      getHello: this.createHello,
       onHello: (hello) => {
-        this.membership.hear(hello);
+        this.membership.receiveHello(hello);
       },
     });
     const shared = { store, peers: this.peers, clock, random, logger };
     this.membership = this.owned.add(
-      new MembershipKeeper({
+      new MembershipTracker({
         ...shared,
-        vm: describeVm(settings),
+        vm: toVm(settings),
         incarnation,
-        getRevision: () => this.configuration.current().revision,
+        getRevision: () => this.configuration.getCurrent().revision,
         seeds: settings.seeds,
         onHello: (hello) => {
-          this.configuration.hear(hello);
+          this.configuration.receiveHello(hello);
         },
       }),
     );
     this.configuration = this.owned.add(
-      new ConfigurationKeeper({ ...shared, vm: settings.vm, listLive: this.listLive }),
+      new ConfigurationTracker({ ...shared, vm: settings.vm, listLive: this.listLive }),
     );
   }
 
   /** What this process says of itself. */
-  readonly describe = (): PeerHello => this.membership.describe();
+  readonly createHello = (): PeerHello => this.membership.createHello();
 
   readonly listLive = (): readonly Vm[] => this.membership.listLive();
 
@@ -60,6 +60,6 @@
   }
 }
 
-function describeVm({ vm, dataCentre, listen }: ProxySettings): Vm {
+function toVm({ vm, dataCentre, listen }: ProxySettings): Vm {
   return { name: vm, dataCentre, peer: listen.peers, state: "live" };
 }
--- a/src/proxy/proxy.ts
+++ b/src/proxy/proxy.ts
@@ -1,6 +1,6 @@
 import type { CallerServer, RuleDecision } from "../caller/index.js";
 import type { ProxyReport } from "../report/index.js";
-import { DrainKeeper } from "../fleet/index.js";
+import { DrainRunner } from "../fleet/index.js";
 import { processEvents } from "../log/events/process.js";
 import { createMetrics, HealthServer, type Metrics } from "../metric/index.js";
 import { DisposableStore, type Address, type RequestTraits, type Team } from "../model/index.js";
@@ -13,11 +13,11 @@
 import { FleetMembers } from "./members.js";
 import type { ProxyPorts } from "./ports.js";
 import { describeGroup, encodeReport } from "./report.js";
-import { describeClientSecurity, loadCertificates, type Certificates } from "./security.js";
-import { countCalls, openStore } from "./store.js";
+import { getClientTlsOptions, loadCertificates, type Certificates } from "./security.js";
+import { countStoreCalls, openStore } from "./store.js";
 
 /** Between two counts of the callers for the metrics, in milliseconds. */
-const countMs = 1000;
+const callerCountIntervalMs = 1000;
 
 /** Where a proxy listens, once it does. */
 export interface ProxyAddresses {
@@ -35,7 +35,7 @@
   private readonly callers: CallerServer;
   private readonly peerServer: PeerServer;
   private readonly health: HealthServer;
-  private readonly drainKeeper: DrainKeeper;
+  private readonly drainRunner: DrainRunner;
   private listening: Omit<ProxyAddresses, "callers"> | undefined;
   private isReady = false;
   private teams: ReadonlyMap<string, Team> = new Map();
@@ -51,18 +51,18 @@
   ) {
     const { settings, logger } = ports;
     const { metrics, owned } = this;
-    this.watchInvariants();
+    this.logInvariantViolations();
     for (const side of [certificates.callers, certificates.peers]) {
       if (side !== undefined) owned.add(side);
     }
-    const store = owned.add(countCalls(openStore(settings, logger), metrics));
-    const security = describeClientSecurity(certificates);
+    const store = owned.add(countStoreCalls(openStore(settings, logger), metrics));
+    const security = getClientTlsOptions(certificates);
     this.members = owned.add(new FleetMembers(ports, store, security));
     this.groups = owned.add(new FleetGroups(ports, this.members, store, metrics));
     this.peerServer = owned.add(this.createPeerServer());
     this.callers = owned.add(this.createCallers());
     this.health = owned.add(this.createHealth());
-    this.drainKeeper = this.createDrain();
+    this.drainRunner = this.createDrainRunner();
   }
 
   /** Begins to answer peers and operators, not yet callers. `start` does so unless it was done. */
@@ -84,7 +84,7 @@
     await this.followConfiguration();
     this.members.membership.setState("ready");
     const callers = await this.callers.listen();
-    this.countCallers();
+    this.publishCallerCount();
     this.isReady = true;
     this.ports.logger.write(processEvents.ready, { callers, peers, health });
     return { callers, peers, health };
@@ -92,7 +92,7 @@
 
   /** Leaves the fleet: nothing that is in flight is cut off within the settings' limit. */
   async drain(): Promise<void> {
-    await this.drainKeeper.drain();
+    await this.drainRunner.drain();
   }
 
   dispose(): Promise<void> {
@@ -107,10 +107,10 @@
       vm: settings.vm,
       dataCentre: settings.dataCentre,
       incarnation,
-      state: this.findState(),
-      revision: configuration.current().revision,
+      state: this.getState(),
+      revision: configuration.getCurrent().revision,
       callers: this.callers.connectionCount,
-      members: membership.view().map(({ vm, status }) => ({
+      members: membership.listMembers().map(({ vm, status }) => ({
         name: vm.name,
         dataCentre: vm.dataCentre,
         ...vm.peer,
@@ -120,12 +120,12 @@
     };
   }
 
-  private findState(): ProxyReport["state"] {
-    if (this.drainKeeper.isLeaving()) return "leaving";
+  private getState(): ProxyReport["state"] {
+    if (this.drainRunner.isLeaving()) return "leaving";
     return this.isReady ? "ready" : "starting";
   }
 
-  private watchInvariants(): void {
+  private logInvariantViolations(): void {
     const { logger } = this.ports;
     this.owned.add(
       this.metrics.observeViolations((invariant, detail) => {
@@ -134,10 +134,10 @@
     );
   }
 
-  private countCallers(): void {
+  private publishCallerCount(): void {
     const timer = setInterval(() => {
       this.metrics.setCallers(this.callers.connectionCount);
-    }, countMs);
+    }, callerCountIntervalMs);
     this.owned.defer(() => {
       clearInterval(timer);
     });
@@ -166,7 +166,7 @@
       certificates: this.certificates.callers,
       gateway: this.groups.gateway,
       hasGroup: (name) => this.groups.has(name),
-      match: (traits) => this.match(traits),
+      match: (traits) => this.matchRequest(traits),
       findTeam: (name) => this.teams.get(name),
     });
   }
@@ -177,11 +177,11 @@
       metrics: this.metrics,
       getState: () => ({
         configurationKnown: configuration.isKnown(),
-        leaving: this.drainKeeper.isLeaving(),
+        leaving: this.drainRunner.isLeaving(),
       }),
       summarise: () => ({
         vm: this.ports.settings.vm,
-        revision: configuration.current().revision,
+        revision: configuration.getCurrent().revision,
       }),
       report: () => encodeReport(this.report()),
       configuration: () => {
@@ -192,13 +192,13 @@
     });
   }
 
-  private createDrain(): DrainKeeper {
+  private createDrainRunner(): DrainRunner {
     const { clock, logger, settings } = this.ports;
     const { owner } = this.groups;
-    return new DrainKeeper({
+    return new DrainRunner({
       clock,
       logger,
-      times: settings.drain,
+      timings: settings.drain,
       countInFlight: () => owner.countConversations() + this.callers.connectionCount,
       describeInFlight: () => ({
         conversations: owner.countConversations(),
@@ -214,15 +214,15 @@
     });
   }
 
-  private match(traits: RequestTraits): RuleDecision {
-    const { name, then } = matchRule(this.members.configuration.current(), traits);
+  private matchRequest(traits: RequestTraits): RuleDecision {
+    const { name, then } = matchRule(this.members.configuration.getCurrent(), traits);
     return { rule: name, action: then };
   }
 
   private async followConfiguration(): Promise<void> {
     const { configuration } = this.members;
     const take = () => {
-      const { teams, revision } = configuration.current();
+      const { teams, revision } = configuration.getCurrent();
       this.teams = new Map(teams.map((team) => [team.name, team]));
       this.metrics.setRevision(revision);
     };
--- a/src/proxy/report.ts
+++ b/src/proxy/report.ts
@@ -26,11 +26,11 @@
     role: seen.status.role,
     mark: formatMark(seen.status.mark),
     missedProbes: seen.missedProbes,
-    ...(end === undefined ? {} : { lag: measureLag(end, seen) }),
+    ...(end === undefined ? {} : { lag: computeLag(end, seen) }),
   };
 }
 
-function measureLag(end: number, { status }: TargetView): number {
+function computeLag(end: number, { status }: TargetView): number {
   return Math.max(0, end - status.mark.offset);
 }
 
--- a/src/proxy/security.ts
+++ b/src/proxy/security.ts
@@ -34,7 +34,7 @@
 }
 
 /** The options of links to peers that carry this process's certificate. */
-export function describeClientSecurity({
+export function getClientTlsOptions({
   peers,
 }: Certificates): Pick<LinkOptions, "getSecureOptions"> {
   return peers === undefined ? {} : { getSecureOptions: peers.getClientOptions };
--- a/src/proxy/store.ts
+++ b/src/proxy/store.ts
@@ -16,7 +16,10 @@
 }
 
 /** Counts the calls on a store by operation and outcome. */
-export function countCalls(store: HttpObjectStore, metrics: Metrics): ObjectStore & Disposable {
+export function countStoreCalls(
+  store: HttpObjectStore,
+  metrics: Metrics,
+): ObjectStore & Disposable {
   const count = async <T extends { readonly type: string }>(
     operation: string,
     call: Promise<T>,
--- a/test/direct/fixture.ts
+++ b/test/direct/fixture.ts
@@ -20,7 +20,7 @@
   type TargetCommand,
   type TargetLink,
 } from "../../src/statement/index.js";
-import { FakeClock, makeRandom, settle } from "../fleet/fakes.js";
+import { FakeClock, makeRandom, flushTasks } from "../fleet/fakes.js";
 
 /** A command sent to a target of the fixture; the test answers it. */
 export interface SentCommand {
@@ -123,7 +123,7 @@
   /** Advances the clock and lets pending promises settle. */
   async advance(ms: number): Promise<void> {
     await this.clock.advance(ms);
-    await settle();
+    await flushTasks();
   }
 
   dispose(): Promise<void> {
--- a/test/fleet/nodes.ts
+++ b/test/fleet/configuration-fixture.ts
@@ -1,4 +1,4 @@
-import { ConfigurationKeeper } from "../../src/fleet/index.js";
+import { ConfigurationTracker } from "../../src/fleet/index.js";
 import { silentLogger, type LogEvent, type Logger } from "../../src/log/index.js";
 import type { PeerClient, StoreRead, Vm } from "../../src/model/index.js";
 import { makeRandom, type FakeClock, type FakeNetwork, type FakeStore } from "./fakes.js";
@@ -6,8 +6,8 @@
 const down = (reason: string): StoreRead<never> => ({ type: "unavailable", reason });
 
 /** A few proxies' configuration keepers over one fake store, network and clock. */
-export class Nodes {
-  readonly keepers = new Map<string, ConfigurationKeeper>();
+export class ConfigurationFixture {
+  readonly keepers = new Map<string, ConfigurationTracker>();
   readonly paused = new Set<string>();
   /** Every revision that each run of a keeper had in force, in order. */
   readonly adopted: { readonly vm: string; readonly run: number; readonly revision: number }[] = [];
@@ -26,7 +26,7 @@
   start(name: string): Promise<void> {
     const run = ++this.run;
     const { store, clock } = this.ports;
-    const keeper = new ConfigurationKeeper({
+    const keeper = new ConfigurationTracker({
       vm: name,
       store,
       peers: this.makeClient(name),
@@ -52,18 +52,20 @@
   }
 
   /** Lets each proxy hear one other's hello, as probes do. */
-  gossip(round: number): void {
+  exchangeHellos(round: number): void {
     const names = [...this.keepers.keys()];
     for (const [i, name] of names.entries()) {
       const other = names[(i + round) % names.length];
       if (other === undefined || other === name || !this.canReach(other, name)) continue;
-      const revision = this.keepers.get(other)?.current().revision ?? 0;
-      this.keepers.get(name)?.hear({ vm: other, incarnation: "1.0", state: "ready", revision });
+      const revision = this.keepers.get(other)?.getCurrent().revision ?? 0;
+      this.keepers
+        .get(name)
+        ?.receiveHello({ vm: other, incarnation: "1.0", state: "ready", revision });
     }
   }
 
-  revisions(): readonly number[] {
-    return [...this.keepers.values()].map((keeper) => keeper.current().revision);
+  listRevisions(): readonly number[] {
+    return [...this.keepers.values()].map((keeper) => keeper.getCurrent().revision);
   }
 
   private canReach(a: string, b: string): boolean {
@@ -82,7 +84,7 @@
       pushConfiguration: (vm, json) => {
         const keeper = reach(vm);
         if (keeper === undefined) return Promise.resolve(down("cut"));
-        return Promise.resolve({ type: "found", value: keeper.receive(json) });
+        return Promise.resolve({ type: "found", value: keeper.receivePush(json) });
       },
     };
   }
--- a/test/fleet/keeper.test.ts
+++ b/test/fleet/configuration.test.ts
@@ -5,14 +5,14 @@
 import type { Vm } from "../../src/model/index.js";
 import { draft, team } from "./builders.js";
 import { FakeClock, FakeNetwork, FakeStore, makeVm } from "./fakes.js";
-import { Nodes } from "./nodes.js";
+import { ConfigurationFixture } from "./configuration-fixture.js";
 
 const makeVms = (count: number): readonly Vm[] =>
   Array.from({ length: count }, (_, i) => makeVm(`vm${i}`, `dc${i % 3}`, i));
 
 const makeFleet = (count: number) => {
   const [store, network, clock] = [new FakeStore(), new FakeNetwork(), new FakeClock()];
-  const nodes = new Nodes({ store, network, clock }, makeVms(count));
+  const nodes = new ConfigurationFixture({ store, network, clock }, makeVms(count));
   let version = 0;
   const write = async (revision: number, teams = [team(`t${revision}`)]) => {
     const value = { revision, changeId: `c${revision}`, changes: [], ...draft(teams) };
@@ -30,7 +30,7 @@
   expect(store.countWatches()).toBe(6);
   await write(2);
   await clock.advance(0);
-  expect(new Set(nodes.revisions())).toEqual(new Set([2]));
+  expect(new Set(nodes.listRevisions())).toEqual(new Set([2]));
   nodes.keepers.forEach((keeper) => {
     keeper.dispose();
   });
@@ -51,7 +51,7 @@
   expect(nodes.keepers.get("vm3")?.isKnown()).toBe(false);
   await clock.advance(1000);
   await started;
-  expect(nodes.keepers.get("vm3")?.current().revision).toBe(2);
+  expect(nodes.keepers.get("vm3")?.getCurrent().revision).toBe(2);
 });
 
 test("with neither store nor peers a proxy is not known, so it is not ready", async () => {
@@ -82,7 +82,7 @@
   store.restore(old);
   store.breakWatches();
   await clock.advance(3000);
-  expect(new Set(nodes.revisions())).toEqual(new Set([3]));
+  expect(new Set(nodes.listRevisions())).toEqual(new Set([3]));
   expect(nodes.events.some(({ event }) => event.name === "storeReverted")).toBe(true);
   nodes.keepers.forEach((keeper) => {
     keeper.dispose();
@@ -99,7 +99,7 @@
   store.breakWatches(true);
   await write(2);
   await clock.advance(180_000);
-  expect(new Set(nodes.revisions())).toEqual(new Set([2]));
+  expect(new Set(nodes.listRevisions())).toEqual(new Set([2]));
   nodes.keepers.forEach((keeper) => {
     keeper.dispose();
   });
@@ -158,10 +158,10 @@
       nodes.paused.clear();
       store.isDown = false;
       for (let round = 1; round <= 100; round++) {
-        nodes.gossip(round);
+        nodes.exchangeHellos(round);
         await clock.advance(1000);
       }
-      expect(nodes.revisions()).toEqual(nodes.vms.map(() => revision));
+      expect(nodes.listRevisions()).toEqual(nodes.vms.map(() => revision));
       const runs = new Map<number, number>();
       for (const { run, revision: next } of nodes.adopted) {
         expect(next).toBeGreaterThan(runs.get(run) ?? 0);
--- a/test/fleet/drain.test.ts
+++ b/test/fleet/drain.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "@jest/globals";
-import { DrainKeeper } from "../../src/fleet/index.js";
+import { DrainRunner } from "../../src/fleet/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import { setViolationHandler } from "../../src/model/index.js";
 import { FakeClock } from "./fakes.js";
@@ -7,10 +7,10 @@
 const makeDrain = (inFlight: () => number) => {
   const clock = new FakeClock();
   const steps: string[] = [];
-  const keeper = new DrainKeeper({
+  const keeper = new DrainRunner({
     clock,
     logger: silentLogger,
-    times: { announceMs: 3000, limitMs: 10_000 },
+    timings: { announceMs: 3000, limitMs: 10_000 },
     countInFlight: inFlight,
     onAnnounce: () => void steps.push("announce"),
     onRefuseNew: () => void steps.push("refuseNew"),
--- a/test/fleet/fakes.ts
+++ b/test/fleet/fakes.ts
@@ -11,7 +11,7 @@
 } from "../../src/model/index.js";
 
 /** Lets all that is ready run, without time passing. */
-export const settle = async () => {
+export const flushTasks = async () => {
   for (let i = 0; i < 20; i++) await Promise.resolve();
   await new Promise((resolve) => setImmediate(resolve));
 };
@@ -44,7 +44,7 @@
   async advance(ms: number) {
     const end = this.time + ms;
     for (;;) {
-      await settle();
+      await flushTasks();
       const due = this.sleepers.filter((s) => s.at <= end).sort((a, b) => a.at - b.at)[0];
       if (due === undefined) break;
       this.time = Math.max(this.time, due.at);
@@ -55,7 +55,7 @@
   }
 
   /** Time that passes while the process stands still: nothing due runs until afterwards. */
-  skip(ms: number) {
+  jumpAhead(ms: number) {
     this.time += ms;
   }
 }
--- a/test/fleet/members.ts
+++ b/test/fleet/membership-fixture.ts
@@ -1,12 +1,12 @@
 import { openIncarnation } from "../../src/controller/membership/index.js";
-import { MembershipKeeper } from "../../src/fleet/index.js";
+import { MembershipTracker } from "../../src/fleet/index.js";
 import type { LogEvent } from "../../src/log/index.js";
 import type { PeerClient, PeerHello, ProbeResult, Vm } from "../../src/model/index.js";
 import { makeRandom, type FakeClock, type FakeNetwork, type FakeStore } from "./fakes.js";
 
 /** A few VMs' membership keepers over one fake store, network and clock. */
-export class Members {
-  readonly keepers = new Map<string, MembershipKeeper>();
+export class MembershipFixture {
+  readonly keepers = new Map<string, MembershipTracker>();
   readonly paused = new Set<string>();
   readonly events: { readonly vm: string; readonly event: LogEvent }[] = [];
 
@@ -27,7 +27,7 @@
   async start(name: string, seeds: readonly Vm["peer"][] = []): Promise<void> {
     const vm = this.find(name);
     const { store, clock } = this.ports;
-    const keeper = new MembershipKeeper({
+    const keeper = new MembershipTracker({
       vm,
       incarnation: openIncarnation(clock.now() + 1),
       store,
@@ -53,7 +53,7 @@
   }
 
   /** The names that `name` believes live, sorted. */
-  live(name: string): string {
+  listLiveNames(name: string): string {
     const live = this.keepers.get(name)?.listLive() ?? [];
     return live
       .map((vm) => vm.name)
@@ -77,7 +77,7 @@
         await clock.sleep(timeoutMs);
         return { type: "silent", reason: "timeout" };
       }
-      return { type: "answered", hello: keeper.receive(hello) };
+      return { type: "answered", hello: keeper.answerProbe(hello) };
     };
     return {
       probe,
@@ -87,7 +87,7 @@
           await clock.sleep(timeoutMs);
           return { type: "silent", reason: "no helper" };
         }
-        return helper.relayProbe(vm);
+        return helper.probeForPeer(vm);
       },
       checkTarget: () => Promise.resolve({ type: "unreachable", reason: "not here" }),
       fetchConfiguration: () => Promise.resolve({ type: "absent" }),
--- a/test/fleet/membership.test.ts
+++ b/test/fleet/membership.test.ts
@@ -7,17 +7,17 @@
   type MembershipEvent,
 } from "../../src/controller/membership/index.js";
 import { FakeClock, FakeNetwork, FakeStore, makeVm } from "./fakes.js";
-import { Members } from "./members.js";
+import { MembershipFixture } from "./membership-fixture.js";
 
 const names = ["a", "b", "c", "d", "e", "f", "g"];
 const all = names.join(" ");
 const without = (...gone: string[]) => names.filter((n) => !gone.includes(n)).join(" ");
-const open: Members[] = [];
+const open: MembershipFixture[] = [];
 
 const makeFleet = () => {
   const [store, network, clock] = [new FakeStore(), new FakeNetwork(), new FakeClock()];
   const vms = names.map((name, i) => makeVm(name, `dc${i % 3}`, i + 1));
-  const members = new Members({ store, network, clock }, vms);
+  const members = new MembershipFixture({ store, network, clock }, vms);
   open.push(members);
   return { store, network, clock, members };
 };
@@ -35,10 +35,11 @@
   await clock.advance(5000);
   members.stop("c");
   await clock.advance(15_000);
-  for (const name of names.filter((n) => n !== "c")) expect(members.live(name)).toBe(without("c"));
+  for (const name of names.filter((n) => n !== "c"))
+    expect(members.listLiveNames(name)).toBe(without("c"));
   await members.start("c");
   await clock.advance(15_000);
-  for (const name of names) expect(members.live(name)).toBe(all);
+  for (const name of names) expect(members.listLiveNames(name)).toBe(all);
 });
 
 // In a fleet too large to probe all, each VM probes a few that keep their connections.
@@ -67,7 +68,7 @@
   await members.startAll();
   network.cut(["a"], ["b"]);
   await clock.advance(60_000);
-  for (const name of names) expect(members.live(name)).toBe(all);
+  for (const name of names) expect(members.listLiveNames(name)).toBe(all);
   expect(members.events.filter(({ event }) => event.name === "vmDown")).toEqual([]);
 });
 
@@ -101,15 +102,15 @@
   await clock.advance(3000);
   network.cut(["a"], names.slice(1));
   await clock.advance(60_000);
-  expect(members.live("a")).toBe(all);
-  expect(members.live("b")).toBe(without("a"));
+  expect(members.listLiveNames("a")).toBe(all);
+  expect(members.listLiveNames("b")).toBe(without("a"));
   expect(members.events.filter(({ event }) => event.name === "observerIsolated")).toHaveLength(1);
   network.cuts.clear();
   await clock.advance(2000);
   const refuted = members.events.filter(({ event }) => event.name === "suspicionRefuted");
   expect(refuted.map(({ vm }) => vm)).toContain("a");
   await clock.advance(28_000);
-  for (const name of names) expect(members.live(name)).toBe(all);
+  for (const name of names) expect(members.listLiveNames(name)).toBe(all);
 });
 
 // Two halves lose each other for a minute; each takes the other for down and goes on alone.
@@ -121,11 +122,11 @@
   await clock.advance(3000);
   network.cut(names.slice(0, 3), names.slice(3));
   await clock.advance(60_000);
-  expect(members.live("a")).toBe("a b c");
-  expect(members.live("g")).toBe("d e f g");
+  expect(members.listLiveNames("a")).toBe("a b c");
+  expect(members.listLiveNames("g")).toBe("d e f g");
   network.cuts.clear();
   await clock.advance(60_000);
-  for (const name of names) expect(members.live(name)).toBe(all);
+  for (const name of names) expect(members.listLiveNames(name)).toBe(all);
   members.events.splice(0);
   await clock.advance(120_000);
   expect(members.events).toEqual([]);
@@ -137,9 +138,9 @@
   await clock.advance(2000);
   members.keepers.get("d")?.setState("leaving");
   await clock.advance(4000);
-  for (const name of names) expect(members.live(name)).toBe(without("d"));
+  for (const name of names) expect(members.listLiveNames(name)).toBe(without("d"));
   await clock.advance(60_000);
-  for (const name of names) expect(members.live(name)).toBe(without("d"));
+  for (const name of names) expect(members.listLiveNames(name)).toBe(without("d"));
 });
 
 // The store is down, so there is no list. A running VM keeps what it knows and goes on probing.
@@ -151,12 +152,12 @@
   store.isDown = true;
   members.stop("e");
   await clock.advance(30_000);
-  expect(members.live("a")).toBe(without("e"));
+  expect(members.listLiveNames("a")).toBe(without("e"));
   await members.start("e", [{ host: "10.0.0.1", port: 7432 }]);
   await clock.advance(2000);
-  expect(members.live("e")).toBe(all);
+  expect(members.listLiveNames("e")).toBe(all);
   await clock.advance(10_000);
-  expect(members.live("g")).toBe(all);
+  expect(members.listLiveNames("g")).toBe(all);
 });
 
 // The platform's list still says leaving for a VM that was replaced under the same name.
@@ -166,11 +167,11 @@
   await members.startAll();
   store.vms = members.vms.map((vm) => (vm.name === "b" ? { ...vm, state: "leaving" } : vm));
   await clock.advance(20_000);
-  expect(members.live("a")).toBe(without("b"));
+  expect(members.listLiveNames("a")).toBe(without("b"));
   members.stop("b");
   await members.start("b");
   await clock.advance(60_000);
-  expect(members.live("a")).toBe(all);
+  expect(members.listLiveNames("a")).toBe(all);
 });
 
 // Cuts, pauses, deaths and restarts in any order, then everything heals.
@@ -198,7 +199,7 @@
       store.isDown = false;
       for (const name of names) if (!members.keepers.has(name)) await members.start(name);
       await clock.advance(90_000);
-      for (const name of names) expect(members.live(name)).toBe(all);
+      for (const name of names) expect(members.listLiveNames(name)).toBe(all);
       members.stopAll();
     }),
     { seed: 4711, numRuns: 15 },
--- a/test/fleet/owners.test.ts
+++ b/test/fleet/owners.test.ts
@@ -18,7 +18,7 @@
       for (const [i, [numbers, asked]] of steps.entries()) {
         live = numbers.map((n) => makeVm(`vm${n}`, "dc1", n + 10 * i));
         for (const group of asked) {
-          expect(table.find(group)).toEqual(orderOwners(group, live).slice(0, 2));
+          expect(table.findOwners(group)).toEqual(orderOwners(group, live).slice(0, 2));
         }
       }
     }),
--- a/test/node/follower.test.ts
+++ b/test/node/follower.test.ts
@@ -7,7 +7,7 @@
 import type { NodeSettings, NodeStore } from "../../src/node/index.js";
 import { StoreFollower } from "../../src/node/follower.js";
 import { strictBounds } from "../../src/rates/index.js";
-import { FakeClock, makeRandom, settle } from "../fleet/fakes.js";
+import { FakeClock, makeRandom, flushTasks } from "../fleet/fakes.js";
 
 const address = { host: "10.0.0.1", port: 5000 };
 const settings: NodeSettings = {
@@ -193,7 +193,7 @@
   expect(list()).toEqual(["gone"]);
   const { looks } = store;
   for (let ms = 0; ms < 6000 && store.looks === looks; ms += 50) await clock.advance(50);
-  await settle();
+  await flushTasks();
   expect(list()).toEqual(["today"]);
   follower.stop();
 });
@@ -231,8 +231,8 @@
   expect(keeper.confirmedAt).toBeDefined();
   wall = 5000;
   expect(keeper.confirmedAt).toBeUndefined();
-  clock.skip(1);
-  await settle();
+  clock.jumpAhead(1);
+  await flushTasks();
   expect(store.looks).toBe(before + 1);
   expect(keeper.confirmedAt).toBeDefined();
   follower.stop();
--- a/test/node/watch.test.ts
+++ b/test/node/watch.test.ts
@@ -3,7 +3,7 @@
 import { emptyLeadership } from "../../src/leadership/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import { listSilent, ProxyWatch } from "../../src/node/watch.js";
-import { FakeClock, settle } from "../fleet/fakes.js";
+import { FakeClock, flushTasks } from "../fleet/fakes.js";
 import { makeProxy } from "../gateway/builders.js";
 
 const leadership = { version: 0, document: emptyLeadership };
@@ -44,7 +44,7 @@
   clock.time = 2500;
   watch.hear("vm-1");
   watch.look(proxies, true);
-  await settle();
+  await flushTasks();
   expect(marked).toEqual(["vm-2"]);
 });
 
@@ -54,11 +54,11 @@
   const { watch, clock, asked, marked } = start(["vm-1", "vm-2"]);
   clock.time = 60_000;
   watch.look(proxies, true);
-  await settle();
+  await flushTasks();
   expect(asked).toEqual([]);
   clock.time = 62_500;
   watch.look(proxies, true);
-  await settle();
+  await flushTasks();
   expect([...asked].sort()).toEqual(["vm-1", "vm-2"]);
   expect(marked).toEqual([]);
 });
@@ -68,7 +68,7 @@
   watch.look(proxies, false);
   clock.time = 10_000;
   watch.look(proxies, false);
-  await settle();
+  await flushTasks();
   expect(asked).toEqual([]);
 });
 
