--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -32,29 +32,35 @@
 import { ConfigurationReader } from "./reader.js";
 import { followConfiguration } from "./watcher.js";
 
+/** Timeout of one fetch from a peer or one push to it. */
 const peerTimeoutMs = 1000;
 const roleCheckIntervalMs = 1000;
 const startRetryPauseMs = 500;
+/** Peers that a starting proxy asks at the same time as the store. */
 const startPeerCount = 3;
 const antiEntropyIntervalMs = 60_000;
 
-/** What a `ConfigurationKeeper` needs. */
+/** Dependencies of a `ConfigurationTracker`. */
 export interface ConfigurationTrackerOptions {
-  /** This VM's name. */
+  /** The name of this VM. */
   readonly vm: string;
   readonly store: ObjectStore;
   readonly peers: PeerClient;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The VMs believed live, this one included. */
+  /** Lists the live VMs, this one included. Returns the same array until the list changes. */
   readonly listLive: () => readonly Vm[];
 }
 
-/** Hears of each configuration that comes into force. */
+/** Is called with each configuration that comes into force. */
 export type ConfigurationListener = (configuration: Configuration) => void;
 
-/** Keeps the configuration in force on one proxy. */
+/**
+ * Keeps the configuration in force on one proxy. The relays of each data centre watch the store and
+ * push each new revision down a tree of proxies; peers' messages and periodic reads reveal a
+ * revision that a push failed to deliver.
+ */
 export class ConfigurationTracker implements Disposable {
   private state: ConfigurationState = firstConfigurationState;
   private readonly listeners = new Set<ConfigurationListener>();
@@ -74,37 +80,37 @@
     });
   }
 
-  /** Resolves once the store or a peer has said what is in force; then keeps following it. */
+  /** Resolves once the store or a peer has returned a configuration; then keeps it up to date. */
   async start(): Promise<void> {
     const { clock, random } = this.options;
     const signal = this.disposeController.signal;
-    const known = new AbortController();
-    await runLoop(clock, AbortSignal.any([signal, known.signal]), async () => {
+    const knownController = new AbortController();
+    await runLoop(clock, AbortSignal.any([signal, knownController.signal]), async () => {
       await Promise.all([this.reader.read(), this.fetchFromPeers()]);
-      if (this.state.isKnown) known.abort();
+      if (this.state.isKnown) knownController.abort();
       return addJitter(random, startRetryPauseMs);
     });
     void runLoop(clock, signal, () => this.updateRelayRole());
     void runLoop(clock, signal, () => this.runAntiEntropy());
   }
 
-  /** The configuration in force; the empty one before any is known. */
+  /** Returns the configuration in force; an empty one of revision 0 until `isKnown`. */
   getCurrent(): Configuration {
     return this.state.inForce;
   }
 
-  /** Whether the store or a peer has said what is in force. */
+  /** Whether the store or a peer has returned a configuration, or the store that it holds none. */
   isKnown(): boolean {
     return this.state.isKnown;
   }
 
-  /** Tells `listener` of each greater configuration from now on. */
+  /** Calls `listener` with each configuration adopted from now on. Dispose the result to stop. */
   subscribe(listener: ConfigurationListener): Disposable {
     this.listeners.add(listener);
     return { dispose: () => void this.listeners.delete(listener) };
   }
 
-  /** Takes a peer's push and gives the revision that is then in force here. */
+  /** Applies a configuration message that a peer pushed and returns the revision then in force. */
   receivePush(json: Json): number {
     const message = decodeMessage(json);
     if (message === undefined) this.options.logger.write(fleetEvents.configurationFaulty);
@@ -112,15 +118,19 @@
     return this.state.inForce.revision;
   }
 
-  /** What a peer gets that fetches: nothing when it has as much, unavailable when nothing is known. */
+  /**
+   * Answers a peer that fetches the configuration: `absent` if the peer's revision is not older than
+   * the one in force here, `unavailable` if none is known here.
+   */
   answerFetch(afterRevision: number): StoreRead<Json> {
     const { inForce, isKnown } = this.state;
-    if (!isKnown) return { type: "unavailable", reason: "no configuration is known here yet" };
+    if (!isKnown)
+      return { type: "unavailable", reason: "this proxy does not know the configuration yet" };
     if (inForce.revision <= afterRevision) return { type: "absent" };
     return { type: "found", value: this.encode({ type: "whole", configuration: inForce }) };
   }
 
-  /** Takes note of the revision that a peer's message carries. */
+  /** Compares the revision in a peer's hello with the one in force; fetches it if it is greater. */
   receiveHello(hello: PeerHello): void {
     this.apply({ type: "heard", vm: hello.vm, revision: hello.revision });
   }
@@ -136,8 +146,8 @@
     if (applied.type === "failed") return;
     const before = this.state.inForce.revision;
     const after = applied.state.inForce.revision;
-    // A delayed answer or a store restored from an old copy would silently take back rules that an
-    // operator saw accepted. Every change of the state passes here, so one check is enough.
+    // A delayed answer, or a store restored from an old backup, could silently revert rules that an
+    // operator was told are accepted. Every state change passes here, so one check suffices.
     assertInvariant("configurationNeverReverts", after >= before, () => `${before} to ${after}`);
     this.state = applied.state;
     for (const effect of applied.effects) this.execute(effect);
@@ -223,14 +233,14 @@
     return encodeMessage({ from: this.options.vm, update });
   }
 
-  /** A new proxy asks a few peers beside the store: either may be out of reach or behind. */
+  /** A starting proxy asks some peers besides the store: either may be unreachable or outdated. */
   private async fetchFromPeers(): Promise<void> {
     const others = this.listOthers();
-    const first = Math.floor(this.options.random.draw() * others.length);
-    const asked = [...others.slice(first), ...others.slice(0, first)].slice(0, startPeerCount);
+    const offset = Math.floor(this.options.random.draw() * others.length);
+    const chosen = [...others.slice(offset), ...others.slice(0, offset)].slice(0, startPeerCount);
     const wasKnown = this.state.isKnown;
-    const answers = await Promise.all(asked.map((vm) => this.fetchAndOffer(vm, 0)));
-    if (!wasKnown && this.reader.isStoreDown() && answers.includes(true)) {
+    const wasFetched = await Promise.all(chosen.map((vm) => this.fetchAndOffer(vm, 0)));
+    if (!wasKnown && this.reader.isStoreDown() && wasFetched.includes(true)) {
       const { revision } = this.state.inForce;
       this.options.logger.write(fleetEvents.configurationTakenFromPeer, { revision });
     }
@@ -243,16 +253,16 @@
   private updateRelayRole(): Promise<number> {
     const { vm, listLive, logger } = this.options;
     const live = listLive();
-    // The list keeps its identity while nobody comes or goes.
+    // `listLive` returns the same array until the list changes.
     if (live === this.lastRoleCheckVms) return Promise.resolve(roleCheckIntervalMs);
     this.lastRoleCheckVms = live;
-    const watches = isRelay(vm, live);
-    if (watches && this.watchController === undefined) {
+    const isWatcher = isRelay(vm, live);
+    if (isWatcher && this.watchController === undefined) {
       this.watchController = new AbortController();
       logger.write(fleetEvents.watchStarted);
       void followConfiguration(this.options, this.reader, this.watchController.signal);
     }
-    if (!watches && this.watchController !== undefined) {
+    if (!isWatcher && this.watchController !== undefined) {
       this.watchController.abort();
       this.watchController = undefined;
       logger.write(fleetEvents.watchStopped);
@@ -261,8 +271,9 @@
   }
 
   /**
-   * A watch that went silent, or pushes lost on every path, would leave this proxy behind without a
-   * sign. Relays read the store and the others ask a relay now and then, so it ends within minutes.
+   * Finds updates that neither a watch nor a push delivered. A watch that stalls without an error, or
+   * pushes lost on every path, would leave this proxy on an old revision without any sign. Relays
+   * periodically read the store and other proxies ask a relay, so that this lasts minutes at most.
    */
   private async runAntiEntropy(): Promise<number> {
     if (this.watchController !== undefined) {
--- a/src/fleet/drain.ts
+++ b/src/fleet/drain.ts
@@ -10,36 +10,40 @@
 import type { LogFields, Logger } from "../log/index.js";
 import { assertInvariant, type Clock } from "../model/index.js";
 
+/** Interval at which the requests in flight are counted during a drain. */
 const inFlightPollMs = 50;
 
-/** What a `DrainKeeper` needs. */
+/** Dependencies of a `DrainRunner`. */
 export interface DrainRunnerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
   readonly timings: DrainOptions;
-  /** Requests and open transactions of callers and peers that are in flight here. */
+  /** Counts the requests and open transactions of callers and peers in flight in this process. */
   readonly countInFlight: () => number;
-  /** What is still in flight, for the log when the longest wait is over. */
+  /** Returns log fields on what is still in flight when the time limit of the drain is reached. */
   readonly describeInFlight?: () => LogFields;
-  /** Turns not ready, says `leaving` to the peers, hands ownership on. */
+  /** Makes the readiness check fail, announces `leaving` to the peers and hands over ownership. */
   readonly onAnnounce: () => void;
-  /** Takes no new callers and ends idle sessions. */
+  /** Stops accepting callers and ends idle sessions. */
   readonly onRefuseNew: () => void;
 }
 
-/** Takes a process from serving to drained. */
+/** Runs the graceful shutdown of a process, from serving to drained. */
 export class DrainRunner {
   private state: DrainState = firstDrainState;
   private drainPromise: Promise<void> | undefined;
 
   constructor(private readonly options: DrainRunnerOptions) {}
 
-  /** Whether a drain has begun. */
+  /** Whether a drain has started; stays true once it has finished. */
   isLeaving(): boolean {
     return this.state.type !== "serving";
   }
 
-  /** Begins a drain, once; resolves when nothing is in flight or the longest wait is over. */
+  /**
+   * Starts the drain, or joins the one that runs. Resolves when nothing is in flight or the time limit
+   * is reached.
+   */
   drain(): Promise<void> {
     this.drainPromise ??= this.run();
     return this.drainPromise;
@@ -80,7 +84,11 @@
           inFlight: effect.inFlight,
           ...this.options.describeInFlight?.(),
         });
-        assertInvariant("gracefulShutdown", false, () => `${effect.inFlight} requests cut off`);
+        assertInvariant(
+          "gracefulShutdown",
+          false,
+          () => `${effect.inFlight} requests were cut off at the time limit of the drain`,
+        );
         return;
       case "end":
         logger.write(processEvents.drained);
--- a/src/fleet/editor.ts
+++ b/src/fleet/editor.ts
@@ -19,47 +19,53 @@
 import { addJitter } from "./loop.js";
 
 const maxAttempts = 12;
+/** Mean pause between two attempts. */
 const retryPauseMs = 250;
+/** Number of history objects; a revision overwrites the one that is this many revisions older. */
 const historySlots = 512;
 
-/** What a `ConfigurationEditor` needs. */
+/** Dependencies of a `ConfigurationEditor`. */
 export interface EditorOptions {
   readonly store: ObjectStore;
   readonly clock: Clock;
   readonly random: Random;
-  /** The greatest configuration in force on a proxy, where one can be asked. */
+  /** Returns the greatest configuration in force on any proxy; undefined if no proxy answers. */
   readonly findInForce?: () => Promise<Configuration | undefined>;
 }
 
-/** What came of a change. */
+/** Outcome of an attempt to apply a change. `merged` tells that other changes were merged with it. */
 export type EditResult =
   | { readonly type: "applied"; readonly revision: number; readonly merged: boolean }
   | { readonly type: "unchanged"; readonly revision: number }
   | { readonly type: "conflict"; readonly conflicts: readonly MergeConflict[] }
-  /** The revision that the operator started from is no longer kept. */
+  /** The revision that the operator started from is no longer in the history. */
   | { readonly type: "baseUnknown" }
-  /** The store can't be reached and nothing was sent. */
+  /** The store is unreachable; the change did not take effect. */
   | { readonly type: "unavailable"; readonly reason: string }
-  /** The change may have taken effect: read it back before trying again. */
+  /** The change may have taken effect: read the configuration before trying again. */
   | { readonly type: "uncertain"; readonly reason: string }
-  /** The store holds something that is no configuration. */
+  /** The stored object is not a valid configuration. */
   | { readonly type: "faulty" };
 
+/**
+ * Result of one attempt. `attempted` is the revision that a write with an unknown outcome may have
+ * stored; 0 if there was none.
+ */
 type Attempt =
   | { readonly type: "done"; readonly result: EditResult }
   | { readonly type: "again"; readonly reason: string; readonly attempted: number };
 
-/** What the store holds, or why it can't be used. */
+/** The stored configuration with its object version, or why it could not be read. */
 type CurrentRead =
   | { readonly type: "read"; readonly version: number; readonly stored?: StoredConfiguration }
   | { readonly type: "unavailable"; readonly reason: string }
   | { readonly type: "faulty" };
 
-/** Applies operators' changes to the configuration by conditional update. */
+/** Applies operators' changes to the stored configuration by conditional writes. */
 export class ConfigurationEditor {
   constructor(private readonly options: EditorOptions) {}
 
-  /** Reads the configuration that the store holds. */
+  /** Reads the stored configuration; without `stored` and with version 0 if there is none. */
   async readCurrent(): Promise<CurrentRead> {
     const read = await this.options.store.get(configurationKind, configurationName);
     switch (read.type) {
@@ -75,7 +81,10 @@
     }
   }
 
-  /** Applies a change made from `baseRevision`, and again after conflicts and lost answers. */
+  /**
+   * Applies a change that was made to `baseRevision`. Tries again after conflicts and lost answers, up
+   * to `maxAttempts` times.
+   */
   async apply(
     change: { readonly changeId: string; readonly draft: Draft },
     baseRevision: number,
@@ -119,7 +128,7 @@
       case "baseUnknown":
         return { type: "done", result: plan };
       case "uncertain":
-        return { type: "done", result: { ...plan, reason: "too many changes since" } };
+        return { type: "done", result: { ...plan, reason: "too many changes were made since" } };
       case "write":
         return this.write(plan.value, version, stored, plan.value.revision !== baseRevision + 1);
     }
@@ -131,9 +140,14 @@
     before: StoredConfiguration | undefined,
     merged: boolean,
   ): Promise<Attempt> {
-    // Kept before it is replaced: an editor that started from it finds its base, whoever dies when.
+    // Saved before the write replaces it: editors that started from this revision find their base
+    // there, even if this process fails between the two writes.
     if (before !== undefined && !(await this.saveHistory(before))) {
-      return { type: "again", reason: "the history can't be written", attempted: 0 };
+      return {
+        type: "again",
+        reason: "the previous revision could not be saved to the history",
+        attempted: 0,
+      };
     }
     const { store } = this.options;
     const written = await store.put(configurationKind, configurationName, toJson(value), version);
@@ -149,12 +163,12 @@
     | { readonly type: "unavailable"; readonly reason: string }
   > {
     if (revision === 0) return { type: "found", draft: { teams: [], rules: [] } };
-    const near = [stored, inForce].find((held) => held?.revision === revision);
-    if (near !== undefined) return { type: "found", draft: near };
+    const loaded = [stored, inForce].find((candidate) => candidate?.revision === revision);
+    if (loaded !== undefined) return { type: "found", draft: loaded };
     const read = await this.options.store.get(historyKind, formatHistoryName(revision));
     if (read.type === "unavailable") return read;
-    const kept = read.type === "found" ? decodeStored(read.value.value) : undefined;
-    return kept?.revision === revision ? { type: "found", draft: kept } : { type: "found" };
+    const saved = read.type === "found" ? decodeStored(read.value.value) : undefined;
+    return saved?.revision === revision ? { type: "found", draft: saved } : { type: "found" };
   }
 
   private async saveHistory(before: StoredConfiguration): Promise<boolean> {
@@ -162,10 +176,10 @@
     const name = formatHistoryName(before.revision);
     const read = await store.get(historyKind, name);
     if (read.type === "unavailable") return false;
-    const held: StoredObject | undefined = read.type === "found" ? read.value : undefined;
-    const kept = held === undefined ? undefined : decodeStored(held.value);
-    if (kept !== undefined && kept.revision >= before.revision) return true;
-    const written = await store.put(historyKind, name, toJson(before), held?.version ?? 0);
+    const existing: StoredObject | undefined = read.type === "found" ? read.value : undefined;
+    const saved = existing === undefined ? undefined : decodeStored(existing.value);
+    if (saved !== undefined && saved.revision >= before.revision) return true;
+    const written = await store.put(historyKind, name, toJson(before), existing?.version ?? 0);
     return written.type === "written" || written.type === "conflict";
   }
 }
@@ -175,7 +189,11 @@
     case "written":
       return { type: "done", result: { type: "applied", revision, merged } };
     case "conflict":
-      return { type: "again", reason: "other editors were faster", attempted: 0 };
+      return {
+        type: "again",
+        reason: "other editors changed the configuration first",
+        attempted: 0,
+      };
     case "unknown":
       return { type: "again", reason: written.reason, attempted: revision };
     case "unavailable":
--- a/src/fleet/kinds.ts
+++ b/src/fleet/kinds.ts
@@ -1,6 +1,6 @@
-/** The store's kind and name of the configuration in force. */
+/** Kind of the store's object that holds the current configuration. */
 export const configurationKind = "configuration";
-/** The one object of that kind. */
+/** Name of the only object of this kind. */
 export const configurationName = "current";
-/** The store's kind of the revisions before it, which three-way merges start from. */
+/** Kind of the objects that hold earlier revisions, the bases of three-way merges. */
 export const historyKind = "configurationHistory";
--- a/src/fleet/loop.ts
+++ b/src/fleet/loop.ts
@@ -1,6 +1,6 @@
 import type { Clock, Random } from "../model/index.js";
 
-/** Runs `step` again and again with a sleep between, until the signal is aborted. */
+/** Calls `step` repeatedly until the signal is aborted; `step` returns the pause after it in ms. */
 export async function runLoop(
   clock: Clock,
   signal: AbortSignal,
@@ -12,7 +12,7 @@
   }
 }
 
-/** Sleeps; false when the signal was aborted before or meanwhile. */
+/** Sleeps for `ms`. Returns false at once if the signal is, or becomes, aborted. */
 export async function sleepUnlessAborted(
   clock: Clock,
   ms: number,
@@ -27,7 +27,7 @@
   }
 }
 
-/** Spreads a pause over half to one and a half of `ms`, so that many processes don't act at once. */
+/** Returns a random pause from 0.5 to 1.5 times `ms`, so that processes don't act in lockstep. */
 export function addJitter(random: Random, ms: number): number {
   return ms * (0.5 + random.draw());
 }
--- a/src/fleet/membership.ts
+++ b/src/fleet/membership.ts
@@ -33,34 +33,38 @@
 import { addJitter, runLoop } from "./loop.js";
 
 const probeTimeoutMs = 500;
+/** Shortest mean interval between two reads of the platform's list of VMs. */
 const listIntervalMs = 10_000;
-/** Others than relays read the list the more rarely the longer it is, so its bytes stay bounded. */
+/**
+ * VMs that are not relays wait this long for each live VM between two reads of the list. The list
+ * grows with the fleet, and so does the number of readers: this bounds the traffic of the reads.
+ */
 const listIntervalMsPerVm = 600;
 
-/** What a `MembershipKeeper` needs. */
+/** Dependencies of a `MembershipTracker`. */
 export interface MembershipTrackerOptions {
   /** This VM. */
   readonly vm: Vm;
-  /** Differs between two runs and grows: `openIncarnation(Date.now())`. */
+  /** Identifies this run of the process and grows with each: `openIncarnation(Date.now())`. */
   readonly incarnation: string;
   readonly store: ObjectStore;
   readonly peers: PeerClient;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The configuration revision in force here, which every message carries. */
+  /** Returns the configuration revision in force here, which every message carries. */
   readonly getRevision: () => number;
-  /** Hears every hello of a peer. */
+  /** Is called with each hello received from a peer. */
   readonly onHello?: (hello: PeerHello) => void;
-  /** Peers to ask when neither the store nor anybody else is known. */
+  /** Peers to probe while no other VM is known, for instance when the store is down at start. */
   readonly seeds?: readonly Address[];
   readonly protocolOptions?: MembershipOptions;
 }
 
-/** Hears of the VMs that may get new work, each time they change. */
+/** Is called with the VMs that may get new work each time the list changes. */
 export type MembershipListener = (live: readonly Vm[]) => void;
 
-/** Keeps the VMs believed live, from the platform's list, probes and news. */
+/** Tracks which VMs are live by the platform's list, probes and gossip. */
 export class MembershipTracker implements Disposable {
   private state: MembershipState;
   private live: readonly Vm[];
@@ -76,7 +80,10 @@
     this.live = [vm];
   }
 
-  /** Resolves after the first reading of the list, or after the seeds were asked; then goes on. */
+  /**
+   * Resolves after the first read of the list and, if that gave no other VM, a probe of the seeds.
+   * Both go on in the background from then on.
+   */
   async start(): Promise<void> {
     const { clock } = this.options;
     await this.refreshVmList();
@@ -85,58 +92,61 @@
     void runLoop(clock, this.disposeController.signal, () => this.refreshVmList());
   }
 
-  /** The VMs that may get new work, this one included while it is not leaving. */
+  /**
+   * Returns the VMs that may get new work, this one included unless it is leaving. The array stays the
+   * same until the list changes.
+   */
   listLive(): readonly Vm[] {
     return this.live;
   }
 
-  /** Every VM that is known, with its state. */
+  /** Lists all known VMs with their status, this one first. */
   listMembers(): readonly MemberView[] {
     return listViews(this.state);
   }
 
-  /** Up to `count` live VMs other than this one, those of other data centres first. */
+  /** Finds up to `count` alive VMs other than this one, those of other data centres first. */
   findProbeHelpers(count: number): readonly Vm[] {
     return findHelpers(this.state, count);
   }
 
-  /** What this process says of itself in an answer or beside a request: no news, so it is small. */
+  /** Creates the hello that goes with answers and requests: without news, so that it stays small. */
   createHello(): PeerHello {
     const { vm, incarnation, state } = this.state.self;
     return { vm: vm.name, incarnation, state, revision: this.options.getRevision() };
   }
 
-  /** Takes a peer's probe and answers it. */
+  /** Applies the hello of a peer's probe and returns the hello to answer with. */
   answerProbe(hello: PeerHello): PeerHello {
     this.receiveHello(hello);
     return this.createHello();
   }
 
   /**
-   * Takes what any message of a peer carried. A peer that has just started is told all that is known
-   * here; one that was held for suspected or down is told that, so that it refutes it.
+   * Applies the hello of a peer's message. A peer that has just started is sent the status of all
+   * known VMs; one that is suspected or down here is sent that status, so that it can refute it.
    */
   receiveHello(hello: PeerHello): void {
     const known = this.state.members.get(hello.vm);
     const isSameRun = known?.incarnation === hello.incarnation;
-    const about = isSameRun ? listNewsAbout(this.state, hello.vm) : [];
+    const statusNews = isSameRun ? listNewsAbout(this.state, hello.vm) : [];
     this.apply({ type: "heard", now: this.options.clock.now(), hello });
     this.options.onHello?.(hello);
     if (hello.state === "starting" && !isSameRun) this.sendNews(hello.vm, listAllNews(this.state));
-    else if (about.length > 0) this.sendNews(hello.vm, about);
+    else if (statusNews.length > 0) this.sendNews(hello.vm, statusNews);
   }
 
-  /** Probes a VM on behalf of a peer. */
+  /** Probes a VM on behalf of a peer that got no answer from it. */
   probeForPeer(vm: Vm): Promise<ProbeResult> {
     return this.options.peers.probe(vm, this.createProbeHello(vm.name), probeTimeoutMs);
   }
 
-  /** Has a VM probed at once, since something failed towards it. */
+  /** Probes a VM at once; for callers that failed to reach it. */
   requestProbe(vm: string): void {
     this.apply({ type: "doubted", now: this.options.clock.now(), vm });
   }
 
-  /** Changes what this process says of itself; `leaving` goes to helpers at once. */
+  /** Changes the state in this process's hellos. `leaving` is sent to some peers at once. */
   setState(state: PeerHello["state"]): void {
     this.apply({ type: "selfChanged", now: this.options.clock.now(), state });
     this.publishLive();
@@ -145,7 +155,7 @@
       void this.probe(vm);
   }
 
-  /** Tells `listener` of the live VMs whenever they change. */
+  /** Calls `listener` with the live VMs each time the list changes. Dispose the result to stop. */
   subscribe(listener: MembershipListener): Disposable {
     this.listeners.add(listener);
     return { dispose: () => void this.listeners.delete(listener) };
@@ -156,7 +166,10 @@
     this.listeners.clear();
   }
 
-  /** A probe's message: the news that went out least, and to `to` what is said of it. */
+  /**
+   * Creates the hello of a probe: it carries the news sent least often so far, and any suspicion of the
+   * recipient `to`, so that it can refute it.
+   */
   private createProbeHello(to: string): PeerHello {
     const news = collectNews(this.state, this.protocolOptions.newsPerMessage);
     this.state = markSent(this.state, news);
@@ -166,8 +179,8 @@
   private sendNews(to: string, news: readonly VmNews[]): void {
     const vm = this.state.members.get(to)?.vm;
     if (vm === undefined) return;
-    const own = collectNews(this.state, 0);
-    void this.send(vm, { ...this.createHello(), news: [...own, ...news] }, this.state.epoch);
+    const selfNews = collectNews(this.state, 0);
+    void this.send(vm, { ...this.createHello(), news: [...selfNews, ...news] }, this.state.epoch);
   }
 
   private apply(event: MembershipEvent): void {
@@ -216,8 +229,13 @@
     const results = await Promise.all(
       via.map((helper) => peers.probeThrough(helper, vm, this.createHello(), probeTimeoutMs)),
     );
-    const answer = results.find(({ type }) => type === "answered");
-    this.handleProbeResult(answer ?? { type: "silent", reason: "through others" }, vm, epoch, true);
+    const answered = results.find(({ type }) => type === "answered");
+    this.handleProbeResult(
+      answered ?? { type: "silent", reason: "no indirect probe was answered" },
+      vm,
+      epoch,
+      true,
+    );
   }
 
   private handleProbeResult(result: ProbeResult, vm: Vm, epoch: number, indirect: boolean): void {
@@ -236,7 +254,7 @@
     return this.protocolOptions.tickMs;
   }
 
-  /** With the store down at start, the settings' seeds are the only way to the others. */
+  /** If the store is down at start, the seeds in the settings are the only way to find other VMs. */
   private async probeSeeds(): Promise<void> {
     const { peers, seeds = [], vm } = this.options;
     const results = await Promise.all(
@@ -259,8 +277,8 @@
       logger.write(fleetEvents.storeUnreachable, { reason: read.reason, call: "listVms" });
     }
     this.isStoreDown = isDown;
-    const pause = isRelay(vm.name, this.live) ? 0 : this.live.length * listIntervalMsPerVm;
-    return addJitter(random, Math.max(listIntervalMs, pause));
+    const pauseMs = isRelay(vm.name, this.live) ? 0 : this.live.length * listIntervalMsPerVm;
+    return addJitter(random, Math.max(listIntervalMs, pauseMs));
   }
 
   private publishLive(): void {
--- a/src/fleet/owners.ts
+++ b/src/fleet/owners.ts
@@ -6,16 +6,16 @@
   readonly score: number;
 }
 
-/** The two VMs with the highest scores, the owner first; fewer where fewer live. */
+/** The VMs with the highest scores, the owner first; fewer than two if fewer are live. */
 type OwnerPair = readonly RankedVm[];
 
 const ownersPerGroup = 2;
 
 /**
- * Keeps the owner of each group that was asked for, and who would own it next: the first two of
- * `orderOwners`. Ordering thousands of VMs for each request, or for every group when one VM comes or
- * goes, would take most of a core; here one that comes is compared with the two that are kept, and
- * one that goes concerns only the groups it is kept for.
+ * Caches the owner and the next owner of each group that was looked up: the first two VMs of
+ * `orderOwners`. Sorting thousands of VMs for each request, or for every group when a VM joins or
+ * leaves, would use most of a CPU core. Instead, a VM that joins is compared with the two cached ones,
+ * and one that leaves only invalidates the groups that it is cached for.
  */
 export class OwnerTable {
   private live: readonly Vm[] = [];
@@ -24,27 +24,27 @@
 
   constructor(private readonly listLive: () => readonly Vm[]) {}
 
-  /** The owner of a group and the next one, where there are such. */
+  /** Returns the owner of a group and the next owner; fewer if fewer VMs are live. */
   findOwners(group: string): readonly Vm[] {
     this.applyLiveChanges();
-    const known = this.pairs.get(group);
-    const pair = known ?? rankVms(group, this.live);
-    if (known === undefined) this.pairs.set(group, pair);
+    const cached = this.pairs.get(group);
+    const pair = cached ?? rankVms(group, this.live);
+    if (cached === undefined) this.pairs.set(group, pair);
     return pair.flatMap(({ name }) => this.vms.get(name) ?? []);
   }
 
-  /** Takes changes of the live VMs over. The list keeps its identity while nobody comes or goes. */
+  /** Updates the cache if the live VMs changed: `listLive` returns the same array until they do. */
   private applyLiveChanges(): void {
     const live = this.listLive();
     if (live === this.live) return;
-    const before = this.vms;
+    const previous = this.vms;
     const vms = new Map(live.map((vm) => [vm.name, vm]));
-    const joined = live.filter(({ name }) => !before.has(name));
+    const joined = live.filter(({ name }) => !previous.has(name));
     this.live = live;
     this.vms = vms;
     for (const [group, pair] of this.pairs) {
-      const isBroken = pair.some(({ name }) => !vms.has(name));
-      if (isBroken) this.pairs.delete(group);
+      const hasDeparted = pair.some(({ name }) => !vms.has(name));
+      if (hasDeparted) this.pairs.delete(group);
       else if (joined.length > 0) this.pairs.set(group, insertVms(group, pair, joined));
     }
   }
--- a/src/fleet/push.ts
+++ b/src/fleet/push.ts
@@ -4,8 +4,9 @@
 const pushRetryMs = 300;
 
 /**
- * Pushes a configuration message and tries once more; gives the revision in force at the peer. A
- * second failure is left to the other tree and to the peer's next message.
+ * Pushes a configuration message to a peer, with one retry, and returns the revision then in force
+ * there; undefined if both failed. No further retry is needed: the peer also gets the update through
+ * another relay's tree, or fetches it once a message shows it the greater revision.
  */
 export async function pushMessage(
   ports: { readonly peers: PeerClient; readonly clock: Clock; readonly random: Random },
--- a/src/fleet/reader.ts
+++ b/src/fleet/reader.ts
@@ -5,21 +5,21 @@
 import { configurationKind, configurationName } from "./kinds.js";
 import type { WatcherHandler } from "./watcher.js";
 
-/** What a `ConfigurationReader` needs. */
+/** Dependencies of a `ConfigurationReader`. */
 export interface ReaderOptions {
   readonly store: ObjectStore;
   readonly logger: Logger;
-  /** Takes what the store holds; nothing when it holds none. */
+  /** Is called with the stored configuration; undefined if the store holds none. */
   readonly onStored: (configuration: Configuration | undefined) => void;
 }
 
-/** Reads the configuration object, checks it, and notes when the store goes and comes back. */
+/** Reads and validates the configuration object; logs when the store's reachability changes. */
 export class ConfigurationReader implements WatcherHandler {
   private isDown = false;
 
   constructor(private readonly options: ReaderOptions) {}
 
-  /** Whether the last call found the store out of reach. */
+  /** Whether the store was unreachable at the last call. */
   isStoreDown(): boolean {
     return this.isDown;
   }
--- a/src/fleet/watcher.ts
+++ b/src/fleet/watcher.ts
@@ -2,17 +2,19 @@
 import { configurationKind, configurationName } from "./kinds.js";
 import { addJitter, runLoop } from "./loop.js";
 
-const retryMs = 1000;
+/** Mean pause before the object is read again after a failed read or the end of a watch. */
+const retryPauseMs = 1000;
 
-/** Hears what a watcher sees. */
+/** Receives the results of reading and watching the configuration object. */
 export interface WatcherHandler {
   onObject(object: StoredObject): void;
   onAbsent(): void;
   onUnavailable(reason: string): void;
+  /** The watch broke; the object is read again. */
   onBroken(reason: string): void;
 }
 
-/** Follows the configuration object until the signal is aborted: reads it, watches it, and again. */
+/** Reads the configuration object, then watches it, and repeats both until the signal is aborted. */
 export function followConfiguration(
   ports: { readonly store: ObjectStore; readonly clock: Clock; readonly random: Random },
   handler: WatcherHandler,
@@ -24,12 +26,12 @@
     if (signal.aborted) return 0;
     if (read.type === "unavailable") {
       handler.onUnavailable(read.reason);
-      return addJitter(random, retryMs);
+      return addJitter(random, retryPauseMs);
     }
     if (read.type === "found") handler.onObject(read.value);
     else handler.onAbsent();
     await watch(store, read.type === "found" ? read.value.version : 0, handler, signal);
-    return addJitter(random, retryMs);
+    return addJitter(random, retryPauseMs);
   });
 }
 
--- a/test/fleet/configuration-fixture.ts
+++ b/test/fleet/configuration-fixture.ts
@@ -5,11 +5,11 @@
 
 const down = (reason: string): StoreRead<never> => ({ type: "unavailable", reason });
 
-/** A few proxies' configuration keepers over one fake store, network and clock. */
+/** The configuration trackers of some proxies on one fake store, network and clock. */
 export class ConfigurationFixture {
-  readonly keepers = new Map<string, ConfigurationTracker>();
+  readonly trackers = new Map<string, ConfigurationTracker>();
   readonly paused = new Set<string>();
-  /** Every revision that each run of a keeper had in force, in order. */
+  /** Every revision that each run of a tracker adopted, in order. */
   readonly adopted: { readonly vm: string; readonly run: number; readonly revision: number }[] = [];
   readonly events: { readonly vm: string; readonly event: LogEvent }[] = [];
   private run = 0;
@@ -26,7 +26,7 @@
   start(name: string): Promise<void> {
     const run = ++this.run;
     const { store, clock } = this.ports;
-    const keeper = new ConfigurationTracker({
+    const tracker = new ConfigurationTracker({
       vm: name,
       store,
       peers: this.makeClient(name),
@@ -35,9 +35,9 @@
       logger: this.makeLogger(name),
       listLive: () => this.vms,
     });
-    keeper.subscribe(({ revision }) => this.adopted.push({ vm: name, run, revision }));
-    this.keepers.set(name, keeper);
-    return keeper.start();
+    tracker.subscribe(({ revision }) => this.adopted.push({ vm: name, run, revision }));
+    this.trackers.set(name, tracker);
+    return tracker.start();
   }
 
   async startAll(): Promise<void> {
@@ -47,25 +47,25 @@
   }
 
   stop(name: string): void {
-    this.keepers.get(name)?.dispose();
-    this.keepers.delete(name);
+    this.trackers.get(name)?.dispose();
+    this.trackers.delete(name);
   }
 
-  /** Lets each proxy hear one other's hello, as probes do. */
+  /** Gives each proxy the hello of one other, as probes do. */
   exchangeHellos(round: number): void {
-    const names = [...this.keepers.keys()];
+    const names = [...this.trackers.keys()];
     for (const [i, name] of names.entries()) {
       const other = names[(i + round) % names.length];
       if (other === undefined || other === name || !this.canReach(other, name)) continue;
-      const revision = this.keepers.get(other)?.getCurrent().revision ?? 0;
-      this.keepers
+      const revision = this.trackers.get(other)?.getCurrent().revision ?? 0;
+      this.trackers
         .get(name)
         ?.receiveHello({ vm: other, incarnation: "1.0", state: "ready", revision });
     }
   }
 
   listRevisions(): readonly number[] {
-    return [...this.keepers.values()].map((keeper) => keeper.getCurrent().revision);
+    return [...this.trackers.values()].map((tracker) => tracker.getCurrent().revision);
   }
 
   private canReach(a: string, b: string): boolean {
@@ -74,7 +74,7 @@
 
   private makeClient(from: string): PeerClient {
     const reach = (vm: Vm) =>
-      this.canReach(from, vm.name) ? this.keepers.get(vm.name) : undefined;
+      this.canReach(from, vm.name) ? this.trackers.get(vm.name) : undefined;
     return {
       probe: () => Promise.resolve({ type: "silent", reason: "not here" }),
       probeThrough: () => Promise.resolve({ type: "silent", reason: "not here" }),
@@ -82,9 +82,9 @@
       fetchConfiguration: (vm, after) =>
         Promise.resolve(reach(vm)?.answerFetch(after) ?? down("cut")),
       pushConfiguration: (vm, json) => {
-        const keeper = reach(vm);
-        if (keeper === undefined) return Promise.resolve(down("cut"));
-        return Promise.resolve({ type: "found", value: keeper.receivePush(json) });
+        const tracker = reach(vm);
+        if (tracker === undefined) return Promise.resolve(down("cut"));
+        return Promise.resolve({ type: "found", value: tracker.receivePush(json) });
       },
     };
   }
--- a/test/fleet/drain.test.ts
+++ b/test/fleet/drain.test.ts
@@ -7,7 +7,7 @@
 const makeDrain = (inFlight: () => number) => {
   const clock = new FakeClock();
   const steps: string[] = [];
-  const keeper = new DrainRunner({
+  const runner = new DrainRunner({
     clock,
     logger: silentLogger,
     timings: { announceMs: 3000, limitMs: 10_000 },
@@ -15,18 +15,19 @@
     onAnnounce: () => void steps.push("announce"),
     onRefuseNew: () => void steps.push("refuseNew"),
   });
-  return { clock, keeper, steps };
+  return { clock, runner, steps };
 };
 
-// The balancer sends callers for a moment after the page turned not ready.
-// A process that refused them at once, or ended at once, would cut off requests of a graceful stop.
-// It announces, serves on, refuses only then, and ends when the last request has finished.
-test("a drain announces, waits for what is in flight, and then ends", async () => {
+// A load balancer still sends callers for a while after the readiness check starts to fail.
+// A process that refused them or exited at once would cut off requests during a graceful shutdown.
+// It announces that it is leaving, keeps serving, then refuses new callers, and ends after the last
+// request.
+test("a drain announces leaving, waits for the requests in flight, and then ends", async () => {
   let inFlight = 2;
-  const { clock, keeper, steps } = makeDrain(() => inFlight);
+  const { clock, runner, steps } = makeDrain(() => inFlight);
   const state = { isDone: false };
-  void keeper.drain().then(() => (state.isDone = true));
-  expect(keeper.isLeaving()).toBe(true);
+  void runner.drain().then(() => (state.isDone = true));
+  expect(runner.isLeaving()).toBe(true);
   await clock.advance(2900);
   expect(steps).toEqual(["announce"]);
   await clock.advance(5000);
@@ -35,15 +36,15 @@
   inFlight = 0;
   await clock.advance(100);
   expect(state.isDone).toBe(true);
-  expect(keeper.drain()).toBe(keeper.drain());
+  expect(runner.drain()).toBe(runner.drain());
 });
 
-test("requests cut off at the limit break an invariant out loud", async () => {
-  const broken: string[] = [];
-  const before = setViolationHandler((invariant) => void broken.push(invariant));
-  const { clock, keeper } = makeDrain(() => 1);
-  void keeper.drain();
+test("requests cut off at the time limit are reported as an invariant violation", async () => {
+  const violations: string[] = [];
+  const before = setViolationHandler((invariant) => void violations.push(invariant));
+  const { clock, runner } = makeDrain(() => 1);
+  void runner.drain();
   await clock.advance(14_000);
   setViolationHandler(before);
-  expect(broken).toEqual(["gracefulShutdown"]);
+  expect(violations).toEqual(["gracefulShutdown"]);
 });
--- a/test/fleet/editor.test.ts
+++ b/test/fleet/editor.test.ts
@@ -35,10 +35,10 @@
   return finish(editor.apply({ changeId: id, draft: wanted }, base), [clock]);
 };
 
-// The operator's change took effect, but the store's answer was lost.
-// Before the editor reads back, another operator changes the same team.
-// A blind repeat would take that second change back; the remembered change id tells that it landed.
-test("a change whose answer was lost is recognised behind a later one", async () => {
+// The operator's change took effect, but the store's answer was lost, and another operator changes
+// the same team before the editor reads the configuration again. Applying the first change once more
+// would revert the second; its id among the stored change ids shows that it already took effect.
+test("a change whose answer was lost is recognised after a later change", async () => {
   const store = new FakeStore();
   await apply(store, "first", draft([team("a"), team("b")]), 0);
   store.putFaults = ["none", "lostAfter"];
@@ -56,13 +56,13 @@
   expect((await readStored(store))?.teams).toEqual([team("a"), team("b")]);
 });
 
-test("a store that is down from the start changed nothing and says so", async () => {
+test("a change is reported as unavailable if the store is down from the start", async () => {
   const store = new FakeStore();
   store.isDown = true;
   expect(await apply(store, "x", draft([team("a")]), 0)).toMatchObject({ type: "unavailable" });
 });
 
-test("a store that goes down with the answer leaves the change uncertain", async () => {
+test("a change is uncertain if the store goes down before its answer arrives", async () => {
   const store = new FakeStore();
   store.putFaults = ["lostAfter"];
   const { editor, clock } = makeEditor(store);
@@ -72,10 +72,10 @@
   expect(await finish(result, [clock])).toMatchObject({ type: "uncertain" });
 });
 
-// The store came back from an old copy at revision 1 while the fleet has revision 9 in force.
-// An editor that only looked at the store would write revision 2, which no proxy adopts,
-// and the operator would wait for ever. The new revision follows the fleet's.
-test("a change after a restore of the store goes above the fleet's revision", async () => {
+// The store was restored from an old backup at revision 1 while the proxies have revision 9 in force.
+// An editor that only read the store would write revision 2, which no proxy adopts, and the operator
+// would wait for ever. The new revision must exceed the one in force.
+test("a change after a restore of the store exceeds the revision in force", async () => {
   const store = new FakeStore();
   await apply(store, "old", draft([team("a")]), 0);
   const inForce = { revision: 9, changeId: "nine", ...draft([team("a"), team("b")]) };
@@ -86,7 +86,7 @@
   expect((await readStored(store))?.teams.map((t) => t.name)).toEqual(["a", "b", "c"]);
 });
 
-test("so many changes that the lost one is forgotten leave it uncertain", async () => {
+test("a change is uncertain once its id may have left the stored change ids", async () => {
   const store = new FakeStore();
   store.putFaults = ["lostAfter"];
   const { editor, clock } = makeEditor(store);
@@ -99,10 +99,10 @@
   expect(await finish(result, [clock])).toMatchObject({ type: "uncertain" });
 });
 
-// Two operators change the same object at once, over a store that loses answers, refuses and
-// conflicts. Each edit adds a team and a rule of its own; some change a shared team.
-// Every edit that its operator saw accepted must be in the end state; revisions grow by one each.
-test("racing editors with lost answers never lose an edit", async () => {
+// Several operators change the configuration concurrently while the store loses answers, refuses
+// writes and reports conflicts. Each edit adds its own team and rule; some change a shared team.
+// Every edit reported as applied must be in the final state, and each adds one to the revision.
+test("concurrent editors with lost answers never lose an edit", async () => {
   const fault = fc.constantFrom("none", "lostBefore", "lostAfter", "conflictOnce", "down");
   await fc.assert(
     fc.asyncProperty(
--- a/test/fleet/fakes.ts
+++ b/test/fleet/fakes.ts
@@ -10,7 +10,7 @@
   Vm,
 } from "../../src/model/index.js";
 
-/** Lets all that is ready run, without time passing. */
+/** Runs all pending microtasks and immediates without advancing a fake clock. */
 export const flushTasks = async () => {
   for (let i = 0; i < 20; i++) await Promise.resolve();
   await new Promise((resolve) => setImmediate(resolve));
@@ -21,7 +21,7 @@
   readonly wake: () => void;
 }
 
-/** Time that passes only when a test says so. */
+/** A clock that only a test advances. */
 export class FakeClock implements Clock {
   time = 0;
   private sleepers: Sleeper[] = [];
@@ -54,13 +54,13 @@
     this.time = end;
   }
 
-  /** Time that passes while the process stands still: nothing due runs until afterwards. */
+  /** Advances the time without waking sleepers, as when the process is paused. */
   jumpAhead(ms: number) {
     this.time += ms;
   }
 }
 
-/** Numbers that repeat with the seed. */
+/** Makes a pseudorandom generator whose numbers depend only on the seed. */
 export const makeRandom = (seed: number): Random => {
   let state = seed >>> 0;
   const draw = () => {
@@ -72,14 +72,14 @@
 
 type PutFault = "none" | "conflictOnce" | "lostBefore" | "lostAfter" | "down";
 
-/** The platform's store with switches for its faults. */
+/** The platform's store in memory, with faults that a test sets. */
 export class FakeStore implements ObjectStore {
   isDown = false;
   vms: readonly Vm[] = [];
   calls = 0;
-  /** Faults of the next puts, in order. */
+  /** Faults of the next calls of `put`, in order. */
   putFaults: PutFault[] = [];
-  /** Runs after each call has taken effect, before its answer is seen. */
+  /** Is called after each call took effect, before its answer is returned. */
   onCall: () => Promise<void> = () => Promise.resolve();
   private objects = new Map<string, StoredObject>();
   private version = 0;
@@ -102,8 +102,9 @@
     const fault = this.isDown ? "down" : (this.putFaults.shift() ?? "none");
     if (fault === "lostBefore") return { type: "unknown", reason: "timeout" };
     if (fault === "down") return { type: "unavailable", reason: "down" };
-    const held = this.objects.get(`${kind}/${name}`);
-    if (fault === "conflictOnce" || (held?.version ?? 0) !== version) return { type: "conflict" };
+    const existing = this.objects.get(`${kind}/${name}`);
+    if (fault === "conflictOnce" || (existing?.version ?? 0) !== version)
+      return { type: "conflict" };
     const object = { kind, name, version: ++this.version, value };
     this.objects.set(`${kind}/${name}`, object);
     for (const watch of this.watches.filter((w) => w.kind === kind)) {
@@ -144,7 +145,7 @@
     return Promise.resolve({ type: "found", value: [] });
   }
 
-  /** Breaks watches; `silent` ones just never say anything again. */
+  /** Breaks all watches; with `silent` they stall without an error instead. */
   breakWatches(silent = false) {
     const broken = this.watches;
     this.watches = [];
@@ -159,11 +160,12 @@
     return this.watches.length;
   }
 
-  /** Goes back to an older copy, as a restore from a backup does. */
+  /** Copies the objects, for `restore`. */
   copy() {
     return new Map(this.objects);
   }
 
+  /** Restores an older copy, as a restore from a backup does. */
   restore(objects: Map<string, StoredObject>) {
     this.objects = new Map(objects);
   }
@@ -174,9 +176,9 @@
   }
 }
 
-/** What the links between VMs do. */
+/** The network between VMs, with links that a test cuts. */
 export class FakeNetwork {
-  /** Ordered pairs `a>b` that are cut. */
+  /** Pairs of VM names, `a>b`, whose link is cut in both directions. */
   readonly cuts = new Set<string>();
 
   isCut(a: string, b: string) {
--- a/test/fleet/membership-fixture.ts
+++ b/test/fleet/membership-fixture.ts
@@ -4,9 +4,9 @@
 import type { PeerClient, PeerHello, ProbeResult, Vm } from "../../src/model/index.js";
 import { makeRandom, type FakeClock, type FakeNetwork, type FakeStore } from "./fakes.js";
 
-/** A few VMs' membership keepers over one fake store, network and clock. */
+/** The membership trackers of some VMs on one fake store, network and clock. */
 export class MembershipFixture {
-  readonly keepers = new Map<string, MembershipTracker>();
+  readonly trackers = new Map<string, MembershipTracker>();
   readonly paused = new Set<string>();
   readonly events: { readonly vm: string; readonly event: LogEvent }[] = [];
 
@@ -27,7 +27,7 @@
   async start(name: string, seeds: readonly Vm["peer"][] = []): Promise<void> {
     const vm = this.find(name);
     const { store, clock } = this.ports;
-    const keeper = new MembershipTracker({
+    const tracker = new MembershipTracker({
       vm,
       incarnation: openIncarnation(clock.now() + 1),
       store,
@@ -38,23 +38,23 @@
       getRevision: () => 1,
       seeds,
     });
-    this.keepers.set(name, keeper);
-    await keeper.start();
-    keeper.setState("ready");
+    this.trackers.set(name, tracker);
+    await tracker.start();
+    tracker.setState("ready");
   }
 
   stop(name: string): void {
-    this.keepers.get(name)?.dispose();
-    this.keepers.delete(name);
+    this.trackers.get(name)?.dispose();
+    this.trackers.delete(name);
   }
 
   stopAll(): void {
-    for (const name of [...this.keepers.keys()]) this.stop(name);
+    for (const name of [...this.trackers.keys()]) this.stop(name);
   }
 
-  /** The names that `name` believes live, sorted. */
+  /** Lists the names of the VMs that are live according to `name`, sorted and joined. */
   listLiveNames(name: string): string {
-    const live = this.keepers.get(name)?.listLive() ?? [];
+    const live = this.trackers.get(name)?.listLive() ?? [];
     return live
       .map((vm) => vm.name)
       .sort()
@@ -71,18 +71,19 @@
     const { network, clock } = this.ports;
     const probe = async (to: Vm, hello: PeerHello, timeoutMs: number): Promise<ProbeResult> => {
       const name = this.vms.find((vm) => vm.peer.host === to.peer.host)?.name ?? "";
-      const keeper = this.keepers.get(name);
-      const isOut = network.isCut(from, name) || this.paused.has(name) || this.paused.has(from);
-      if (keeper === undefined || isOut) {
+      const tracker = this.trackers.get(name);
+      const isUnreachable =
+        network.isCut(from, name) || this.paused.has(name) || this.paused.has(from);
+      if (tracker === undefined || isUnreachable) {
         await clock.sleep(timeoutMs);
         return { type: "silent", reason: "timeout" };
       }
-      return { type: "answered", hello: keeper.answerProbe(hello) };
+      return { type: "answered", hello: tracker.answerProbe(hello) };
     };
     return {
       probe,
       probeThrough: async (via, vm, _hello, timeoutMs) => {
-        const helper = this.keepers.get(via.name);
+        const helper = this.trackers.get(via.name);
         if (helper === undefined || network.isCut(from, via.name) || this.paused.has(via.name)) {
           await clock.sleep(timeoutMs);
           return { type: "silent", reason: "no helper" };
--- a/test/fleet/membership.test.ts
+++ b/test/fleet/membership.test.ts
@@ -11,7 +11,7 @@
 
 const names = ["a", "b", "c", "d", "e", "f", "g"];
 const all = names.join(" ");
-const without = (...gone: string[]) => names.filter((n) => !gone.includes(n)).join(" ");
+const without = (...removed: string[]) => names.filter((n) => !removed.includes(n)).join(" ");
 const open: MembershipFixture[] = [];
 
 const makeFleet = () => {
@@ -26,10 +26,10 @@
   for (const members of open.splice(0)) members.stopAll();
 });
 
-// A VM dies without a word; the platform lists it as live for minutes.
-// The first that probes it asks others, suspects it, tells the rest, and takes it for down.
-// When it comes back under the same name it is a new incarnation and live at once.
-test("a dead VM is down on all within seconds, whatever the list says, and can come back", async () => {
+// A VM crashes while the platform lists it as live for minutes. The first VM that probes it asks
+// others to probe it, suspects it, tells the rest, and then considers it down.
+// When it restarts under the same name, it has a new incarnation and is live at once.
+test("a crashed VM is down on all within seconds, whatever the list says, and can come back", async () => {
   const { clock, members } = makeFleet();
   await members.startAll();
   await clock.advance(5000);
@@ -42,28 +42,31 @@
   for (const name of names) expect(members.listLiveNames(name)).toBe(all);
 });
 
-// In a fleet too large to probe all, each VM probes a few that keep their connections.
-// Each must be probed by as many others, and from any VM news must reach all in few hops.
-test("in a large fleet each VM is probed by log2(n) others and news reaches all", () => {
+// In a fleet too large to probe all VMs, each VM probes only a few, on connections that stay open.
+// Each must be probed by the same number of others, and news must reach all VMs within few hops.
+test("in a large fleet each VM is probed by log2(n) others and news reaches all VMs", () => {
   const vms = Array.from({ length: 500 }, (_, i) => makeVm(`vm${i}`, "dc1", i));
-  const rings = vms.map((self) => {
+  const probeOrders = vms.map((self) => {
     const state = createMembershipState(self, "1.0", 0);
     const applied = applyMembershipEvent(state, { type: "listed", now: 0, vms });
     return buildRing(applied.type === "applied" ? applied.state : state);
   });
-  const probed = rings
+  const probed = probeOrders
     .flat()
     .reduce((n, name) => n.set(name, (n.get(name) ?? 0) + 1), new Map<string, number>());
   expect(new Set(probed.values())).toEqual(new Set([9]));
-  const ringOf = new Map(vms.map((vm, i) => [vm.name, rings[i] ?? []]));
+  const probeOrderOf = new Map(vms.map((vm, i) => [vm.name, probeOrders[i] ?? []]));
   let reached = new Set(["vm0"]);
   for (let hop = 0; hop < 9; hop++) {
-    reached = new Set([...reached, ...[...reached].flatMap((name) => ringOf.get(name) ?? [])]);
+    reached = new Set([
+      ...reached,
+      ...[...reached].flatMap((name) => probeOrderOf.get(name) ?? []),
+    ]);
   }
   expect(reached.size).toBe(500);
 });
 
-test("a VM that one observer can't reach stays live: others answer for it", async () => {
+test("a VM that one observer can't reach stays live as indirect probes reach it", async () => {
   const { clock, members, network } = makeFleet();
   await members.startAll();
   network.cut(["a"], ["b"]);
@@ -72,10 +75,10 @@
   expect(members.events.filter(({ event }) => event.name === "vmDown")).toEqual([]);
 });
 
-// An observer is stopped (SIGSTOP) with probes in flight and goes on a minute later.
-// All its timers fire first, so every peer looks silent, though their answers wait in the sockets.
-// If it believed that, it would take over what all others own; it must notice its own gap.
-test("a process that stood still declares nobody down", () => {
+// An observer is stopped (SIGSTOP) with probes in flight and continues a minute later. Its timers
+// fire before the answers waiting in the sockets are read, so that every peer seems silent. If it
+// acted on that, it would take over everything that the others own; it must detect its own pause.
+test("a process that was paused declares no VM down", () => {
   const a = makeVm("a");
   let state = createMembershipState(a, "1.0", 0);
   const apply = (event: MembershipEvent) => {
@@ -93,10 +96,10 @@
   expect(state.members.get("b")?.status).toBe("suspect");
 });
 
-// A VM loses all its links, or is the only one on its side of a partition.
-// Nobody answers it, so each of the others looks dead. It keeps its last list and says so;
-// the others take it for down, and all agree again when the links come back.
-test("a VM that is cut off itself declares nobody down", async () => {
+// A VM loses all its links, or is alone on its side of a partition. As no VM answers it, each of the
+// others seems down. It keeps its last list and logs that it is isolated; the others consider it
+// down, and all agree again once the links are restored.
+test("an isolated VM declares no VM down", async () => {
   const { clock, members, network } = makeFleet();
   await members.startAll();
   await clock.advance(3000);
@@ -113,10 +116,10 @@
   for (const name of names) expect(members.listLiveNames(name)).toBe(all);
 });
 
-// Two halves lose each other for a minute; each takes the other for down and goes on alone.
-// After that nobody probes the other half as a matter of course, and rumours of its end still go
-// round: down VMs are probed now and then, and whoever is told of its end refutes it.
-test("two halves find each other again and no rumour marks anyone later", async () => {
+// A partition separates two halves for a minute; each half considers the other down and continues
+// alone. Afterwards, neither probes the other regularly, and old news of VMs that were down still
+// circulates: down VMs are probed occasionally, and a VM that is told that it is down refutes it.
+test("two halves of a partition find each other again, and old news marks no VM as down later", async () => {
   const { clock, members, network } = makeFleet();
   await members.startAll();
   await clock.advance(3000);
@@ -132,20 +135,20 @@
   expect(members.events).toEqual([]);
 });
 
-test("a VM that leaves is out of every list within seconds, and stays out", async () => {
+test("a VM that leaves is in no list of live VMs after seconds, and stays out", async () => {
   const { clock, members } = makeFleet();
   await members.startAll();
   await clock.advance(2000);
-  members.keepers.get("d")?.setState("leaving");
+  members.trackers.get("d")?.setState("leaving");
   await clock.advance(4000);
   for (const name of names) expect(members.listLiveNames(name)).toBe(without("d"));
   await clock.advance(60_000);
   for (const name of names) expect(members.listLiveNames(name)).toBe(without("d"));
 });
 
-// The store is down, so there is no list. A running VM keeps what it knows and goes on probing.
-// A new one knows nobody; the seeds of its settings answer with all that they know.
-test("membership goes on while the store is down, also for a new VM", async () => {
+// The store is down, so that no list can be read. A running VM keeps its list and continues to probe.
+// A VM that starts knows no other; the seeds in its settings answer with all VMs that they know.
+test("membership works while the store is down, also for a VM that starts", async () => {
   const { clock, members, store } = makeFleet();
   await members.startAll();
   await clock.advance(2000);
@@ -160,9 +163,9 @@
   expect(members.listLiveNames("g")).toBe(all);
 });
 
-// The platform's list still says leaving for a VM that was replaced under the same name.
-// Taking the stale word again at each reading would keep the new VM out for minutes.
-test("a stale leaving in the list does not shut out the VM's next run", async () => {
+// The platform still lists a VM as leaving that was replaced under the same name.
+// Applying that outdated state at each read would exclude the new VM for minutes.
+test("an outdated leaving state in the list does not exclude the VM's next run", async () => {
   const { clock, members, store } = makeFleet();
   await members.startAll();
   store.vms = members.vms.map((vm) => (vm.name === "b" ? { ...vm, state: "leaving" } : vm));
@@ -174,9 +177,9 @@
   expect(members.listLiveNames("a")).toBe(all);
 });
 
-// Cuts, pauses, deaths and restarts in any order, then everything heals.
-// Every VM must be live on every VM again within bounded time: nothing stays down by rumour.
-test("after any faults all agree that all live", async () => {
+// Applies cut links, pauses, crashes and restarts in any order, and then repairs all of them.
+// Every VM must be live on every VM again within bounded time: no old news may keep one down.
+test("after any faults all VMs agree that all are live", async () => {
   const vm = fc.constantFrom(...names);
   const fault = fc.oneof(
     fc.record({ type: fc.constant("cut" as const), a: vm, b: vm }),
@@ -197,7 +200,7 @@
       network.cuts.clear();
       members.paused.clear();
       store.isDown = false;
-      for (const name of names) if (!members.keepers.has(name)) await members.start(name);
+      for (const name of names) if (!members.trackers.has(name)) await members.start(name);
       await clock.advance(90_000);
       for (const name of names) expect(members.listLiveNames(name)).toBe(all);
       members.stopAll();
--- a/test/fleet/merge.test.ts
+++ b/test/fleet/merge.test.ts
@@ -10,7 +10,7 @@
 const base = draft([team("a"), team("b")], [refuse("r1", { teams: ["a"] }), refuse("r2")]);
 const names = (d: Draft) => d.rules.map((r) => r.name);
 
-test("changes of different entries are both kept", () => {
+test("changes to different entries are both kept", () => {
   const mine = draft([...base.teams, team("c", "trial")], base.rules);
   const theirs = draft([team("a", "trial"), team("b")], [refuse("r1", { teams: ["a"] }, "later")]);
   expect(mergeDrafts(base, mine, theirs)).toEqual({
@@ -22,17 +22,17 @@
 test.each([
   ["the same team", draft([team("a", "trial"), team("b")], base.rules)],
   ["a team that the other removed", draft([team("b")], [refuse("r2")])],
-])("%s changed differently by both is a conflict", (_, theirs) => {
+])("%s changed differently by both editors is a conflict", (_, theirs) => {
   const mine = draft([{ name: "a", plan: "trial" }, team("b")], base.rules);
   const other = theirs.teams.length === 2 ? draft([team("b")], [refuse("r2")]) : theirs;
   const merge = mergeDrafts(base, mine, other);
   expect(merge).toEqual({ type: "conflict", conflicts: [{ type: "team", name: "a" }] });
 });
 
-// Two operators each add a rule at the same place; only the first match counts.
-// Where a request could meet both rules, their order would decide its fate,
-// and neither operator chose it: that is a conflict, not a merge.
-test("rules added at one place merge only where their order means nothing", () => {
+// Two operators each add a rule at the same position, and only the first rule that matches applies.
+// If a request could match both rules, the result would depend on an order that neither operator
+// chose: that is a conflict, not a merge.
+test("rules added at the same position merge only if their order makes no difference", () => {
   const add = (rule: ReturnType<typeof refuse>) => draft(base.teams, [...base.rules, rule]);
   const apart = mergeDrafts(
     base,
@@ -60,14 +60,14 @@
   });
 });
 
-test("one side's new order is kept beside the other's new content", () => {
+test("a new order by one editor and new content by the other are both kept", () => {
   const mine = draft(base.teams, [...base.rules].reverse());
   const theirs = draft([...base.teams, team("c")], base.rules);
   const merge = mergeDrafts(base, mine, theirs);
   expect(merge.type === "merged" && names(merge.draft)).toEqual(["r2", "r1"]);
 });
 
-test("a delta gives the revision it was built from, and nothing on another base", () => {
+test("a delta reproduces the revision that it was built for, and fails on another base", () => {
   const before = { revision: 4, changeId: "x", ...base };
   const after = {
     revision: 5,
--- a/test/fleet/owners.test.ts
+++ b/test/fleet/owners.test.ts
@@ -7,9 +7,9 @@
 
 const groups = ["g1", "g2", "g3", "g4", "g5"];
 
-// VMs come, go and come back at other addresses while groups are asked for in between.
-// A kept owner that is wrong sends a caller's work to a VM that is gone, or to two owners for good.
-test("the kept owners are those that ordering all VMs gives, whoever comes and goes", () => {
+// VMs join, leave and rejoin at other addresses, with lookups of groups in between. A stale cached
+// owner would send a caller's requests to a VM that has left, or keep two owners for one group.
+test("cached owners equal those found by ordering all VMs as VMs join and leave", () => {
   const fleet = fc.uniqueArray(fc.nat(9), { minLength: 0, maxLength: 10 });
   fc.assert(
     fc.property(fc.array(fc.tuple(fleet, fc.subarray(groups)), { maxLength: 12 }), (steps) => {
