--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Answers a peer that fetches the configuration: `absent` if the peer's revision is not older than
-   * the one in force here, `unavailable` if none is known here.
+   * Answers a peer that fetches the configuration: `absent` if the peer's revision is not older
+   * than the one in force here, `unavailable` if none is known here.
    */
   answerFetch(afterRevision: number): StoreRead<Json> {
     const { inForce, isKnown } = this.state;
@@ -271,9 +271,10 @@
   }
 
   /**
-   * Finds updates that neither a watch nor a push delivered. A watch that stalls without an error, or
-   * pushes lost on every path, would leave this proxy on an old revision without any sign. Relays
-   * periodically read the store and other proxies ask a relay, so that this lasts minutes at most.
+   * Finds updates that neither a watch nor a push delivered. A watch that stalls without an error,
+   * or pushes lost on every path, would leave this proxy on an old revision without any sign.
+   * Relays periodically read the store and other proxies ask a relay, so that this lasts minutes at
+   * most.
    */
   private async runAntiEntropy(): Promise<number> {
     if (this.watchController !== undefined) {
--- a/src/fleet/drain.ts
+++ b/src/fleet/drain.ts
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Starts the drain, or joins the one that runs. Resolves when nothing is in flight or the time limit
-   * is reached.
+   * Starts the drain, or joins the one that runs. Resolves when nothing is in flight or the time
+   * limit is reached.
    */
   drain(): Promise<void> {
     this.drainPromise ??= this.run();
--- a/src/fleet/editor.ts
+++ b/src/fleet/editor.ts
@@ -33,7 +33,7 @@
   readonly findInForce?: () => Promise<Configuration | undefined>;
 }
 
-/** Outcome of an attempt to apply a change. `merged` tells that other changes were merged with it. */
+/** Outcome of a change. `merged`: other changes were, or may have been, merged with it. */
 export type EditResult =
   | { readonly type: "applied"; readonly revision: number; readonly merged: boolean }
   | { readonly type: "unchanged"; readonly revision: number }
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Applies a change that was made to `baseRevision`. Tries again after conflicts and lost answers, up
-   * to `maxAttempts` times.
+   * Applies a change that was made to `baseRevision`. Tries again after conflicts and lost answers,
+   * up to `maxAttempts` times.
    */
   async apply(
     change: { readonly changeId: string; readonly draft: Draft },
--- a/src/fleet/membership.ts
+++ b/src/fleet/membership.ts
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Returns the VMs that may get new work, this one included unless it is leaving. The array stays the
-   * same until the list changes.
+   * Returns the VMs that may get new work, this one included unless it is leaving. The array stays
+   * the same until the list changes.
    */
   listLive(): readonly Vm[] {
     return this.live;
@@ -110,14 +110,14 @@
     return findHelpers(this.state, count);
   }
 
-  /** Creates the hello that goes with answers and requests: without news, so that it stays small. */
+  /** Creates the hello that goes with answers and requests. It has no news, so that it is small. */
   createHello(): PeerHello {
     const { vm, incarnation, state } = this.state.self;
     return { vm: vm.name, incarnation, state, revision: this.options.getRevision() };
   }
 
-  /** Applies the hello of a peer's probe and returns the hello to answer with. */
-  answerProbe(hello: PeerHello): PeerHello {
+  /** Applies the hello of a peer's message and returns the hello to answer with. */
+  exchangeHello(hello: PeerHello): PeerHello {
     this.receiveHello(hello);
     return this.createHello();
   }
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Creates the hello of a probe: it carries the news sent least often so far, and any suspicion of the
-   * recipient `to`, so that it can refute it.
+   * Creates the hello of a probe: it carries the news sent least often so far, and any suspicion of
+   * the recipient `to`, so that it can refute it.
    */
   private createProbeHello(to: string): PeerHello {
     const news = collectNews(this.state, this.protocolOptions.newsPerMessage);
@@ -254,7 +254,7 @@
     return this.protocolOptions.tickMs;
   }
 
-  /** If the store is down at start, the seeds in the settings are the only way to find other VMs. */
+  /** The seeds in the settings are the only way to find other VMs if the store is down at start. */
   private async probeSeeds(): Promise<void> {
     const { peers, seeds = [], vm } = this.options;
     const results = await Promise.all(
--- a/src/fleet/owners.ts
+++ b/src/fleet/owners.ts
@@ -14,8 +14,8 @@
 /**
  * Caches the owner and the next owner of each group that was looked up: the first two VMs of
  * `orderOwners`. Sorting thousands of VMs for each request, or for every group when a VM joins or
- * leaves, would use most of a CPU core. Instead, a VM that joins is compared with the two cached ones,
- * and one that leaves only invalidates the groups that it is cached for.
+ * leaves, would use most of a CPU core. Instead, a VM that joins is compared with the two cached
+ * ones, and one that leaves only invalidates the groups that it is cached for.
  */
 export class OwnerTable {
   private live: readonly Vm[] = [];
--- a/src/fleet/push.ts
+++ b/src/fleet/push.ts
@@ -5,8 +5,8 @@
 
 /**
  * Pushes a configuration message to a peer, with one retry, and returns the revision then in force
- * there; undefined if both failed. No further retry is needed: the peer also gets the update through
- * another relay's tree, or fetches it once a message shows it the greater revision.
+ * there; undefined if both failed. No further retry is needed: the peer also gets the update
+ * through another relay's tree, or fetches it once a message shows it the greater revision.
  */
 export async function pushMessage(
   ports: { readonly peers: PeerClient; readonly clock: Clock; readonly random: Random },
--- a/src/fleet/watcher.ts
+++ b/src/fleet/watcher.ts
@@ -14,7 +14,7 @@
   onBroken(reason: string): void;
 }
 
-/** Reads the configuration object, then watches it, and repeats both until the signal is aborted. */
+/** Reads the configuration object, then watches it; repeats both until the signal is aborted. */
 export function followConfiguration(
   ports: { readonly store: ObjectStore; readonly clock: Clock; readonly random: Random },
   handler: WatcherHandler,
--- a/src/proxy/callers.ts
+++ b/src/proxy/callers.ts
@@ -4,7 +4,7 @@
 import type { ProxySettings } from "../settings/index.js";
 import type { CertificateStore } from "../tls/index.js";
 
-/** What callers' side takes from the rest of the proxy. */
+/** Dependencies of the `CallerServer` on the rest of the proxy. */
 export interface CallerPorts extends Pick<
   CallerServerOptions,
   "gateway" | "hasGroup" | "match" | "findTeam"
@@ -15,7 +15,7 @@
   readonly certificates: CertificateStore | undefined;
 }
 
-/** Builds callers' side from the settings. */
+/** Creates the server for callers from the settings; without TLS if `certificates` is undefined. */
 export function createCallerServer({
   settings,
   certificates,
--- a/src/proxy/directory.ts
+++ b/src/proxy/directory.ts
@@ -2,12 +2,13 @@
 import type { Logger } from "../log/index.js";
 import type { Clock, Disposable, Group, ObjectStore } from "../model/index.js";
 
+/** Shortest interval between two reads of the groups, except while none is known. */
 const readIntervalMs = 2000;
 
-/** Each VM reads the list the more rarely the more there are, so that the store's load is bounded. */
+/** Added to the interval for each VM, so that the load on the store is bounded in a large fleet. */
 const readIntervalMsPerVm = 5;
 
-/** What a `GroupDirectory` needs. */
+/** Dependencies of a `GroupDirectory`. */
 export interface GroupDirectoryOptions {
   readonly store: ObjectStore;
   readonly clock: Clock;
@@ -16,7 +17,7 @@
   readonly onChange: (groups: ReadonlyMap<string, Group>) => void;
 }
 
-/** Keeps the platform's database groups. While the store is down the last list stays in use. */
+/** Keeps the platform's database groups. While the store is unreachable the last list is kept. */
 export class GroupDirectory implements Disposable {
   private groups: ReadonlyMap<string, Group> = new Map();
   private readonly disposeController = new AbortController();
@@ -24,7 +25,7 @@
 
   constructor(private readonly options: GroupDirectoryOptions) {}
 
-  /** Resolves after the first reading, whatever came of it, and goes on reading. */
+  /** Resolves after the first read, even if that failed; then reads periodically until disposed. */
   async start(): Promise<void> {
     await this.read();
     void this.pollGroups();
@@ -42,11 +43,11 @@
     const { clock, countVms } = this.options;
     const { signal } = this.disposeController;
     for (;;) {
-      const pause =
+      const pauseMs =
         this.groups.size === 0
           ? readIntervalMs / 4
           : readIntervalMs + readIntervalMsPerVm * countVms();
-      await clock.sleep(pause, signal).catch(() => undefined);
+      await clock.sleep(pauseMs, signal).catch(() => undefined);
       if (signal.aborted) return;
       await this.read();
     }
@@ -66,10 +67,10 @@
   }
 
   private updateGroups(groups: readonly Group[]): void {
-    const text = JSON.stringify(groups);
-    if (text === this.lastGroupsJson) return;
-    this.lastGroupsJson = text;
-    this.groups = new Map(groups.map((g) => [g.name, g]));
+    const json = JSON.stringify(groups);
+    if (json === this.lastGroupsJson) return;
+    this.lastGroupsJson = json;
+    this.groups = new Map(groups.map((group) => [group.name, group]));
     this.options.onChange(this.groups);
   }
 }
--- a/src/proxy/gateway.ts
+++ b/src/proxy/gateway.ts
@@ -3,10 +3,10 @@
 import type { OwnerGateway } from "../owner/index.js";
 import { orderOwners } from "../policy/index.js";
 
-/** How long a VM that could not be reached is passed over, in milliseconds. */
+/** How long other VMs are preferred to one that could not be reached. */
 const avoidUnreachableMs = 3000;
 
-/** What a `FleetGateway` chooses between. */
+/** Dependencies of a `FleetGateway`: the gateways that it chooses between. */
 export interface FleetGatewayOptions {
   readonly vm: string;
   readonly clock: Pick<Clock, "now">;
@@ -15,9 +15,9 @@
   readonly remote: GroupGateway;
 }
 
-/** Opens conversations at a group's owner, which is this process or another. */
+/** Opens conversations at the owner of a group, which is this process or a remote one. */
 export class FleetGateway implements GroupGateway {
-  /** Until when each VM that could not be reached is passed over. */
+  /** When each VM that could not be reached may be chosen again, by its name. */
   private readonly avoidedUntil = new Map<string, number>();
   private readonly owners: OwnerTable;
 
@@ -31,15 +31,15 @@
   }
 
   /**
-   * Passes a VM over for a while. Membership takes seconds to call a VM down, so as not to be misled
-   * by one lost packet; a group's writes would stand still for as long. Two owners at once break
-   * nothing, so the next in order can serve it at the first sign.
+   * Avoids a VM for a while. Membership takes seconds to declare a VM down, so that one lost packet
+   * doesn't mislead it, and the writes to a group would wait as long. Two owners at the same time
+   * do no harm, so that the next VM in order can serve the group at the first failure.
    */
   markUnreachable(vm: string): void {
     this.avoidedUntil.set(vm, this.options.clock.now() + avoidUnreachableMs);
   }
 
-  /** The VM that owns the group when that is another one; nothing when this process serves it. */
+  /** Returns the other VM that serves the group; undefined if this process serves it. */
   findRemoteOwner(group: string): Vm | undefined {
     const { vm } = this.options;
     const order = this.listOwners(group);
@@ -49,22 +49,28 @@
     return this.isCutOff(group) ? second : undefined;
   }
 
-  /** The next in order when this process serves the group but is cut off from its primary. */
+  /**
+   * Returns the next VM in order if this process serves the group but can't reach its primary;
+   * undefined if this process can serve the group itself.
+   */
   findReplacementOwner(group: string): Vm | undefined {
     if (!this.isCutOff(group)) return undefined;
     return this.listOwners(group).find((o) => o.name !== this.options.vm);
   }
 
-  /** Whether this process owns the group by the live VMs, cut off or not. */
+  /**
+   * Whether this process owns the group according to the live VMs, even if it can't reach the
+   * group's primary.
+   */
   isOwned(group: string): boolean {
     return this.owners.findOwners(group)[0]?.name === this.options.vm;
   }
 
-  /** The first two in order; all of them only while one of those is in doubt. */
+  /** Lists the first two VMs in order, or all live VMs while one of those two is avoided. */
   private listOwners(group: string): readonly Vm[] {
     const pair = this.owners.findOwners(group);
-    const hasDoubt = pair.some((o) => this.isAvoided(o.name));
-    return hasDoubt ? orderOwners(group, this.options.listLive()) : pair;
+    const hasAvoided = pair.some((o) => this.isAvoided(o.name));
+    return hasAvoided ? orderOwners(group, this.options.listLive()) : pair;
   }
 
   private isAvoided(vm: string): boolean {
@@ -75,7 +81,7 @@
     return false;
   }
 
-  /** Cut off from the group's primary, this process can serve nothing; the next VM may reach it. */
+  /** Whether this process can't reach the group's primary and thus serve it; another VM may. */
   private isCutOff(group: string): boolean {
     return this.options.owner.find(group)?.watch.isCutOff === true;
   }
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -15,10 +15,11 @@
 import type { FleetMembers } from "./members.js";
 import type { ProxyPorts } from "./ports.js";
 
+/** Live VMs offered to check a target that this process can't reach. */
 const checkerCount = 3;
 const maintenanceIntervalMs = 1000;
 
-/** The platform's groups: those that this process owns, and the way to the others. */
+/** Serves the platform's groups: those that this process owns, and the others by their owners. */
 export class FleetGroups implements Disposable {
   readonly owner: OwnerGateway;
   readonly gateway: FleetGateway;
@@ -64,7 +65,10 @@
     this.gateway = new FleetGateway({ vm, clock, listLive, owner: this.owner, remote });
   }
 
-  /** Resolves after the first reading of the platform's list; then follows it and the live VMs. */
+  /**
+   * Resolves after the first read of the platform's list of groups; then updates the owned groups
+   * as that list or the live VMs change.
+   */
   async start(): Promise<void> {
     await this.directory.start();
     this.owned.add(
@@ -85,11 +89,14 @@
     return this.directory.list().has(group);
   }
 
-  /** Looks at a target for a peer, on a new connection. */
+  /** Queries the status of a target for a peer, on a new connection. */
   async checkTarget(group: string, name: string, timeoutMs: number): Promise<ControlResult> {
     const target = this.findTarget(group, name);
     if (target === undefined) {
-      return { type: "unreachable", reason: "the target is not known here" };
+      return {
+        type: "unreachable",
+        reason: `target ${name} of group ${group} is not known to this proxy`,
+      };
     }
     return this.control.status(target, { timeoutMs, fresh: true });
   }
@@ -117,7 +124,7 @@
     return targets?.find((t) => t.name === name);
   }
 
-  /** Opens the groups that this process owns now. */
+  /** Updates the groups and opens those that this process now owns. */
   private updateOwnedGroups(): void {
     const groups = this.directory.list();
     const owned = [...groups.keys()].filter((name) => this.gateway.isOwned(name));
--- a/src/proxy/handlers.ts
+++ b/src/proxy/handlers.ts
@@ -3,7 +3,7 @@
 import type { FleetGroups } from "./groups.js";
 import type { FleetMembers } from "./members.js";
 
-/** What this process does for its peers. */
+/** Creates the handlers that answer this process's peers. */
 export function createPeerHandlers(
   { membership, configuration, createHello }: FleetMembers,
   groups: FleetGroups,
@@ -12,10 +12,11 @@
   return {
     getHello: createHello,
     onHello: (hello) => {
-      membership.answerProbe(hello);
+      membership.exchangeHello(hello);
     },
-    // Who asks takes this process for the owner. Serving it costs connections at the worst;
-    // passing it on would let two processes that disagree send it back and forth.
+    // The peer that asks considers this process the owner. Serving the group although another VM
+    // owns it costs extra connections at worst; forwarding the request could loop between two
+    // processes that disagree about the owner.
     chooseOwner: (group) => {
       const owner = groups.gateway.findReplacementOwner(group);
       if (owner !== undefined) return { type: "elsewhere", owner };
--- a/src/proxy/hooks.ts
+++ b/src/proxy/hooks.ts
@@ -3,7 +3,7 @@
 
 const msPerSecond = 1000;
 
-/** Counts a process's groups in its metrics. */
+/** Creates hooks that record requests, queue waits and failovers of the owned groups as metrics. */
 export function createMetricHooks(metrics: Metrics): OwnerHooks {
   return {
     onOutcome(request, outcome) {
@@ -21,15 +21,15 @@
     onQueueWait(request, waitMs) {
       metrics.recordQueueWait(request.action.priority, waitMs / msPerSecond);
     },
-    onGap(group, gapMs, split) {
+    onGap(group, gapMs, phases) {
       metrics.recordFailover({
         group,
         gap: gapMs / msPerSecond,
         phases: {
-          detect: split.detectingMs / msPerSecond,
-          fence: split.fencingMs / msPerSecond,
-          promote: split.promotingMs / msPerSecond,
-          firstWrite: split.firstWriteMs / msPerSecond,
+          detect: phases.detectingMs / msPerSecond,
+          fence: phases.fencingMs / msPerSecond,
+          promote: phases.promotingMs / msPerSecond,
+          firstWrite: phases.firstWriteMs / msPerSecond,
         },
       });
     },
--- a/src/proxy/members.ts
+++ b/src/proxy/members.ts
@@ -10,7 +10,7 @@
 import type { ProxySettings } from "../settings/index.js";
 import type { ProxyPorts } from "./ports.js";
 
-/** What a proxy knows of the fleet: its links to peers, the live VMs and the configuration. */
+/** A proxy's view of the fleet: its connections to peers, the live VMs and the configuration. */
 export class FleetMembers implements Disposable {
   readonly links: PeerLinks;
   readonly peers: ConnectPeerClient;
@@ -50,7 +50,7 @@
     );
   }
 
-  /** What this process says of itself. */
+  /** Creates the hello that this process sends with its messages. */
   readonly createHello = (): PeerHello => this.membership.createHello();
 
   readonly listLive = (): readonly Vm[] => this.membership.listLive();
--- a/src/proxy/ports.ts
+++ b/src/proxy/ports.ts
@@ -2,12 +2,12 @@
 import type { Clock, Random } from "../model/index.js";
 import type { ProxySettings } from "../settings/index.js";
 
-/** What a proxy runs on. */
+/** Dependencies of a `Proxy`. */
 export interface ProxyPorts {
   readonly settings: ProxySettings;
   readonly logger: Logger;
   readonly clock: Clock;
   readonly random: Random;
-  /** Differs between two runs of the process on one VM, and grows. */
+  /** Identifies this run of the process on its VM and grows with each run. */
   readonly incarnation: string;
 }
--- a/src/proxy/proxy.ts
+++ b/src/proxy/proxy.ts
@@ -16,17 +16,17 @@
 import { getClientTlsOptions, loadCertificates, type Certificates } from "./security.js";
 import { countStoreCalls, openStore } from "./store.js";
 
-/** Between two counts of the callers for the metrics, in milliseconds. */
+/** Interval at which the number of callers is written to the metrics. */
 const callerCountIntervalMs = 1000;
 
-/** Where a proxy listens, once it does. */
+/** The addresses that a proxy listens on. */
 export interface ProxyAddresses {
   readonly callers: Address;
   readonly peers: Address;
   readonly health: Address;
 }
 
-/** One proxy: every part of the system that runs on an entry VM. */
+/** One proxy: creates and connects all parts of the system that run on an entry VM. */
 export class Proxy {
   readonly metrics: Metrics = createMetrics({ process: true });
   private readonly owned = new DisposableStore();
@@ -40,7 +40,7 @@
   private isReady = false;
   private teams: ReadonlyMap<string, Team> = new Map();
 
-  /** Puts a proxy together. Rejects when a certificate can't be read. */
+  /** Creates a proxy that does not listen yet. Rejects if a certificate can't be read. */
   static async create(ports: ProxyPorts): Promise<Proxy> {
     return new Proxy(ports, await loadCertificates(ports));
   }
@@ -52,8 +52,8 @@
     const { settings, logger } = ports;
     const { metrics, owned } = this;
     this.logInvariantViolations();
-    for (const side of [certificates.callers, certificates.peers]) {
-      if (side !== undefined) owned.add(side);
+    for (const certificate of [certificates.callers, certificates.peers]) {
+      if (certificate !== undefined) owned.add(certificate);
     }
     const store = owned.add(countStoreCalls(openStore(settings, logger), metrics));
     const security = getClientTlsOptions(certificates);
@@ -65,7 +65,7 @@
     this.drainRunner = this.createDrainRunner();
   }
 
-  /** Begins to answer peers and operators, not yet callers. `start` does so unless it was done. */
+  /** Starts to listen for peers and operators, not yet for callers. `start` does so if needed. */
   async listen(): Promise<Omit<ProxyAddresses, "callers">> {
     const { listen } = this.ports.settings;
     this.listening ??= {
@@ -75,7 +75,7 @@
     return this.listening;
   }
 
-  /** Starts every part; resolves when the proxy is ready for callers. */
+  /** Starts all parts; resolves when the proxy listens for callers. */
   async start(): Promise<ProxyAddresses> {
     await loadParser();
     const { health, peers } = await this.listen();
@@ -90,7 +90,7 @@
     return { callers, peers, health };
   }
 
-  /** Leaves the fleet: nothing that is in flight is cut off within the settings' limit. */
+  /** Leaves the fleet. Requests in flight are cut off only at the time limit of the settings. */
   async drain(): Promise<void> {
     await this.drainRunner.drain();
   }
@@ -99,7 +99,7 @@
     return this.owned.dispose();
   }
 
-  /** What this process says of itself to operators. */
+  /** Describes the state of this process for operators. */
   report(): ProxyReport {
     const { settings, incarnation } = this.ports;
     const { membership, configuration } = this.members;
@@ -221,13 +221,13 @@
 
   private async followConfiguration(): Promise<void> {
     const { configuration } = this.members;
-    const take = () => {
+    const applyCurrent = () => {
       const { teams, revision } = configuration.getCurrent();
       this.teams = new Map(teams.map((team) => [team.name, team]));
       this.metrics.setRevision(revision);
     };
-    this.owned.add(configuration.subscribe(take));
+    this.owned.add(configuration.subscribe(applyCurrent));
     await configuration.start();
-    take();
+    applyCurrent();
   }
 }
--- a/src/proxy/report.ts
+++ b/src/proxy/report.ts
@@ -2,10 +2,10 @@
 import { formatMark, formatTerm, type Json, type TargetView } from "../model/index.js";
 import type { ServedGroup } from "../owner/index.js";
 
-/** A group in a proxy's report. */
+/** The entry of one group in a proxy's report. */
 export type GroupReport = ProxyReport["groups"][number];
 
-/** Describes a group for operators, as its owner sees it. */
+/** Describes a group for operators, from the state that its owner holds. */
 export function describeGroup(served: ServedGroup): GroupReport {
   const { primary } = served.view();
   return {
@@ -18,23 +18,23 @@
 
 function describeTarget(name: string, served: ServedGroup): GroupReport["targets"][number] {
   const { primary, targets } = served.view();
-  const seen = targets[name];
-  if (seen === undefined) return { target: name, role: "unknown", missedProbes: 0 };
-  const end = primary && targets[primary.target]?.status.mark.offset;
+  const view = targets[name];
+  if (view === undefined) return { target: name, role: "unknown", missedProbes: 0 };
+  const primaryOffset = primary && targets[primary.target]?.status.mark.offset;
   return {
     target: name,
-    role: seen.status.role,
-    mark: formatMark(seen.status.mark),
-    missedProbes: seen.missedProbes,
-    ...(end === undefined ? {} : { lag: computeLag(end, seen) }),
+    role: view.status.role,
+    mark: formatMark(view.status.mark),
+    missedProbes: view.missedProbes,
+    ...(primaryOffset === undefined ? {} : { lag: computeLag(primaryOffset, view) }),
   };
 }
 
-function computeLag(end: number, { status }: TargetView): number {
-  return Math.max(0, end - status.mark.offset);
+function computeLag(primaryOffset: number, { status }: TargetView): number {
+  return Math.max(0, primaryOffset - status.mark.offset);
 }
 
-/** The report as it goes over the wire. */
+/** Converts the report to the JSON that is sent. */
 export function encodeReport(report: ProxyReport): Json {
   return JSON.parse(JSON.stringify(report)) as Json;
 }
--- a/src/proxy/security.ts
+++ b/src/proxy/security.ts
@@ -4,20 +4,20 @@
 import type { ProxySettings, TlsSettings } from "../settings/index.js";
 import { CertificateStore } from "../tls/index.js";
 
-/** What reading certificates needs. */
+/** Dependencies of `loadCertificates`. */
 export interface SecurityPorts {
   readonly settings: ProxySettings;
   readonly clock: Clock;
   readonly logger: Logger;
 }
 
-/** The certificates of each side; a side is absent where the settings turn TLS off. */
+/** The certificates for callers and for peers; absent where the settings turn TLS off. */
 export interface Certificates {
   readonly callers?: CertificateStore;
   readonly peers?: CertificateStore;
 }
 
-/** Reads the certificates that the settings name. Rejects when one can't be read. */
+/** Reads the certificates that the settings name. Rejects if one can't be read. */
 export async function loadCertificates({
   settings,
   clock,
@@ -33,7 +33,7 @@
   };
 }
 
-/** The options of links to peers that carry this process's certificate. */
+/** Returns the TLS options, with this process's certificate, for peers; empty without TLS. */
 export function getClientTlsOptions({
   peers,
 }: Certificates): Pick<LinkOptions, "getSecureOptions"> {
--- a/src/proxy/store.ts
+++ b/src/proxy/store.ts
@@ -4,10 +4,10 @@
 import { HttpObjectStore } from "../platform/index.js";
 import type { ProxySettings } from "../settings/index.js";
 
-/** Opens the platform's store at the first address of the settings. */
+/** Opens the platform's store at the first address in the settings. Throws if they hold none. */
 export function openStore(settings: ProxySettings, logger: Logger): HttpObjectStore {
   const [platform] = settings.platform;
-  if (platform === undefined) throw new Error("the settings name no platform");
+  if (platform === undefined) throw new Error("the settings hold no address of the platform");
   return new HttpObjectStore({
     url: `http://${platform.host}:${platform.port}`,
     timeoutMs: settings.deadlines.storeMs,
@@ -15,7 +15,7 @@
   });
 }
 
-/** Counts the calls on a store by operation and outcome. */
+/** Wraps a store so that its calls, except watches, are counted by operation and outcome. */
 export function countStoreCalls(
   store: HttpObjectStore,
   metrics: Metrics,
--- a/test/fleet/membership-fixture.ts
+++ b/test/fleet/membership-fixture.ts
@@ -78,7 +78,7 @@
         await clock.sleep(timeoutMs);
         return { type: "silent", reason: "timeout" };
       }
-      return { type: "answered", hello: tracker.answerProbe(hello) };
+      return { type: "answered", hello: tracker.exchangeHello(hello) };
     };
     return {
       probe,
