--- a/src/controller/admission/step.ts
+++ b/src/controller/admission/step.ts
@@ -1,4 +1,4 @@
-import { assertInvariant, fail, succeed, type Applied } from "../../model/index.js";
+import { assertInvariant, fail, succeed, type StepResult } from "../../model/index.js";
 import { listTargets } from "./capacity.js";
 import { refuseLeastImportant } from "./displace.js";
 import { emptyClass, makeLaneKey } from "./queue.js";
@@ -20,7 +20,7 @@
 import { canStartOn } from "./wait.js";
 
 /** The result of applying one event. */
-export type AdmissionResult = Applied<Admission, AdmissionEffect, AdmissionFailure>;
+export type AdmissionResult = StepResult<Admission, AdmissionEffect, AdmissionFailure>;
 
 /** The defaults of the admission settings. */
 export const defaultAdmissionSettings: AdmissionSettings = {
@@ -164,7 +164,7 @@
   const { target, role, slots, at } = event;
   const known =
     admission.targets[target] ?? createTargetSlots(target, admission.settings.initialServiceMs, at);
-  const slotsExpectedAt = event.backInMs === undefined ? undefined : at + event.backInMs;
+  const slotsExpectedAt = event.readyInMs === undefined ? undefined : at + event.readyInMs;
   const resized = { ...known, role, slots, slotsExpectedAt };
   const next = { ...admission, targets: { ...admission.targets, [target]: resized } };
   return fillSlots(next, target, at);
--- a/src/controller/configuration/state.ts
+++ b/src/controller/configuration/state.ts
@@ -1,7 +1,7 @@
 import {
   emptyConfiguration,
   succeed,
-  type Applied,
+  type StepResult,
   type Configuration,
 } from "../../model/index.js";
 import type { ConfigurationUpdate } from "./decode.js";
@@ -50,7 +50,7 @@
   | { readonly type: "fetch"; readonly vm: string; readonly afterRevision: number }
   | { readonly type: "alarm"; readonly alarm: ConfigurationAlarm };
 
-type Step = Applied<ConfigurationState, ConfigurationEffect, never>;
+type Step = StepResult<ConfigurationState, ConfigurationEffect, never>;
 
 /** The state of a proxy at the start. */
 export const initialConfigurationState: ConfigurationState = {
--- a/src/controller/drain/drain.ts
+++ b/src/controller/drain/drain.ts
@@ -1,4 +1,4 @@
-import { succeed, type Applied } from "../../model/index.js";
+import { succeed, type StepResult } from "../../model/index.js";
 
 /** The state of a graceful shutdown; `since` is on the process's clock. */
 export type DrainState =
@@ -47,7 +47,7 @@
   state: DrainState,
   event: DrainEvent,
   options: DrainOptions,
-): Applied<DrainState, DrainEffect, never> {
+): StepResult<DrainState, DrainEffect, never> {
   switch (event.type) {
     case "asked":
       if (state.type !== "serving") return succeed(state);
@@ -62,7 +62,7 @@
   now: number,
   inFlight: number,
   { announceMs, limitMs }: DrainOptions,
-): Applied<DrainState, DrainEffect, never> {
+): StepResult<DrainState, DrainEffect, never> {
   switch (state.type) {
     case "serving":
     case "drained":
--- a/src/controller/failover/answer.ts
+++ b/src/controller/failover/answer.ts
@@ -1,4 +1,4 @@
-import { compareTerms, orderMarks, succeed, type TargetView } from "../../model/index.js";
+import { compareTerms, compareMarkOrder, succeed, type TargetView } from "../../model/index.js";
 import { beginBackoff, beginElection } from "./elect.js";
 import type { FailoverEvent } from "./event.js";
 import {
@@ -70,7 +70,9 @@
 ): boolean {
   const byFence = compareTerms(event.status.fencedAt, known.status.fencedAt);
   if (byFence !== 0) return byFence < 0;
-  return event.askedAt < known.askedAt && orderMarks(event.status.mark, known.status.mark) < 0;
+  return (
+    event.askedAt < known.askedAt && compareMarkOrder(event.status.mark, known.status.mark) < 0
+  );
 }
 
 /** Handles a target that is primary in a term that no majority is known to be fenced past. */
--- a/src/controller/failover/state.ts
+++ b/src/controller/failover/state.ts
@@ -1,5 +1,5 @@
 import {
-  type Applied,
+  type StepResult,
   compareTerms,
   countMajority,
   firstTerm,
@@ -84,7 +84,7 @@
 }
 
 /** The result of a transition that can't fail. */
-export type Step = Extract<Applied<FailoverState, FailoverEffect>, { type: "applied" }>;
+export type Step = Extract<StepResult<FailoverState, FailoverEffect>, { type: "applied" }>;
 
 const unheardTarget: TargetHealth = {
   missedAnswers: 0,
--- a/src/controller/failover/step.ts
+++ b/src/controller/failover/step.ts
@@ -1,4 +1,4 @@
-import { type Applied, compareTerms, fail, succeed } from "../../model/index.js";
+import { type StepResult, compareTerms, fail, succeed } from "../../model/index.js";
 import { applyAnswer, recordStatus } from "./answer.js";
 import { beginSuspicion, recordPeerFinding, recordMissedProbe } from "./detect.js";
 import { isCurrentElection, recordFence, recordPromotion } from "./elect.js";
@@ -18,7 +18,7 @@
 export function applyEvent(
   state: FailoverState,
   event: FailoverEvent,
-): Applied<FailoverState, FailoverEffect> {
+): StepResult<FailoverState, FailoverEffect> {
   const target = findEventTarget(event);
   if (target !== undefined && !state.options.targets.includes(target)) {
     return fail(`${target} is not a target of group ${state.options.group}`);
--- a/src/controller/membership/member.ts
+++ b/src/controller/membership/member.ts
@@ -1,4 +1,4 @@
-import type { Vm, VmNews } from "../../model/index.js";
+import type { Vm, GossipItem } from "../../model/index.js";
 import { compareIncarnations } from "./incarnation.js";
 import { queueNews } from "./news.js";
 import type { Member, MembershipEffect, MembershipState, MemberStatus } from "./state.js";
@@ -18,7 +18,7 @@
 };
 
 /** Applies news about another VM if it is newer than what is known. */
-export function applyNews(transition: Transition, news: VmNews, now: number): Transition {
+export function applyNews(transition: Transition, news: GossipItem, now: number): Transition {
   const { vm, incarnation, state: status } = news;
   const known = transition.state.members.get(vm.name);
   if (known === undefined) {
--- a/src/controller/membership/news.ts
+++ b/src/controller/membership/news.ts
@@ -1,11 +1,11 @@
-import type { VmNews } from "../../model/index.js";
+import type { GossipItem } from "../../model/index.js";
 import type { Member, MembershipState, QueuedNews } from "./state.js";
 
 /** Messages that carry a piece of news, for each doubling of the number of VMs. */
 const sendsPerDoubling = 3;
 
 /** Collects the news for the next message: this VM itself, then up to `limit` of the least sent. */
-export function collectNews(state: MembershipState, limit: number): readonly VmNews[] {
+export function collectNews(state: MembershipState, limit: number): readonly GossipItem[] {
   const queued = [...state.news.values()].sort((a, b) => b.sendsLeft - a.sendsLeft).slice(0, limit);
   return [describeSelf(state), ...queued.map(({ news }) => news)];
 }
@@ -15,21 +15,21 @@
  * greater incarnation. Otherwise old news that it is down would keep circulating and mark it as
  * down repeatedly.
  */
-export function listNewsAbout(state: MembershipState, name: string): readonly VmNews[] {
+export function listNewsAbout(state: MembershipState, name: string): readonly GossipItem[] {
   const member = state.members.get(name);
   const isSuspectedOrDown = member?.status === "suspect" || member?.status === "down";
   return isSuspectedOrDown ? [describeMember(member)] : [];
 }
 
 /** Lists the news about every other VM, for a VM that has just started. */
-export function listAllNews(state: MembershipState): readonly VmNews[] {
+export function listAllNews(state: MembershipState): readonly GossipItem[] {
   return [...state.members.values()].map(describeMember);
 }
 
 /**
  * Decrements the remaining sends of the news in a message, and drops what was sent often enough.
  */
-export function markSent(state: MembershipState, sent: readonly VmNews[]): MembershipState {
+export function markSent(state: MembershipState, sent: readonly GossipItem[]): MembershipState {
   if (state.news.size === 0) return state;
   const news = new Map(state.news);
   for (const { vm } of sent) {
@@ -50,11 +50,11 @@
   return { ...state, news: new Map(state.news).set(member.vm.name, queued) };
 }
 
-function describeMember({ vm, incarnation, status }: Member): VmNews {
+function describeMember({ vm, incarnation, status }: Member): GossipItem {
   return { vm, incarnation, state: status };
 }
 
-function describeSelf({ self }: MembershipState): VmNews {
+function describeSelf({ self }: MembershipState): GossipItem {
   const state = self.state === "leaving" ? "leaving" : "alive";
   return { vm: self.vm, incarnation: self.incarnation, state };
 }
--- a/src/controller/membership/state.ts
+++ b/src/controller/membership/state.ts
@@ -1,7 +1,7 @@
-import type { PeerHello, Vm, VmNews } from "../../model/index.js";
+import type { PeerHello, Vm, GossipItem } from "../../model/index.js";
 
 /** The status that an observer assigns to another VM. */
-export type MemberStatus = VmNews["state"];
+export type MemberStatus = GossipItem["state"];
 
 /** What one VM knows about another. */
 export interface Member {
@@ -17,7 +17,7 @@
 
 /** A news item with the number of messages that it will still be sent in. */
 export interface QueuedNews {
-  readonly news: VmNews;
+  readonly news: GossipItem;
   readonly sendsLeft: number;
 }
 
--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -27,107 +27,117 @@
   type StoreRead,
   type Vm,
 } from "../model/index.js";
-import { drawPause, runLoop } from "./loop.js";
+import { addJitter, runLoop } from "./loop.js";
 import { pushMessage } from "./push.js";
 import { ConfigurationReader } from "./reader.js";
 import { followConfiguration } from "./watcher.js";
 
+/** Timeout of one fetch from a peer or one push to it. */
 const peerTimeoutMs = 1000;
-const roleCheckMs = 1000;
-const startRetryMs = 500;
-const startPeers = 3;
-const antiEntropyMs = 60_000;
+const roleCheckIntervalMs = 1000;
+const startRetryPauseMs = 500;
+/** Peers that a starting proxy asks at the same time as the store. */
+const startPeerCount = 3;
+const antiEntropyIntervalMs = 60_000;
 
-/** What a `ConfigurationKeeper` needs. */
-export interface ConfigurationKeeperOptions {
-  /** This VM's name. */
+/** Dependencies of a `ConfigurationTracker`. */
+export interface ConfigurationTrackerOptions {
+  /** The name of this VM. */
   readonly vm: string;
   readonly store: ObjectStore;
   readonly peers: PeerClient;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The VMs believed live, this one included. */
+  /** Lists the live VMs, this one included. Returns the same array until the list changes. */
   readonly listLive: () => readonly Vm[];
 }
 
-/** Hears of each configuration that comes into force. */
+/** Is called with each configuration that comes into force. */
 export type ConfigurationListener = (configuration: Configuration) => void;
 
-/** Keeps the configuration in force on one proxy. */
-export class ConfigurationKeeper implements Disposable {
+/**
+ * Keeps the configuration in force on one proxy. The relays of each data centre watch the store and
+ * push each new revision down a tree of proxies; peers' messages and periodic reads reveal a
+ * revision that a push failed to deliver.
+ */
+export class ConfigurationTracker implements Disposable {
   private state: ConfigurationState = initialConfigurationState;
   private readonly listeners = new Set<ConfigurationListener>();
-  private readonly ended = new AbortController();
-  private watching: AbortController | undefined;
-  private rolesOf: readonly Vm[] | undefined;
+  private readonly disposeController = new AbortController();
+  private watchController: AbortController | undefined;
+  private lastRoleCheckVms: readonly Vm[] | undefined;
   private readonly reader: ConfigurationReader;
 
-  constructor(private readonly options: ConfigurationKeeperOptions) {
+  constructor(private readonly options: ConfigurationTrackerOptions) {
     const { store, logger } = options;
     this.reader = new ConfigurationReader({
       store,
       logger,
-      handle: (configuration) => {
-        this.takeStored(configuration);
+      onStored: (configuration) => {
+        this.applyStored(configuration);
       },
     });
   }
 
-  /** Resolves once the store or a peer has said what is in force; then keeps following it. */
+  /** Resolves once the store or a peer has returned a configuration; then keeps it up to date. */
   async start(): Promise<void> {
     const { clock, random } = this.options;
-    const signal = this.ended.signal;
-    const known = new AbortController();
-    await runLoop(clock, AbortSignal.any([signal, known.signal]), async () => {
-      await Promise.all([this.reader.read(), this.askPeers()]);
-      if (this.state.isKnown) known.abort();
-      return drawPause(random, startRetryMs);
+    const signal = this.disposeController.signal;
+    const knownController = new AbortController();
+    await runLoop(clock, AbortSignal.any([signal, knownController.signal]), async () => {
+      await Promise.all([this.reader.read(), this.fetchFromPeers()]);
+      if (this.state.isKnown) knownController.abort();
+      return addJitter(random, startRetryPauseMs);
     });
-    void runLoop(clock, signal, () => this.checkRole());
-    void runLoop(clock, signal, () => this.compareWithOthers());
+    void runLoop(clock, signal, () => this.updateRelayRole());
+    void runLoop(clock, signal, () => this.runAntiEntropy());
   }
 
-  /** The configuration in force; the empty one before any is known. */
-  current(): Configuration {
+  /** Returns the configuration in force; an empty one of revision 0 until `isKnown`. */
+  getCurrent(): Configuration {
     return this.state.inForce;
   }
 
-  /** Whether the store or a peer has said what is in force. */
+  /** Whether the store or a peer has returned a configuration, or the store that it holds none. */
   isKnown(): boolean {
     return this.state.isKnown;
   }
 
-  /** Tells `listener` of each greater configuration from now on. */
+  /** Calls `listener` with each configuration adopted from now on. Dispose the result to stop. */
   subscribe(listener: ConfigurationListener): Disposable {
     this.listeners.add(listener);
     return { dispose: () => void this.listeners.delete(listener) };
   }
 
-  /** Takes a peer's push and gives the revision that is then in force here. */
-  receive(json: Json): number {
+  /** Applies a configuration message that a peer pushed and returns the revision then in force. */
+  receivePush(json: Json): number {
     const message = decodeMessage(json);
     if (message === undefined) this.options.logger.write(fleetEvents.configurationFaulty);
-    else this.offer(message.update, message.from);
+    else this.offerPeerUpdate(message.update, message.from);
     return this.state.inForce.revision;
   }
 
-  /** What a peer gets that fetches: nothing when it has as much, unavailable when nothing is known. */
+  /**
+   * Answers a peer that fetches the configuration: `absent` if the peer's revision is not older
+   * than the one in force here, `unavailable` if none is known here.
+   */
   answerFetch(afterRevision: number): StoreRead<Json> {
     const { inForce, isKnown } = this.state;
-    if (!isKnown) return { type: "unavailable", reason: "no configuration is known here yet" };
+    if (!isKnown)
+      return { type: "unavailable", reason: "this proxy does not know the configuration yet" };
     if (inForce.revision <= afterRevision) return { type: "absent" };
     return { type: "found", value: this.encode({ type: "whole", configuration: inForce }) };
   }
 
-  /** Takes note of the revision that a peer's message carries. */
-  hear(hello: PeerHello): void {
+  /** Compares the revision in a peer's hello with the one in force; fetches it if it is greater. */
+  receiveHello(hello: PeerHello): void {
     this.apply({ type: "heard", vm: hello.vm, revision: hello.revision });
   }
 
   dispose(): void {
-    this.ended.abort();
-    this.watching?.abort();
+    this.disposeController.abort();
+    this.watchController?.abort();
     this.listeners.clear();
   }
 
@@ -136,8 +146,8 @@
     if (applied.type === "failed") return;
     const before = this.state.inForce.revision;
     const after = applied.state.inForce.revision;
-    // A delayed answer or a store restored from an old copy would silently take back rules that an
-    // operator saw accepted. Every change of the state passes here, so one check is enough.
+    // A delayed answer, or a store restored from an old backup, could silently revert rules that an
+    // operator was told are accepted. Every state change passes here, so one check suffices.
     assertInvariant("configurationNeverReverts", after >= before, () => `${before} to ${after}`);
     this.state = applied.state;
     for (const effect of applied.effects) this.execute(effect);
@@ -146,7 +156,7 @@
   private execute(effect: ConfigurationEffect): void {
     switch (effect.type) {
       case "adopt":
-        this.noteAdoption(effect.before, effect.after);
+        this.publishAdoption(effect.before, effect.after);
         return;
       case "relay":
         this.relay(effect.update, effect.except);
@@ -155,12 +165,12 @@
         void this.fetchFrom(effect.vm, effect.afterRevision);
         return;
       case "alarm":
-        this.noteAlarm(effect.alarm);
+        this.logAlarm(effect.alarm);
         return;
     }
   }
 
-  private noteAdoption(before: Configuration, after: Configuration): void {
+  private publishAdoption(before: Configuration, after: Configuration): void {
     this.options.logger.write(fleetEvents.configurationAdopted, {
       revision: after.revision,
       before: before.revision,
@@ -169,7 +179,7 @@
     for (const listener of [...this.listeners]) listener(after);
   }
 
-  private noteAlarm(alarm: ConfigurationAlarm): void {
+  private logAlarm(alarm: ConfigurationAlarm): void {
     const { type, ...fields } = alarm;
     const event = type === "storeReverted" ? fleetEvents.storeReverted : fleetEvents.revisionClash;
     this.options.logger.write(event, fields);
@@ -184,7 +194,7 @@
   }
 
   private async push(vm: Vm, message: Json): Promise<void> {
-    const signal = this.ended.signal;
+    const signal = this.disposeController.signal;
     const revision = await pushMessage(this.options, vm, message, peerTimeoutMs, signal);
     if (revision !== undefined) this.apply({ type: "heard", vm: vm.name, revision });
   }
@@ -206,15 +216,15 @@
       logger.write(fleetEvents.configurationFaulty, { vm: vm.name });
       return false;
     }
-    this.offer(message.update, vm.name);
+    this.offerPeerUpdate(message.update, vm.name);
     return true;
   }
 
-  private offer(update: ConfigurationUpdate, vm: string): void {
+  private offerPeerUpdate(update: ConfigurationUpdate, vm: string): void {
     this.apply({ type: "offered", update, source: "peer", vm });
   }
 
-  private takeStored(configuration: Configuration | undefined): void {
+  private applyStored(configuration: Configuration | undefined): void {
     if (configuration === undefined) this.apply({ type: "absent" });
     else this.apply({ type: "offered", update: { type: "whole", configuration }, source: "store" });
   }
@@ -223,14 +233,14 @@
     return encodeMessage({ from: this.options.vm, update });
   }
 
-  /** A new proxy asks a few peers beside the store: either may be out of reach or behind. */
-  private async askPeers(): Promise<void> {
+  /** A starting proxy asks some peers besides the store: either may be unreachable or outdated. */
+  private async fetchFromPeers(): Promise<void> {
     const others = this.listOthers();
-    const first = Math.floor(this.options.random.draw() * others.length);
-    const asked = [...others.slice(first), ...others.slice(0, first)].slice(0, startPeers);
+    const offset = Math.floor(this.options.random.draw() * others.length);
+    const chosen = [...others.slice(offset), ...others.slice(0, offset)].slice(0, startPeerCount);
     const wasKnown = this.state.isKnown;
-    const answers = await Promise.all(asked.map((vm) => this.fetchAndOffer(vm, 0)));
-    if (!wasKnown && this.reader.isStoreDown() && answers.includes(true)) {
+    const wasFetched = await Promise.all(chosen.map((vm) => this.fetchAndOffer(vm, 0)));
+    if (!wasKnown && this.reader.isStoreDown() && wasFetched.includes(true)) {
       const { revision } = this.state.inForce;
       this.options.logger.write(fleetEvents.configurationTakenFromPeer, { revision });
     }
@@ -240,38 +250,40 @@
     return this.options.listLive().filter(({ name }) => name !== this.options.vm);
   }
 
-  private checkRole(): Promise<number> {
+  private updateRelayRole(): Promise<number> {
     const { vm, listLive, logger } = this.options;
     const live = listLive();
-    // The list keeps its identity while nobody comes or goes.
-    if (live === this.rolesOf) return Promise.resolve(roleCheckMs);
-    this.rolesOf = live;
-    const watches = isRelay(vm, live);
-    if (watches && this.watching === undefined) {
-      this.watching = new AbortController();
+    // `listLive` returns the same array until the list changes.
+    if (live === this.lastRoleCheckVms) return Promise.resolve(roleCheckIntervalMs);
+    this.lastRoleCheckVms = live;
+    const isWatcher = isRelay(vm, live);
+    if (isWatcher && this.watchController === undefined) {
+      this.watchController = new AbortController();
       logger.write(fleetEvents.watchStarted);
-      void followConfiguration(this.options, this.reader, this.watching.signal);
+      void followConfiguration(this.options, this.reader, this.watchController.signal);
     }
-    if (!watches && this.watching !== undefined) {
-      this.watching.abort();
-      this.watching = undefined;
+    if (!isWatcher && this.watchController !== undefined) {
+      this.watchController.abort();
+      this.watchController = undefined;
       logger.write(fleetEvents.watchStopped);
     }
-    return Promise.resolve(roleCheckMs);
+    return Promise.resolve(roleCheckIntervalMs);
   }
 
   /**
-   * A watch that went silent, or pushes lost on every path, would leave this proxy behind without a
-   * sign. Relays read the store and the others ask a relay now and then, so it ends within minutes.
+   * Finds updates that neither a watch nor a push delivered. A watch that stalls without an error,
+   * or pushes lost on every path, would leave this proxy on an old revision without any sign.
+   * Relays periodically read the store and other proxies ask a relay, so that this lasts minutes at
+   * most.
    */
-  private async compareWithOthers(): Promise<number> {
-    if (this.watching !== undefined) {
+  private async runAntiEntropy(): Promise<number> {
+    if (this.watchController !== undefined) {
       await this.reader.read();
     } else {
       const relays = chooseRelays(this.listOthers());
       const relay = relays[Math.floor(this.options.random.draw() * relays.length)];
       if (relay !== undefined) await this.fetchAndOffer(relay, this.state.inForce.revision);
     }
-    return drawPause(this.options.random, antiEntropyMs);
+    return addJitter(this.options.random, antiEntropyIntervalMs);
   }
 }
--- a/src/fleet/drain.ts
+++ b/src/fleet/drain.ts
@@ -10,46 +10,50 @@
 import type { LogFields, Logger } from "../log/index.js";
 import { assertInvariant, type Clock } from "../model/index.js";
 
-const countMs = 50;
+/** Interval at which the requests in flight are counted during a drain. */
+const inFlightPollMs = 50;
 
-/** What a `DrainKeeper` needs. */
-export interface DrainKeeperOptions {
+/** Dependencies of a `DrainRunner`. */
+export interface DrainRunnerOptions {
   readonly clock: Clock;
   readonly logger: Logger;
-  readonly times: DrainOptions;
-  /** Requests and open transactions of callers and peers that are in flight here. */
+  readonly timings: DrainOptions;
+  /** Counts the requests and open transactions of callers and peers in flight in this process. */
   readonly countInFlight: () => number;
-  /** What is still in flight, for the log when the longest wait is over. */
+  /** Returns log fields on what is still in flight when the time limit of the drain is reached. */
   readonly describeInFlight?: () => LogFields;
-  /** Turns not ready, says `leaving` to the peers, hands ownership on. */
+  /** Makes the readiness check fail, announces `leaving` to the peers and hands over ownership. */
   readonly onAnnounce: () => void;
-  /** Takes no new callers and ends idle sessions. */
+  /** Stops accepting callers and ends idle sessions. */
   readonly onRefuseNew: () => void;
 }
 
-/** Takes a process from serving to drained. */
-export class DrainKeeper {
+/** Runs the graceful shutdown of a process, from serving to drained. */
+export class DrainRunner {
   private state: DrainState = initialDrainState;
-  private ending: Promise<void> | undefined;
+  private drainPromise: Promise<void> | undefined;
 
-  constructor(private readonly options: DrainKeeperOptions) {}
+  constructor(private readonly options: DrainRunnerOptions) {}
 
-  /** Whether a drain has begun. */
+  /** Whether a drain has started; stays true once it has finished. */
   isLeaving(): boolean {
     return this.state.type !== "serving";
   }
 
-  /** Begins a drain, once; resolves when nothing is in flight or the longest wait is over. */
+  /**
+   * Starts the drain, or joins the one that runs. Resolves when nothing is in flight or the time
+   * limit is reached.
+   */
   drain(): Promise<void> {
-    this.ending ??= this.run();
-    return this.ending;
+    this.drainPromise ??= this.run();
+    return this.drainPromise;
   }
 
   private async run(): Promise<void> {
     const { clock, countInFlight } = this.options;
     this.apply({ type: "asked", now: clock.now() });
     while (!this.isDrained()) {
-      await clock.sleep(countMs);
+      await clock.sleep(inFlightPollMs);
       this.apply({ type: "counted", now: clock.now(), inFlight: countInFlight() });
     }
   }
@@ -59,7 +63,7 @@
   }
 
   private apply(event: DrainEvent): void {
-    const applied = applyDrainEvent(this.state, event, this.options.times);
+    const applied = applyDrainEvent(this.state, event, this.options.timings);
     if (applied.type === "failed") return;
     this.state = applied.state;
     for (const effect of applied.effects) this.execute(effect);
@@ -80,7 +84,11 @@
           inFlight: effect.inFlight,
           ...this.options.describeInFlight?.(),
         });
-        assertInvariant("gracefulShutdown", false, () => `${effect.inFlight} requests cut off`);
+        assertInvariant(
+          "gracefulShutdown",
+          false,
+          () => `${effect.inFlight} requests were cut off at the time limit of the drain`,
+        );
         return;
       case "end":
         logger.write(processEvents.drained);
--- a/src/fleet/membership.ts
+++ b/src/fleet/membership.ts
@@ -28,153 +28,167 @@
   ProbeResult,
   Random,
   Vm,
-  VmNews,
+  GossipItem,
 } from "../model/index.js";
-import { drawPause, runLoop } from "./loop.js";
+import { addJitter, runLoop } from "./loop.js";
 
 const probeTimeoutMs = 500;
-const listMs = 10_000;
-/** Others than relays read the list the more rarely the longer it is, so its bytes stay bounded. */
-const listMsPerVm = 600;
+/** Shortest mean interval between two reads of the platform's list of VMs. */
+const listIntervalMs = 10_000;
+/**
+ * VMs that are not relays wait this long for each live VM between two reads of the list. The list
+ * grows with the fleet, and so does the number of readers: this bounds the traffic of the reads.
+ */
+const listIntervalMsPerVm = 600;
 
-/** What a `MembershipKeeper` needs. */
-export interface MembershipKeeperOptions {
+/** Dependencies of a `MembershipTracker`. */
+export interface MembershipTrackerOptions {
   /** This VM. */
   readonly vm: Vm;
-  /** Differs between two runs and grows: `openIncarnation(Date.now())`. */
+  /** Identifies this run of the process and grows with each: `openIncarnation(Date.now())`. */
   readonly incarnation: string;
   readonly store: ObjectStore;
   readonly peers: PeerClient;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  /** The configuration revision in force here, which every message carries. */
+  /** Returns the configuration revision in force here, which every message carries. */
   readonly getRevision: () => number;
-  /** Hears every hello of a peer. */
+  /** Is called with each hello received from a peer. */
   readonly onHello?: (hello: PeerHello) => void;
-  /** Peers to ask when neither the store nor anybody else is known. */
+  /** Peers to probe while no other VM is known, for instance when the store is down at start. */
   readonly seeds?: readonly Address[];
-  readonly times?: MembershipOptions;
+  readonly protocolOptions?: MembershipOptions;
 }
 
-/** Hears of the VMs that may get new work, each time they change. */
+/** Is called with the VMs that may get new work each time the list changes. */
 export type MembershipListener = (live: readonly Vm[]) => void;
 
-/** Keeps the VMs believed live, from the platform's list, probes and news. */
-export class MembershipKeeper implements Disposable {
+/** Tracks which VMs are live by the platform's list, probes and gossip. */
+export class MembershipTracker implements Disposable {
   private state: MembershipState;
   private live: readonly Vm[];
   private readonly listeners = new Set<MembershipListener>();
-  private readonly ended = new AbortController();
-  private readonly times: MembershipOptions;
+  private readonly disposeController = new AbortController();
+  private readonly protocolOptions: MembershipOptions;
   private isStoreDown = false;
 
-  constructor(private readonly options: MembershipKeeperOptions) {
+  constructor(private readonly options: MembershipTrackerOptions) {
     const { vm, incarnation, clock } = options;
-    this.times = options.times ?? defaultMembershipOptions;
+    this.protocolOptions = options.protocolOptions ?? defaultMembershipOptions;
     this.state = createMembershipState(vm, incarnation, clock.now());
     this.live = [vm];
   }
 
-  /** Resolves after the first reading of the list, or after the seeds were asked; then goes on. */
+  /**
+   * Resolves after the first read of the list and, if that gave no other VM, a probe of the seeds.
+   * Both go on in the background from then on.
+   */
   async start(): Promise<void> {
     const { clock } = this.options;
-    await this.readList();
-    if (this.state.members.size === 0) await this.askSeeds();
-    void runLoop(clock, this.ended.signal, () => this.tick());
-    void runLoop(clock, this.ended.signal, () => this.readList());
+    await this.refreshVmList();
+    if (this.state.members.size === 0) await this.probeSeeds();
+    void runLoop(clock, this.disposeController.signal, () => this.tick());
+    void runLoop(clock, this.disposeController.signal, () => this.refreshVmList());
   }
 
-  /** The VMs that may get new work, this one included while it is not leaving. */
+  /**
+   * Returns the VMs that may get new work, this one included unless it is leaving. The array stays
+   * the same until the list changes.
+   */
   listLive(): readonly Vm[] {
     return this.live;
   }
 
-  /** Every VM that is known, with its state. */
-  view(): readonly MemberView[] {
+  /** Lists all known VMs with their status, this one first. */
+  listMembers(): readonly MemberView[] {
     return listMembers(this.state);
   }
 
-  /** Up to `count` live VMs other than this one, those of other data centres first. */
-  findHelpers(count: number): readonly Vm[] {
+  /** Finds up to `count` alive VMs other than this one, those of other data centres first. */
+  findProbeHelpers(count: number): readonly Vm[] {
     return findProbeHelpers(this.state, count);
   }
 
-  /** What this process says of itself in an answer or beside a request: no news, so it is small. */
-  describe(): PeerHello {
+  /** Creates the hello that goes with answers and requests. It has no news, so that it is small. */
+  createHello(): PeerHello {
     const { vm, incarnation, state } = this.state.self;
     return { vm: vm.name, incarnation, state, revision: this.options.getRevision() };
   }
 
-  /** Takes a peer's probe and answers it. */
-  receive(hello: PeerHello): PeerHello {
-    this.hear(hello);
-    return this.describe();
+  /** Applies the hello of a peer's message and returns the hello to answer with. */
+  exchangeHello(hello: PeerHello): PeerHello {
+    this.receiveHello(hello);
+    return this.createHello();
   }
 
   /**
-   * Takes what any message of a peer carried. A peer that has just started is told all that is known
-   * here; one that was held for suspected or down is told that, so that it refutes it.
+   * Applies the hello of a peer's message. A peer that has just started is sent the status of all
+   * known VMs; one that is suspected or down here is sent that status, so that it can refute it.
    */
-  hear(hello: PeerHello): void {
+  receiveHello(hello: PeerHello): void {
     const known = this.state.members.get(hello.vm);
     const isSameRun = known?.incarnation === hello.incarnation;
-    const about = isSameRun ? listNewsAbout(this.state, hello.vm) : [];
+    const statusNews = isSameRun ? listNewsAbout(this.state, hello.vm) : [];
     this.apply({ type: "heard", now: this.options.clock.now(), hello });
     this.options.onHello?.(hello);
-    if (hello.state === "starting" && !isSameRun) this.tell(hello.vm, listAllNews(this.state));
-    else if (about.length > 0) this.tell(hello.vm, about);
+    if (hello.state === "starting" && !isSameRun) this.sendNews(hello.vm, listAllNews(this.state));
+    else if (statusNews.length > 0) this.sendNews(hello.vm, statusNews);
   }
 
-  /** Probes a VM on behalf of a peer. */
-  relayProbe(vm: Vm): Promise<ProbeResult> {
-    return this.options.peers.probe(vm, this.greet(vm.name), probeTimeoutMs);
+  /** Probes a VM on behalf of a peer that got no answer from it. */
+  probeForPeer(vm: Vm): Promise<ProbeResult> {
+    return this.options.peers.probe(vm, this.createProbeHello(vm.name), probeTimeoutMs);
   }
 
-  /** Has a VM probed at once, since something failed towards it. */
-  doubt(vm: string): void {
+  /** Probes a VM at once; for callers that failed to reach it. */
+  requestProbe(vm: string): void {
     this.apply({ type: "doubted", now: this.options.clock.now(), vm });
   }
 
-  /** Changes what this process says of itself; `leaving` goes to helpers at once. */
+  /** Changes the state in this process's hellos. `leaving` is sent to some peers at once. */
   setState(state: PeerHello["state"]): void {
     this.apply({ type: "selfChanged", now: this.options.clock.now(), state });
-    this.noteLive();
+    this.publishLive();
     if (state !== "leaving") return;
-    for (const vm of this.findHelpers(this.times.newsPerMessage)) void this.probe(vm);
+    for (const vm of this.findProbeHelpers(this.protocolOptions.newsPerMessage))
+      void this.probe(vm);
   }
 
-  /** Tells `listener` of the live VMs whenever they change. */
+  /** Calls `listener` with the live VMs each time the list changes. Dispose the result to stop. */
   subscribe(listener: MembershipListener): Disposable {
     this.listeners.add(listener);
     return { dispose: () => void this.listeners.delete(listener) };
   }
 
   dispose(): void {
-    this.ended.abort();
+    this.disposeController.abort();
     this.listeners.clear();
   }
 
-  /** A probe's message: the news that went out least, and to `to` what is said of it. */
-  private greet(to: string): PeerHello {
-    const news = collectNews(this.state, this.times.newsPerMessage);
+  /**
+   * Creates the hello of a probe: it carries the news sent least often so far, and any suspicion of
+   * the recipient `to`, so that it can refute it.
+   */
+  private createProbeHello(to: string): PeerHello {
+    const news = collectNews(this.state, this.protocolOptions.newsPerMessage);
     this.state = markSent(this.state, news);
-    return { ...this.describe(), news: [...news, ...listNewsAbout(this.state, to)] };
+    return { ...this.createHello(), news: [...news, ...listNewsAbout(this.state, to)] };
   }
 
-  private tell(to: string, news: readonly VmNews[]): void {
+  private sendNews(to: string, news: readonly GossipItem[]): void {
     const vm = this.state.members.get(to)?.vm;
     if (vm === undefined) return;
-    const own = collectNews(this.state, 0);
-    void this.send(vm, { ...this.describe(), news: [...own, ...news] }, this.state.epoch);
+    const selfNews = collectNews(this.state, 0);
+    void this.send(vm, { ...this.createHello(), news: [...selfNews, ...news] }, this.state.epoch);
   }
 
   private apply(event: MembershipEvent): void {
-    const applied = applyMembershipEvent(this.state, event, this.times);
+    const applied = applyMembershipEvent(this.state, event, this.protocolOptions);
     if (applied.type === "failed") return;
     this.state = applied.state;
     for (const effect of applied.effects) this.execute(effect);
-    if (applied.effects.some(({ type }) => type === "changed")) this.noteLive();
+    if (applied.effects.some(({ type }) => type === "changed")) this.publishLive();
   }
 
   private execute(effect: MembershipEffect): void {
@@ -187,7 +201,7 @@
         void this.probeThrough(effect.vm, effect.via, effect.epoch);
         return;
       case "changed":
-        logger.write(findEvent(effect.status), { vm: effect.vm.name });
+        logger.write(chooseLogEvent(effect.status), { vm: effect.vm.name });
         return;
       case "paused":
         logger.write(fleetEvents.observerPaused, { forMs: effect.forMs });
@@ -202,27 +216,32 @@
   }
 
   private probe(vm: Vm, epoch = this.state.epoch): Promise<void> {
-    return this.send(vm, this.greet(vm.name), epoch);
+    return this.send(vm, this.createProbeHello(vm.name), epoch);
   }
 
   private async send(vm: Vm, hello: PeerHello, epoch: number): Promise<void> {
     const result = await this.options.peers.probe(vm, hello, probeTimeoutMs);
-    this.noteResult(result, vm, epoch, false);
+    this.handleProbeResult(result, vm, epoch, false);
   }
 
   private async probeThrough(vm: Vm, via: readonly Vm[], epoch: number): Promise<void> {
     const { peers } = this.options;
     const results = await Promise.all(
-      via.map((helper) => peers.probeThrough(helper, vm, this.describe(), probeTimeoutMs)),
+      via.map((helper) => peers.probeThrough(helper, vm, this.createHello(), probeTimeoutMs)),
+    );
+    const answered = results.find(({ type }) => type === "answered");
+    this.handleProbeResult(
+      answered ?? { type: "silent", reason: "no indirect probe was answered" },
+      vm,
+      epoch,
+      true,
     );
-    const answer = results.find(({ type }) => type === "answered");
-    this.noteResult(answer ?? { type: "silent", reason: "through others" }, vm, epoch, true);
   }
 
-  private noteResult(result: ProbeResult, vm: Vm, epoch: number, indirect: boolean): void {
-    if (this.ended.signal.aborted) return;
+  private handleProbeResult(result: ProbeResult, vm: Vm, epoch: number, indirect: boolean): void {
+    if (this.disposeController.signal.aborted) return;
     if (result.type === "answered") {
-      this.hear(result.hello);
+      this.receiveHello(result.hello);
       return;
     }
     const now = this.options.clock.now();
@@ -231,23 +250,23 @@
 
   private async tick(): Promise<number> {
     this.apply({ type: "tick", now: this.options.clock.now() });
-    if (this.state.members.size === 0) await this.askSeeds();
-    return this.times.probeIntervalMs;
+    if (this.state.members.size === 0) await this.probeSeeds();
+    return this.protocolOptions.probeIntervalMs;
   }
 
-  /** With the store down at start, the settings' seeds are the only way to the others. */
-  private async askSeeds(): Promise<void> {
+  /** The seeds in the settings are the only way to find other VMs if the store is down at start. */
+  private async probeSeeds(): Promise<void> {
     const { peers, seeds = [], vm } = this.options;
     const results = await Promise.all(
       seeds.map((peer) => {
         const seed: Vm = { name: "", dataCentre: vm.dataCentre, peer, state: "live" };
-        return peers.probe(seed, this.greet(""), probeTimeoutMs);
+        return peers.probe(seed, this.createProbeHello(""), probeTimeoutMs);
       }),
     );
-    for (const result of results) if (result.type === "answered") this.hear(result.hello);
+    for (const result of results) if (result.type === "answered") this.receiveHello(result.hello);
   }
 
-  private async readList(): Promise<number> {
+  private async refreshVmList(): Promise<number> {
     const { store, clock, logger, random, vm } = this.options;
     const read = await store.listVms();
     if (read.type === "found") {
@@ -258,17 +277,19 @@
       logger.write(fleetEvents.storeUnreachable, { reason: read.reason, call: "listVms" });
     }
     this.isStoreDown = isDown;
-    const pause = isRelay(vm.name, this.live) ? 0 : this.live.length * listMsPerVm;
-    return drawPause(random, Math.max(listMs, pause));
+    const pauseMs = isRelay(vm.name, this.live) ? 0 : this.live.length * listIntervalMsPerVm;
+    return addJitter(random, Math.max(listIntervalMs, pauseMs));
   }
 
-  private noteLive(): void {
+  private publishLive(): void {
     this.live = listLive(this.state);
     for (const listener of [...this.listeners]) listener(this.live);
   }
 }
 
-function findEvent(status: Extract<MembershipEffect, { type: "changed" }>["status"]): LogEvent {
+function chooseLogEvent(
+  status: Extract<MembershipEffect, { type: "changed" }>["status"],
+): LogEvent {
   switch (status) {
     case "alive":
       return fleetEvents.vmJoined;
--- a/src/fleet/reader.ts
+++ b/src/fleet/reader.ts
@@ -5,21 +5,21 @@
 import { configurationKind, configurationName } from "./kinds.js";
 import type { WatcherHandler } from "./watcher.js";
 
-/** What a `ConfigurationReader` needs. */
+/** Dependencies of a `ConfigurationReader`. */
 export interface ReaderOptions {
   readonly store: ObjectStore;
   readonly logger: Logger;
-  /** Takes what the store holds; nothing when it holds none. */
-  readonly handle: (configuration: Configuration | undefined) => void;
+  /** Is called with the stored configuration; undefined if the store holds none. */
+  readonly onStored: (configuration: Configuration | undefined) => void;
 }
 
-/** Reads the configuration object, checks it, and notes when the store goes and comes back. */
+/** Reads and validates the configuration object; logs when the store's reachability changes. */
 export class ConfigurationReader implements WatcherHandler {
   private isDown = false;
 
   constructor(private readonly options: ReaderOptions) {}
 
-  /** Whether the last call found the store out of reach. */
+  /** Whether the store was unreachable at the last call. */
   isStoreDown(): boolean {
     return this.isDown;
   }
@@ -40,19 +40,19 @@
   }
 
   onObject(object: StoredObject): void {
-    this.noteUp();
+    this.recordReachable();
     const stored = decodeStored(object.value);
     if (stored === undefined) {
       this.options.logger.write(fleetEvents.configurationFaulty, { version: object.version });
       return;
     }
     const { revision, changeId, teams, rules } = stored;
-    this.options.handle({ revision, changeId, teams, rules });
+    this.options.onStored({ revision, changeId, teams, rules });
   }
 
   onAbsent(): void {
-    this.noteUp();
-    this.options.handle(undefined);
+    this.recordReachable();
+    this.options.onStored(undefined);
   }
 
   onUnavailable(reason: string): void {
@@ -64,7 +64,7 @@
     this.options.logger.write(fleetEvents.watchBroken, { reason });
   }
 
-  private noteUp(): void {
+  private recordReachable(): void {
     if (this.isDown) this.options.logger.write(fleetEvents.storeReachable);
     this.isDown = false;
   }
--- a/src/groupwatch/freshstatus.ts
+++ b/src/groupwatch/freshstatus.ts
@@ -34,7 +34,7 @@
   private send(): Promise<TimedResult> {
     const askedAt = this.ports.clock.now();
     const pending = this.ports.control
-      .status(this.target, { timeoutMs: this.timeoutMs })
+      .getStatus(this.target, { timeoutMs: this.timeoutMs })
       .then((result) => {
         if (this.current === pending) this.current = undefined;
         return { askedAt, result };
--- a/src/groupwatch/history.ts
+++ b/src/groupwatch/history.ts
@@ -1,4 +1,4 @@
-import { compareMarks, type Mark, type TargetStatus } from "../model/index.js";
+import { findMarkCoverage, type Mark, type TargetStatus } from "../model/index.js";
 
 interface Sample {
   readonly at: number;
@@ -33,7 +33,7 @@
   /** Finds the latest known time up to which the target has all commits; `undefined` if there is none. */
   findCaughtUpAt(status: TargetStatus): number | undefined {
     const sample = this.samples.findLast(
-      ({ mark }) => compareMarks(status.lineage, status.mark, mark).type === "reached",
+      ({ mark }) => findMarkCoverage(status.lineage, status.mark, mark).type === "reached",
     );
     return sample?.at;
   }
--- a/src/leadership/changer.ts
+++ b/src/leadership/changer.ts
@@ -1,5 +1,5 @@
 import { leadershipEvents } from "../log/events/leadership.js";
-import { orderMarks } from "../model/index.js";
+import { compareMarkOrder } from "../model/index.js";
 import type { TargetReport } from "../statement/index.js";
 import { chooseCandidate, decideChange, type Candidate, type Reachability } from "./decide.js";
 import { ChangeLease } from "./lease.js";
@@ -239,7 +239,7 @@
       const chosen = chooseCandidate(candidates, oldTarget);
       const isWhole =
         oldReport === undefined ||
-        (chosen !== undefined && orderMarks(chosen.report.received, oldReport.received) >= 0);
+        (chosen !== undefined && compareMarkOrder(chosen.report.received, oldReport.received) >= 0);
       if (isWhole || clock.now() >= until) {
         const positions = candidates.map((c) => `${c.target} ${formatReport(c.report)}`);
         logger.write(leadershipEvents.chosen, { group, target: chosen?.target ?? null, positions });
--- a/src/proxy/directory.ts
+++ b/src/proxy/directory.ts
@@ -2,12 +2,13 @@
 import type { Logger } from "../log/index.js";
 import type { Clock, Disposable, Group, ObjectStore } from "../model/index.js";
 
-const readMs = 2000;
+/** Shortest interval between two reads of the groups, except while none is known. */
+const readIntervalMs = 2000;
 
-/** Each VM reads the list the more rarely the more there are, so that the store's load is bounded. */
-const readMsPerVm = 5;
+/** Added to the interval for each VM, so that the load on the store is bounded in a large fleet. */
+const readIntervalMsPerVm = 5;
 
-/** What a `GroupDirectory` needs. */
+/** Dependencies of a `GroupDirectory`. */
 export interface GroupDirectoryOptions {
   readonly store: ObjectStore;
   readonly clock: Clock;
@@ -16,18 +17,18 @@
   readonly onChange: (groups: ReadonlyMap<string, Group>) => void;
 }
 
-/** Keeps the platform's database groups. While the store is down the last list stays in use. */
+/** Keeps the platform's database groups. While the store is unreachable the last list is kept. */
 export class GroupDirectory implements Disposable {
   private groups: ReadonlyMap<string, Group> = new Map();
-  private readonly ended = new AbortController();
-  private known = "";
+  private readonly disposeController = new AbortController();
+  private lastGroupsJson = "";
 
   constructor(private readonly options: GroupDirectoryOptions) {}
 
-  /** Resolves after the first reading, whatever came of it, and goes on reading. */
+  /** Resolves after the first read, even if that failed; then reads periodically until disposed. */
   async start(): Promise<void> {
     await this.read();
-    void this.keepReading();
+    void this.pollGroups();
   }
 
   list(): ReadonlyMap<string, Group> {
@@ -35,15 +36,18 @@
   }
 
   dispose(): void {
-    this.ended.abort();
+    this.disposeController.abort();
   }
 
-  private async keepReading(): Promise<void> {
+  private async pollGroups(): Promise<void> {
     const { clock, countVms } = this.options;
-    const { signal } = this.ended;
+    const { signal } = this.disposeController;
     for (;;) {
-      const pause = this.groups.size === 0 ? readMs / 4 : readMs + readMsPerVm * countVms();
-      await clock.sleep(pause, signal).catch(() => undefined);
+      const pauseMs =
+        this.groups.size === 0
+          ? readIntervalMs / 4
+          : readIntervalMs + readIntervalMsPerVm * countVms();
+      await clock.sleep(pauseMs, signal).catch(() => undefined);
       if (signal.aborted) return;
       await this.read();
     }
@@ -58,15 +62,15 @@
       case "absent":
         return;
       case "found":
-        this.take(read.value);
+        this.updateGroups(read.value);
     }
   }
 
-  private take(groups: readonly Group[]): void {
-    const text = JSON.stringify(groups);
-    if (text === this.known) return;
-    this.known = text;
-    this.groups = new Map(groups.map((g) => [g.name, g]));
+  private updateGroups(groups: readonly Group[]): void {
+    const json = JSON.stringify(groups);
+    if (json === this.lastGroupsJson) return;
+    this.lastGroupsJson = json;
+    this.groups = new Map(groups.map((group) => [group.name, group]));
     this.options.onChange(this.groups);
   }
 }
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -15,10 +15,11 @@
 import type { FleetMembers } from "./members.js";
 import type { ProxyPorts } from "./ports.js";
 
-const helperCount = 3;
-const tendMs = 1000;
+/** Live VMs offered to check a target that this process can't reach. */
+const checkerCount = 3;
+const maintenanceIntervalMs = 1000;
 
-/** The platform's groups: those that this process owns, and the way to the others. */
+/** Serves the platform's groups: those that this process owns, and the others by their owners. */
 export class FleetGroups implements Disposable {
   readonly owner: OwnerGateway;
   readonly gateway: FleetGateway;
@@ -46,7 +47,7 @@
         random,
         logger,
         hooks: createMetricHooks(metrics),
-        findHelpers: () => membership.findHelpers(helperCount),
+        listCheckerVms: () => membership.findProbeHelpers(checkerCount),
       }),
     );
     this.directory = this.owned.add(
@@ -56,26 +57,29 @@
         logger,
         countVms: () => listLive().length,
         onChange: () => {
-          this.placeGroups();
+          this.updateOwnedGroups();
         },
       }),
     );
-    const remote = this.createRemote(ports);
+    const remote = this.createRemoteGateway(ports);
     this.gateway = new FleetGateway({ vm, clock, listLive, owner: this.owner, remote });
   }
 
-  /** Resolves after the first reading of the platform's list; then follows it and the live VMs. */
+  /**
+   * Resolves after the first read of the platform's list of groups; then updates the owned groups
+   * as that list or the live VMs change.
+   */
   async start(): Promise<void> {
     await this.directory.start();
     this.owned.add(
       this.members.membership.subscribe(() => {
-        this.placeGroups();
+        this.updateOwnedGroups();
       }),
     );
-    this.placeGroups();
+    this.updateOwnedGroups();
     const timer = setInterval(() => {
-      this.tend();
-    }, tendMs);
+      this.runMaintenance();
+    }, maintenanceIntervalMs);
     this.owned.defer(() => {
       clearInterval(timer);
     });
@@ -85,29 +89,32 @@
     return this.directory.list().has(group);
   }
 
-  /** Looks at a target for a peer, on a new connection. */
+  /** Queries the status of a target for a peer, on a new connection. */
   async checkTarget(group: string, name: string, timeoutMs: number): Promise<ControlResult> {
     const target = this.findTarget(group, name);
     if (target === undefined) {
-      return { type: "unreachable", reason: "the target is not known here" };
+      return {
+        type: "unreachable",
+        reason: `target ${name} of group ${group} is not known to this proxy`,
+      };
     }
-    return this.control.status(target, { timeoutMs, fresh: true });
+    return this.control.getStatus(target, { timeoutMs, fresh: true });
   }
 
   dispose(): Promise<void> {
     return this.owned.dispose();
   }
 
-  private createRemote({ clock }: ProxyPorts): RemoteGateway {
-    const { links, describe, membership } = this.members;
+  private createRemoteGateway({ clock }: ProxyPorts): RemoteGateway {
+    const { links, createHello, membership } = this.members;
     return new RemoteGateway({
       links,
       clock,
-      getHello: describe,
-      findOwner: (group) => this.gateway.findOther(group),
+      getHello: createHello,
+      findOwner: (group) => this.gateway.findRemoteOwner(group),
       onBroken: ({ name }) => {
-        this.gateway.noteBroken(name);
-        membership.doubt(name);
+        this.gateway.markUnreachable(name);
+        membership.requestProbe(name);
       },
     });
   }
@@ -117,16 +124,16 @@
     return targets?.find((t) => t.name === name);
   }
 
-  /** Opens the groups that this process owns now. */
-  private placeGroups(): void {
+  /** Updates the groups and opens those that this process now owns. */
+  private updateOwnedGroups(): void {
     const groups = this.directory.list();
     const owned = [...groups.keys()].filter((name) => this.gateway.isOwned(name));
     this.owner.setGroups(groups, new Set(owned));
   }
 
-  private tend(): void {
-    void this.owner.tend();
-    for (const served of this.owner.list()) {
+  private runMaintenance(): void {
+    void this.owner.runMaintenance();
+    for (const served of this.owner.listGroups()) {
       const counts = served.countConnections();
       for (const state of ["opening", "idle", "active", "suspect"] as const) {
         this.metrics.setConnections(served.name, state, counts.get(state) ?? 0);
--- a/test/fleet/merge.test.ts
+++ b/test/fleet/merge.test.ts
@@ -10,7 +10,7 @@
 const base = draft([team("a"), team("b")], [refuse("r1", { teams: ["a"] }), refuse("r2")]);
 const names = (d: Draft) => d.rules.map((r) => r.name);
 
-test("changes of different entries are both kept", () => {
+test("changes to different entries are both kept", () => {
   const mine = draft([...base.teams, team("c", "trial")], base.rules);
   const theirs = draft([team("a", "trial"), team("b")], [refuse("r1", { teams: ["a"] }, "later")]);
   expect(mergeDrafts(base, mine, theirs)).toEqual({
@@ -22,7 +22,7 @@
 test.each([
   ["the same team", draft([team("a", "trial"), team("b")], base.rules)],
   ["a team that the other removed", draft([team("b")], [refuse("r2")])],
-])("%s changed differently by both is a conflict", (_, theirs) => {
+])("%s changed differently by both editors is a conflict", (_, theirs) => {
   const mine = draft([{ name: "a", plan: "trial" }, team("b")], base.rules);
   const other = theirs.teams.length === 2 ? draft([team("b")], [refuse("r2")]) : theirs;
   const merge = mergeDrafts(base, mine, other);
