--- a/bench/failover/fakefleet.ts
+++ b/bench/failover/fakefleet.ts
@@ -186,7 +186,7 @@
             .sleep(timeoutMs)
             .then(() => ({ type: "silent", reason: "timeout" }) as const);
         }
-        return this.vm(via.name).control.status(target, { timeoutMs, fresh: true });
+        return this.vm(via.name).control.getStatus(target, { timeoutMs, fresh: true });
       },
     };
   }
--- a/bench/failover/fakegroup.ts
+++ b/bench/failover/fakegroup.ts
@@ -87,7 +87,7 @@
     ): Promise<ControlResult> =>
       this.link(vm, target.name).send(options, () => run(this.get(target.name)));
     return {
-      status: (target, options) => send(target, options, (t) => this.answerStatus(t, options)),
+      getStatus: (target, options) => send(target, options, (t) => this.answerStatus(t, options)),
       fence: (target, term, timeoutMs) => send(target, { timeoutMs }, (t) => this.fence(t, term)),
       promote: (target, term, timeoutMs) =>
         send(target, { timeoutMs }, (t) => this.promote(t, term)),
@@ -182,7 +182,7 @@
 
   private async answerStatus(
     target: FakeTarget,
-    options: Parameters<TargetControl["status"]>[1],
+    options: Parameters<TargetControl["getStatus"]>[1],
   ): Promise<ControlResult> {
     const { after, waitMs } = options;
     const isSame =
--- a/bench/failover/fakevm.ts
+++ b/bench/failover/fakevm.ts
@@ -36,7 +36,7 @@
   get control(): TargetControl {
     const { port } = this;
     return {
-      status: (target, options) => this.hold(port.status(target, options)),
+      getStatus: (target, options) => this.hold(port.getStatus(target, options)),
       fence: (target, term, timeoutMs) => this.hold(port.fence(target, term, timeoutMs)),
       promote: (target, term, timeoutMs) => this.hold(port.promote(target, term, timeoutMs)),
       follow: (target, primary, term, timeoutMs) =>
--- a/bench/failover/standinrig.ts
+++ b/bench/failover/standinrig.ts
@@ -66,7 +66,7 @@
     timeoutMs: number,
   ): Promise<PeerCheck> => {
     await clock.sleep(2 * hopMs);
-    return peers.status(find(targets, name), { timeoutMs, fresh: true });
+    return peers.getStatus(find(targets, name), { timeoutMs, fresh: true });
   };
   const helper = { dataCentre: "dc", peer: { host: "127.0.0.1", port: 1 }, state: "live" } as const;
   const watch = new GroupWatch({
--- a/bench/routing/share.ts
+++ b/bench/routing/share.ts
@@ -5,7 +5,7 @@
   observeReplica,
   routeRead,
   type PositionHistory,
-  type Progress,
+  type ReplicationProgress,
   type ReadTarget,
 } from "../../src/policy/index.js";
 import { getLineage, makeMark, Trace, type TracedReplica } from "./trace.js";
@@ -46,7 +46,10 @@
 
 class TracedRouter {
   private history: PositionHistory = emptyHistory;
-  private readonly reported = new Map<string, { readonly offset: number; progress?: Progress }>();
+  private readonly reported = new Map<
+    string,
+    { readonly offset: number; progress?: ReplicationProgress }
+  >();
   private readonly trace: Trace;
   private waiting = new Set<Read>();
   private reads = 0;
@@ -102,7 +105,7 @@
         route: this.route,
         ...(read.mark > 0 && { mark: makeMark(read.mark) }),
         timeLeftMs: 5000,
-        patienceMs: left,
+        maxReplicaWaitMs: left,
       },
       { now, targets: this.listTargets(), history: this.history },
     );
--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -31,7 +31,7 @@
     invariant: "A session has read-your-writes consistency",
     safeguard: "a replica serves only marks that it holds",
     file: "src/policy/route.ts",
-    find: "  return compareMarks(target.status.lineage, target.status.mark, mark);",
+    find: "  return findMarkCoverage(target.status.lineage, target.status.mark, mark);",
     put: '  return { type: "reached" };',
     tests: "test/policy",
   },
--- a/src/caller/chain.ts
+++ b/src/caller/chain.ts
@@ -5,7 +5,7 @@
   assertInvariant,
   type Clock,
   type IdempotencyKey,
-  orderMarks,
+  compareMarkOrder,
   type Outcome,
   type Random,
   type Request,
@@ -144,7 +144,7 @@
   if (seen === undefined) return;
   assertInvariant(
     "readYourWrites",
-    orderMarks(seen, mark) >= 0,
+    compareMarkOrder(seen, mark) >= 0,
     () => `request ${request.id} saw ${seen.offset}, its session ${mark.offset}`,
   );
 }
--- a/src/caller/errors.ts
+++ b/src/caller/errors.ts
@@ -1,4 +1,4 @@
-import { findSqlState, mayHaveRunState, type Verdict } from "../model/index.js";
+import { findSqlState, mayHaveRunSqlState, type Verdict } from "../model/index.js";
 import { backend, encodeMessage, encodeText } from "./message.js";
 
 /** An error as a caller sees it. */
@@ -59,7 +59,7 @@
     case "mayHaveRun":
       return {
         severity: "ERROR",
-        code: mayHaveRunState,
+        code: mayHaveRunSqlState,
         message,
         detail: `verdict: mayHaveRun; reason: ${verdict.reason}`,
       };
--- a/src/caller/retry.ts
+++ b/src/caller/retry.ts
@@ -32,8 +32,8 @@
         if (tries > 1) attempt = beginAttempt();
         return next({ ...context, attempt });
       },
-      isOurs: isOwnerLost,
-      hasBegun: () => attempt.relay.hasBegun,
+      canRetryHere: isOwnerLost,
+      hasAnswerBegun: () => attempt.relay.hasBegun,
       onRetry: (outcome, delayMs) => {
         this.logger.write(callerEvents.retried, { request: context.id, ...outcome, delayMs });
       },
--- a/src/caller/session-holder.ts
+++ b/src/caller/session-holder.ts
@@ -1,7 +1,7 @@
 import type { Mark } from "../model/index.js";
 import {
   applyStep,
-  describeToken,
+  getTokenContent,
   type Session,
   type SessionFailure,
   type SessionLimits,
@@ -44,7 +44,7 @@
 
   /** The token that the session would take along now. */
   signToken(): string {
-    return signToken(describeToken(this.session), this.tokenKeys());
+    return signToken(getTokenContent(this.session), this.tokenKeys());
   }
 
   private tellToken(): void {
--- a/src/controller/acknowledge/acknowledgement.ts
+++ b/src/controller/acknowledge/acknowledgement.ts
@@ -1,7 +1,7 @@
 import {
   type Acknowledgement,
-  type Applied,
-  compareMarks,
+  type StepResult,
+  findMarkCoverage,
   compareTerms,
   countMajority,
   fail,
@@ -62,7 +62,7 @@
   readonly targets: readonly string[];
 }
 
-type Result = Applied<AcknowledgementState, AskEffect>;
+type Result = StepResult<AcknowledgementState, AskEffect>;
 
 /**
  * Begins an acknowledgement. Fails for a mark of another term, which proves nothing about a write
@@ -120,7 +120,7 @@
  */
 function recordHolder(state: AcknowledgementState, { status, answeredAt }: StatusAnswer): Result {
   const { write } = state;
-  const reach = compareMarks(status.lineage, status.mark, write.mark);
+  const reach = findMarkCoverage(status.lineage, status.mark, write.mark);
   if (status.role === "primary" || reach.type !== "reached") return succeed(state);
   const holders = [...state.holders.filter((t) => t !== status.target), status.target];
   const next = { ...state, holders };
--- a/src/controller/admission/displace.ts
+++ b/src/controller/admission/displace.ts
@@ -1,11 +1,11 @@
-import { priorities, succeed, type Applied } from "../../model/index.js";
+import { priorities, succeed, type StepResult } from "../../model/index.js";
 import { refuse } from "./refusal.js";
 import { removeWaiting, putWaiting, withClass } from "./state.js";
 import { findLastEntry, getEntry, listValues } from "./tree.js";
 import type { Admission, AdmissionEffect, ClassQueue, TeamQueue, WaitingRequest } from "./types.js";
 import { estimateWait } from "./wait.js";
 
-type DisplaceResult = Extract<Applied<Admission, AdmissionEffect, never>, { type: "applied" }>;
+type DisplaceResult = Extract<StepResult<Admission, AdmissionEffect, never>, { type: "applied" }>;
 
 /**
  * Refuses one request so that a full queue keeps its size: the newest request of the team with the
--- a/src/controller/admission/start.ts
+++ b/src/controller/admission/start.ts
@@ -1,4 +1,4 @@
-import { assertInvariant, priorities, succeed, type Applied } from "../../model/index.js";
+import { assertInvariant, priorities, succeed, type StepResult } from "../../model/index.js";
 import { chargeTeam, findNextRequest, hasWorkFor, isBackgroundWork } from "./queue.js";
 import { checkWait, refuse } from "./refusal.js";
 import { canRunBackground, hasFreeSlot, takeSlot } from "./slots.js";
@@ -6,7 +6,7 @@
 import { getEntry, putEntry } from "./tree.js";
 import type { Admission, AdmissionEffect, RunningRequest, WaitingRequest } from "./types.js";
 
-type StartResult = Extract<Applied<Admission, AdmissionEffect, never>, { type: "applied" }>;
+type StartResult = Extract<StepResult<Admission, AdmissionEffect, never>, { type: "applied" }>;
 
 /**
  * Starts waiting requests on a target until it has no free slot or no suitable request is left.
--- a/src/controller/admission/step.ts
+++ b/src/controller/admission/step.ts
@@ -1,4 +1,4 @@
-import { assertInvariant, fail, succeed, type Applied } from "../../model/index.js";
+import { assertInvariant, fail, succeed, type StepResult } from "../../model/index.js";
 import { listTargets } from "./capacity.js";
 import { refuseLeastImportant } from "./displace.js";
 import { emptyClass, makeLaneKey } from "./queue.js";
@@ -20,7 +20,7 @@
 import { canStartOn } from "./wait.js";
 
 /** The result of applying one event. */
-export type AdmissionResult = Applied<Admission, AdmissionEffect, AdmissionFailure>;
+export type AdmissionResult = StepResult<Admission, AdmissionEffect, AdmissionFailure>;
 
 /** The defaults of the admission settings. */
 export const defaultAdmissionSettings: AdmissionSettings = {
--- a/src/controller/configuration/delta.ts
+++ b/src/controller/configuration/delta.ts
@@ -1,7 +1,7 @@
 import {
   fail,
   succeed,
-  type Applied,
+  type StepResult,
   type Configuration,
   type Rule,
   type Team,
@@ -45,7 +45,7 @@
 export function applyDelta(
   before: Configuration,
   delta: ConfigurationDelta,
-): Applied<Configuration, never, "wrongBase" | "missingRule"> {
+): StepResult<Configuration, never, "wrongBase" | "missingRule"> {
   if (before.revision !== delta.base) return fail("wrongBase");
   const rules = mapByName([...before.rules, ...delta.rules]);
   const order = delta.order ?? before.rules.map(({ name }) => name);
--- a/src/controller/configuration/state.ts
+++ b/src/controller/configuration/state.ts
@@ -1,7 +1,7 @@
 import {
   emptyConfiguration,
   succeed,
-  type Applied,
+  type StepResult,
   type Configuration,
 } from "../../model/index.js";
 import type { ConfigurationUpdate } from "./decode.js";
@@ -47,7 +47,7 @@
   | { readonly type: "fetch"; readonly vm: string; readonly afterRevision: number }
   | { readonly type: "alarm"; readonly alarm: ConfigurationAlarm };
 
-type Step = Applied<ConfigurationState, ConfigurationEffect, never>;
+type Step = StepResult<ConfigurationState, ConfigurationEffect, never>;
 
 /** What a proxy starts with. */
 export const firstConfigurationState: ConfigurationState = {
--- a/src/controller/connections/step.ts
+++ b/src/controller/connections/step.ts
@@ -1,4 +1,4 @@
-import { fail, succeed, type Applied } from "../../model/index.js";
+import { fail, succeed, type StepResult } from "../../model/index.js";
 import { closeSurplus, serveWaiters } from "./grant.js";
 import { recordOpenFailure, recordOpenSuccess } from "./open.js";
 import {
@@ -21,7 +21,7 @@
 } from "./types.js";
 
 /** The result of applying one event. */
-export type ConnectionResult = Applied<Pool, ConnectionEffect, ConnectionFailure>;
+export type ConnectionResult = StepResult<Pool, ConnectionEffect, ConnectionFailure>;
 
 /**
  * Applies one event to the connections of a target, then serves waiters and closes surplus
--- a/src/controller/drain/drain.ts
+++ b/src/controller/drain/drain.ts
@@ -1,4 +1,4 @@
-import { succeed, type Applied } from "../../model/index.js";
+import { succeed, type StepResult } from "../../model/index.js";
 
 /** How far a process is on its way out. */
 export type DrainState =
@@ -43,7 +43,7 @@
   state: DrainState,
   event: DrainEvent,
   options: DrainOptions,
-): Applied<DrainState, DrainEffect, never> {
+): StepResult<DrainState, DrainEffect, never> {
   switch (event.type) {
     case "asked":
       if (state.type !== "serving") return succeed(state);
@@ -58,7 +58,7 @@
   now: number,
   inFlight: number,
   { announceMs, limitMs }: DrainOptions,
-): Applied<DrainState, DrainEffect, never> {
+): StepResult<DrainState, DrainEffect, never> {
   switch (state.type) {
     case "serving":
     case "drained":
--- a/src/controller/failover/answer.ts
+++ b/src/controller/failover/answer.ts
@@ -1,4 +1,4 @@
-import { compareTerms, orderMarks, succeed, type TargetView } from "../../model/index.js";
+import { compareTerms, compareMarkOrder, succeed, type TargetView } from "../../model/index.js";
 import { beginWaiting, beginElection } from "./elect.js";
 import type { FailoverEvent } from "./event.js";
 import {
@@ -63,7 +63,9 @@
 function isOlder(event: Pick<Answer, "status" | "askedAt">, known: TargetView): boolean {
   const byFence = compareTerms(event.status.fencedAt, known.status.fencedAt);
   if (byFence !== 0) return byFence < 0;
-  return event.askedAt < known.askedAt && orderMarks(event.status.mark, known.status.mark) < 0;
+  return (
+    event.askedAt < known.askedAt && compareMarkOrder(event.status.mark, known.status.mark) < 0
+  );
 }
 
 /** A target leads, and no majority is known to be fenced past it. */
--- a/src/controller/failover/elect.ts
+++ b/src/controller/failover/elect.ts
@@ -2,7 +2,7 @@
   compareTerms,
   type ControlResult,
   openTerm,
-  orderMarks,
+  compareMarkOrder,
   succeed,
   type TargetStatus,
 } from "../../model/index.js";
@@ -104,7 +104,7 @@
   leaving?: string,
 ): TargetStatus | undefined {
   const order = (a: TargetStatus, b: TargetStatus): number =>
-    orderMarks(b.mark, a.mark) ||
+    compareMarkOrder(b.mark, a.mark) ||
     Number(a.target === leaving) - Number(b.target === leaving) ||
     Number(b.role === "primary") - Number(a.role === "primary") ||
     (a.target < b.target ? -1 : 1);
--- a/src/controller/failover/state.ts
+++ b/src/controller/failover/state.ts
@@ -1,5 +1,5 @@
 import {
-  type Applied,
+  type StepResult,
   compareTerms,
   countMajority,
   firstTerm,
@@ -83,7 +83,7 @@
 }
 
 /** The result of a step that can't fail. */
-export type Step = Extract<Applied<FailoverState, FailoverEffect>, { type: "applied" }>;
+export type Step = Extract<StepResult<FailoverState, FailoverEffect>, { type: "applied" }>;
 
 const unknownTarget: TargetHealth = { missed: 0, latenessMs: 0, toldAt: -Infinity };
 
--- a/src/controller/failover/step.ts
+++ b/src/controller/failover/step.ts
@@ -1,4 +1,4 @@
-import { type Applied, compareTerms, fail, succeed } from "../../model/index.js";
+import { type StepResult, compareTerms, fail, succeed } from "../../model/index.js";
 import { applyAnswer, noteStatus } from "./answer.js";
 import { beginSuspicion, recordFinding, recordMissedProbe } from "./detect.js";
 import { isCurrent, recordFence, recordPromotion } from "./elect.js";
@@ -12,7 +12,7 @@
 export function applyEvent(
   state: FailoverState,
   event: FailoverEvent,
-): Applied<FailoverState, FailoverEffect> {
+): StepResult<FailoverState, FailoverEffect> {
   const target = findTarget(event);
   if (target !== undefined && !state.options.targets.includes(target)) {
     return fail(`${target} is not a target of ${state.options.group}`);
--- a/src/controller/membership/member.ts
+++ b/src/controller/membership/member.ts
@@ -1,4 +1,4 @@
-import type { Vm, VmNews } from "../../model/index.js";
+import type { Vm, GossipItem } from "../../model/index.js";
 import { compareIncarnations } from "./incarnation.js";
 import { queueNews } from "./news.js";
 import type { Member, MembershipEffect, MembershipState, MemberStatus } from "./state.js";
@@ -12,7 +12,7 @@
 const rank: Readonly<Record<MemberStatus, number>> = { alive: 0, suspect: 1, leaving: 2, down: 3 };
 
 /** Takes news of another VM over when it is newer than what is known. */
-export function applyNews(draft: Draft, news: VmNews, now: number): Draft {
+export function applyNews(draft: Draft, news: GossipItem, now: number): Draft {
   const { vm, incarnation, state: status } = news;
   const known = draft.state.members.get(vm.name);
   if (known === undefined) {
--- a/src/controller/membership/state.ts
+++ b/src/controller/membership/state.ts
@@ -1,7 +1,7 @@
-import type { PeerHello, Vm, VmNews } from "../../model/index.js";
+import type { PeerHello, Vm, GossipItem } from "../../model/index.js";
 
 /** What an observer holds of another VM. */
-export type MemberStatus = VmNews["state"];
+export type MemberStatus = GossipItem["state"];
 
 /** One other VM as this one sees it. */
 export interface Member {
@@ -17,7 +17,7 @@
 
 /** News with the number of messages that still carry it. */
 export interface QueuedNews {
-  readonly news: VmNews;
+  readonly news: GossipItem;
   readonly left: number;
 }
 
--- a/src/controller/membership/step.ts
+++ b/src/controller/membership/step.ts
@@ -1,4 +1,4 @@
-import { succeed, type Applied, type PeerHello } from "../../model/index.js";
+import { succeed, type StepResult, type PeerHello } from "../../model/index.js";
 import { compareIncarnations, refuteIncarnation } from "./incarnation.js";
 import { applyList } from "./list.js";
 import { applyNews, changeMember, type Draft } from "./member.js";
@@ -12,7 +12,7 @@
   state: MembershipState,
   event: MembershipEvent,
   options: MembershipOptions = membershipOptions,
-): Applied<MembershipState, MembershipEffect, never> {
+): StepResult<MembershipState, MembershipEffect, never> {
   const draft = applyEvent(notePause(state, event.now, options), event, options);
   return succeed(draft.state, draft.effects);
 }
--- a/src/direct/autocommit.ts
+++ b/src/direct/autocommit.ts
@@ -2,7 +2,7 @@
 import {
   failLocally,
   findEffect,
-  type Prepared,
+  type PreparedDefinition,
   type Reply,
   type Work,
 } from "../statement/index.js";
@@ -203,7 +203,7 @@
 export async function prepareLink(
   context: SessionContext,
   placement: PlacedConnection,
-  prepared: Prepared | undefined,
+  prepared: PreparedDefinition | undefined,
   deadlineAt: number,
 ): Promise<boolean> {
   const leftMs = deadlineAt - context.ports.clock.now();
--- a/src/direct/group.ts
+++ b/src/direct/group.ts
@@ -3,7 +3,7 @@
 import {
   compareTerms,
   DisposableStore,
-  orderMarks,
+  compareMarkOrder,
   pickLaterMark,
   type Disposable,
   type Mark,
@@ -354,5 +354,5 @@
 /** Whether a primary's log ends before the end that it had reported earlier. */
 function hasLostLog(reported: Mark | undefined, openedAt: Mark | undefined): boolean {
   if (reported === undefined) return false;
-  return openedAt === undefined || orderMarks(openedAt, reported) < 0;
+  return openedAt === undefined || compareMarkOrder(openedAt, reported) < 0;
 }
--- a/src/direct/session.ts
+++ b/src/direct/session.ts
@@ -4,7 +4,7 @@
   completeLocally,
   failLocally,
   findEffect,
-  type Prepared,
+  type PreparedDefinition,
   type Reply,
   type SessionState,
   type Statement,
@@ -48,7 +48,7 @@
  */
 export class DirectSession {
   private readonly values = new Map<string, string>();
-  private readonly prepared = new Map<string, Prepared>();
+  private readonly prepared = new Map<string, PreparedDefinition>();
   /** The latest acknowledged commit by group, as a route may move the database to another group. */
   private readonly lastCommits = new Map<string, Mark>();
   private readonly disconnect = new AbortController();
@@ -154,7 +154,7 @@
     return completeLocally(this.state);
   }
 
-  private prepareStatement(name: string, prepared: Prepared): Reply {
+  private prepareStatement(name: string, prepared: PreparedDefinition): Reply {
     if (!this.prepared.has(name) && this.prepared.size >= maxSessionEntries) {
       return failLocally(
         "tooLarge",
--- a/src/direct/tracked-link.ts
+++ b/src/direct/tracked-link.ts
@@ -1,4 +1,4 @@
-import type { Prepared, TargetCommand, TargetLink } from "../statement/index.js";
+import type { PreparedDefinition, TargetCommand, TargetLink } from "../statement/index.js";
 
 /** The session values and prepared statements that are set on a connection. */
 export interface LinkState {
@@ -9,14 +9,14 @@
 /** The session values and prepared statement that a statement needs on its connection. */
 export interface LinkRequirements {
   readonly values: ReadonlyMap<string, string>;
-  readonly prepared: Prepared | undefined;
+  readonly prepared: PreparedDefinition | undefined;
 }
 
 /** Above this number of prepared statements a connection is reset, to bound the target's memory. */
 const maxPreparedStatements = 256;
 
 /** The key of a prepared statement on a connection. Names chosen by different callers would collide. */
-export function formatPreparedKey({ effect, shape }: Prepared): string {
+export function formatPreparedKey({ effect, shape }: PreparedDefinition): string {
   return `${effect}:${shape}`;
 }
 
--- a/src/direct/transaction.ts
+++ b/src/direct/transaction.ts
@@ -4,7 +4,7 @@
   findEffect,
   isNotRun,
   type CommandResult,
-  type Prepared,
+  type PreparedDefinition,
   type Reply,
   type SessionState,
   type Work,
@@ -379,6 +379,6 @@
   }
 }
 
-function findPrepared(work: Work | undefined): Prepared | undefined {
+function findPrepared(work: Work | undefined): PreparedDefinition | undefined {
   return work?.type === "execute" ? work.prepared : undefined;
 }
--- a/src/filter/index.ts
+++ b/src/filter/index.ts
@@ -1,2 +1,2 @@
 export { composeFilters, type Filter, type Next } from "./chain.js";
-export { isIdempotent, Retrier, type Trial } from "./retry.js";
+export { isIdempotent, Retrier, type RetryOperation } from "./retry.js";
--- a/src/filter/retry.ts
+++ b/src/filter/retry.ts
@@ -1,8 +1,8 @@
 import type { Clock, Outcome, Random, Request, Verdict } from "../model/index.js";
 import {
-  canRetryKeyed,
+  canRetryKeyedWrite,
   fullRetryBudget,
-  noteFirstTry,
+  recordFirstAttempt,
   planRetry,
   type RetryBudget,
 } from "../policy/index.js";
@@ -10,19 +10,19 @@
 /** How long the records of keyed writes are kept at the least, in milliseconds. */
 const retentionMs = 24 * 60 * 60 * 1000;
 
-type Failed = Extract<Outcome, { type: "failed" }>;
+type FailedOutcome = Extract<Outcome, { type: "failed" }>;
 
 /** What is tried, and what decides whether it may be tried again. */
-export interface Trial {
+export interface RetryOperation {
   readonly request: Request;
   readonly signal: AbortSignal;
   /** Runs the given try; the first is 1. */
   readonly run: (tries: number) => Promise<Outcome>;
   /** Whether this place tries again after such a verdict; others may, elsewhere. */
-  readonly isOurs: (verdict: Verdict) => boolean;
+  readonly canRetryHere: (verdict: Verdict) => boolean;
   /** Whether a part of the answer has gone to the caller. */
-  readonly hasBegun: () => boolean;
-  readonly onRetry: (outcome: Failed, delayMs: number) => void;
+  readonly hasAnswerBegun: () => boolean;
+  readonly onRetry: (outcome: FailedOutcome, delayMs: number) => void;
 }
 
 /** Whether a request may run twice: reads, and writes whose key finds the first run's record. */
@@ -44,10 +44,10 @@
    * Runs a trial until it is answered or given up. Once a try may have run, the request may have run
    * whatever the later tries say: that one of them did not run is no news of the first.
    */
-  async run(trial: Trial): Promise<Outcome> {
-    this.budget = noteFirstTry(this.budget);
+  async run(trial: RetryOperation): Promise<Outcome> {
+    this.budget = recordFirstAttempt(this.budget);
     const startedAt = this.clock.now();
-    let unknown: Failed | undefined;
+    let unknown: FailedOutcome | undefined;
     for (let tries = 1; ; tries += 1) {
       const outcome = await trial.run(tries);
       if (outcome.type === "answered") return outcome;
@@ -62,7 +62,7 @@
 
   /** The delay before the next try, or nothing when there is none. */
   private plan(
-    { request, isOurs, hasBegun }: Trial,
+    { request, canRetryHere: isOurs, hasAnswerBegun: hasBegun }: RetryOperation,
     verdict: Verdict,
     tries: number,
     startedAt: number,
@@ -71,12 +71,13 @@
     const now = this.clock.now();
     const sinceFirstTryMs = now - startedAt;
     const canRepeat =
-      isIdempotent(request) && canRetryKeyed({ verdict, sinceFirstTryMs, retentionMs });
+      isIdempotent(request) &&
+      canRetryKeyedWrite({ verdict, sinceFirstAttemptMs: sinceFirstTryMs, retentionMs });
     const failed = {
       verdict,
       effect: canRepeat ? "read" : request.traits.effect,
       isAnswerBegun: hasBegun(),
-      tries,
+      attempts: tries,
       limit: request.action.retry,
       timeLeftMs: request.deadlineAt - now,
     } as const;
--- a/src/fleet/membership.ts
+++ b/src/fleet/membership.ts
@@ -28,7 +28,7 @@
   ProbeResult,
   Random,
   Vm,
-  VmNews,
+  GossipItem,
 } from "../model/index.js";
 import { drawPause, runLoop } from "./loop.js";
 
@@ -162,7 +162,7 @@
     return { ...this.describe(), news: [...news, ...listNewsAbout(this.state, to)] };
   }
 
-  private tell(to: string, news: readonly VmNews[]): void {
+  private tell(to: string, news: readonly GossipItem[]): void {
     const vm = this.state.members.get(to)?.vm;
     if (vm === undefined) return;
     const own = collectNews(this.state, 0);
--- a/src/gateway/codec.ts
+++ b/src/gateway/codec.ts
@@ -16,7 +16,7 @@
 } from "../peer/gen/radishwalk/direct/v1/gateway_pb.js";
 import {
   isErrorCode,
-  type Ending,
+  type ReplyEnd,
   type Reply,
   type SessionState,
   type Work,
@@ -233,14 +233,14 @@
   return { case: "execute", value: { id, isWrite: effect === "write", shape, argument } } as const;
 }
 
-function encodeEnding(end: Ending) {
+function encodeEnding(end: ReplyEnd) {
   return end.type === "complete"
     ? ({ case: "signature", value: end.signature } as const)
     : ({ case: "error", value: { code: end.code, text: end.text } } as const);
 }
 
 /** An answer without an ending, or with an error that is not known, promises nothing. */
-function decodeEnding({ end }: GatewayReply): Ending {
+function decodeEnding({ end }: GatewayReply): ReplyEnd {
   switch (end.case) {
     case "signature":
       return { type: "complete", signature: end.value };
--- a/src/groupwatch/asker.ts
+++ b/src/groupwatch/asker.ts
@@ -34,7 +34,7 @@
   private send(): Promise<Asked> {
     const askedAt = this.ports.clock.now();
     const asked = this.ports.control
-      .status(this.target, { timeoutMs: this.timeoutMs })
+      .getStatus(this.target, { timeoutMs: this.timeoutMs })
       .then((result) => {
         if (this.current === asked) this.current = undefined;
         return { askedAt, result };
--- a/src/groupwatch/effects.ts
+++ b/src/groupwatch/effects.ts
@@ -53,7 +53,7 @@
 
   private async probe(target: Target, timeoutMs: number): Promise<void> {
     const askedAt = this.clock.now();
-    const result = await this.options.control.status(target, { timeoutMs, fresh: true });
+    const result = await this.options.control.getStatus(target, { timeoutMs, fresh: true });
     if (result.type === "accepted") this.hooks.onAnswer({ status: result.status, askedAt });
     else this.hooks.onMiss(target.name, result.type === "refused" ? "refused" : result.reason);
   }
--- a/src/groupwatch/history.ts
+++ b/src/groupwatch/history.ts
@@ -1,4 +1,4 @@
-import { compareMarks, type Mark, type TargetStatus } from "../model/index.js";
+import { findMarkCoverage, type Mark, type TargetStatus } from "../model/index.js";
 
 interface Sample {
   readonly at: number;
@@ -32,7 +32,7 @@
   /** The latest instant up to which the target holds everything; `undefined` when none is known. */
   findHeldAt(status: TargetStatus): number | undefined {
     const held = this.samples.findLast(
-      ({ mark }) => compareMarks(status.lineage, status.mark, mark).type === "reached",
+      ({ mark }) => findMarkCoverage(status.lineage, status.mark, mark).type === "reached",
     );
     return held?.at;
   }
--- a/src/groupwatch/stream.ts
+++ b/src/groupwatch/stream.ts
@@ -80,7 +80,7 @@
     const askedAt = clock.now();
     const isFresh = this.isFresh;
     this.isFresh = false;
-    const result = await control.status(target, {
+    const result = await control.getStatus(target, {
       timeoutMs: waitMs + findPatienceMs(),
       ...(after === undefined
         ? {}
--- a/src/leadership/changer.ts
+++ b/src/leadership/changer.ts
@@ -1,5 +1,5 @@
 import { leadershipEvents } from "../log/events/leadership.js";
-import { orderMarks } from "../model/index.js";
+import { compareMarkOrder } from "../model/index.js";
 import type { TargetReport } from "../statement/index.js";
 import { chooseContender, decideChange, type Contender, type Reachability } from "./decide.js";
 import { Duty } from "./duty.js";
@@ -219,7 +219,7 @@
       const chosen = chooseContender(contenders, old);
       const isWhole =
         oldReport === undefined ||
-        (chosen !== undefined && orderMarks(chosen.report.received, oldReport.received) >= 0);
+        (chosen !== undefined && compareMarkOrder(chosen.report.received, oldReport.received) >= 0);
       if (isWhole || clock.now() >= until) {
         const positions = contenders.map((c) => `${c.target} ${formatReport(c.report)}`);
         logger.write(leadershipEvents.chosen, { group, target: chosen?.target ?? null, positions });
--- a/src/leadership/decide.ts
+++ b/src/leadership/decide.ts
@@ -1,4 +1,4 @@
-import { orderMarks } from "../model/index.js";
+import { compareMarkOrder } from "../model/index.js";
 import type { TargetReport } from "../statement/index.js";
 import type { Suspicion } from "./suspicion.js";
 
@@ -70,7 +70,7 @@
 }
 
 function compareContenders(a: Contender, b: Contender): number {
-  const byLog = orderMarks(b.report.received, a.report.received);
+  const byLog = compareMarkOrder(b.report.received, a.report.received);
   if (byLog !== 0) return byLog;
   if (a.report.lagMs !== b.report.lagMs) return a.report.lagMs - b.report.lagMs;
   return a.target < b.target ? -1 : 1;
--- a/src/model/index.ts
+++ b/src/model/index.ts
@@ -12,14 +12,14 @@
   type Mark,
   type Branch,
   type Lineage,
-  type Reach,
-  compareMarks,
-  orderMarks,
+  type MarkCoverage,
+  findMarkCoverage,
+  compareMarkOrder,
   pickLaterMark,
   formatMark,
   parseMark,
 } from "./mark.js";
-export { type Address, type DataCentre, type Vm, type Target, type Group } from "./place.js";
+export { type Address, type DataCentre, type Vm, type Target, type Group } from "./topology.js";
 export {
   type Clock,
   type Random,
@@ -33,7 +33,7 @@
   type StoreWrite,
   type StoreChange,
   type ObjectStore,
-  type VmNews,
+  type GossipItem,
   type PeerHello,
   type ProbeResult,
   type PeerCheck,
@@ -55,7 +55,7 @@
   type ServeAction,
   type Rule,
 } from "./rule.js";
-export { type Applied, succeed, fail } from "./step.js";
+export { type StepResult, succeed, fail } from "./step.js";
 export {
   type TargetStatus,
   type ControlResult,
@@ -65,4 +65,4 @@
 } from "./target.js";
 export { type Plan, type Team, type TeamRate } from "./team.js";
 export { type Term, firstTerm, compareTerms, openTerm, formatTerm, parseTerm } from "./term.js";
-export { type Verdict, type NotRunReason, mayHaveRunState, findSqlState } from "./verdict.js";
+export { type Verdict, type NotRunReason, mayHaveRunSqlState, findSqlState } from "./verdict.js";
--- a/src/model/mark.ts
+++ b/src/model/mark.ts
@@ -22,7 +22,7 @@
  * What a log holds of a wanted mark: all of it, not yet all, or never all, since a later term
  * branched off before the mark and cut its end away.
  */
-export type Reach =
+export type MarkCoverage =
   | { readonly type: "reached" }
   | { readonly type: "behind"; readonly missing: number }
   | { readonly type: "cut"; readonly at: number };
@@ -32,7 +32,7 @@
  * the offset at which the next term of the lineage branched off, and not at all when its term is
  * missing from a lineage that has newer ones.
  */
-export function compareMarks(lineage: Lineage, held: Mark, wanted: Mark): Reach {
+export function findMarkCoverage(lineage: Lineage, held: Mark, wanted: Mark): MarkCoverage {
   if (wanted.offset === 0) return { type: "reached" };
   const isKnown = lineage.some((b) => compareTerms(b.term, wanted.term) === 0);
   const next = lineage.find((b) => compareTerms(b.term, wanted.term) > 0);
@@ -44,14 +44,14 @@
 }
 
 /** Orders marks by term, then by offset: the order in which a promoter prefers logs. */
-export function orderMarks(a: Mark, b: Mark): number {
+export function compareMarkOrder(a: Mark, b: Mark): number {
   const byTerm = compareTerms(a.term, b.term);
   return byTerm !== 0 ? byTerm : a.offset - b.offset;
 }
 
 /** The later of two marks in the promoter's order. */
 export function pickLaterMark(a: Mark, b: Mark): Mark {
-  return orderMarks(a, b) >= 0 ? a : b;
+  return compareMarkOrder(a, b) >= 0 ? a : b;
 }
 
 /** Writes a mark as `offset@round.vm`. */
--- a/src/model/ports.ts
+++ b/src/model/ports.ts
@@ -1,6 +1,6 @@
 import type { Json } from "./json.js";
 import type { Mark } from "./mark.js";
-import type { Group, Target, Vm } from "./place.js";
+import type { Group, Target, Vm } from "./topology.js";
 import type { Request } from "./request.js";
 import type { ControlResult } from "./target.js";
 import type { Term } from "./term.js";
@@ -24,7 +24,7 @@
  */
 export interface TargetControl {
   /** With `after`, answers once the mark or the fence differs from it, or after `waitMs`. */
-  status(
+  getStatus(
     target: Target,
     options: {
       readonly timeoutMs: number;
@@ -118,7 +118,7 @@
 }
 
 /** What one VM has heard of another, passed on with the next messages. */
-export interface VmNews {
+export interface GossipItem {
   readonly vm: Vm;
   readonly incarnation: string;
   readonly state: "alive" | "suspect" | "leaving" | "down";
@@ -133,7 +133,7 @@
   /** The greatest configuration revision it has in force. */
   readonly revision: number;
   /** What it has heard of other VMs lately, itself first. */
-  readonly news?: readonly VmNews[];
+  readonly news?: readonly GossipItem[];
 }
 
 /** What a peer answers to a probe on behalf of another. */
--- a/src/model/step.ts
+++ b/src/model/step.ts
@@ -2,7 +2,7 @@
  * The result of applying a step to an immutable state: the next state with what is to be done
  * outside, or a failure that leaves the old state as it was.
  */
-export type Applied<S, E, F = string> =
+export type StepResult<S, E, F = string> =
   | { readonly type: "applied"; readonly state: S; readonly effects: readonly E[] }
   | { readonly type: "failed"; readonly failure: F };
 
--- a/src/model/target.ts
+++ b/src/model/target.ts
@@ -41,6 +41,6 @@
 }
 
 /** The smallest number of targets of which any two sets meet. */
-export function countMajority(targets: number): number {
-  return Math.floor(targets / 2) + 1;
+export function countMajority(targetCount: number): number {
+  return Math.floor(targetCount / 2) + 1;
 }
--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -22,7 +22,7 @@
   | "tooManyConnections";
 
 /** SQLSTATE of a request that may have run: transaction_resolution_unknown. */
-export const mayHaveRunState = "08007";
+export const mayHaveRunSqlState = "08007";
 
 /** The SQLSTATE that a caller sees for a request that has not run: class 53 or 57. */
 export function findSqlState(reason: NotRunReason): string {
--- a/src/owner/filters/retry.ts
+++ b/src/owner/filters/retry.ts
@@ -29,8 +29,8 @@
         answer.drop();
         return next({ ...context, attempt });
       },
-      isOurs: isWorthRetrying,
-      hasBegun: () => answer.hasPassed,
+      canRetryHere: isWorthRetrying,
+      hasAnswerBegun: () => answer.hasPassed,
       onRetry: ({ verdict, message }, delayMs) => {
         this.logger.write(ownerEvents.requestRetried, {
           request: request.id,
--- a/src/owner/group.ts
+++ b/src/owner/group.ts
@@ -155,7 +155,7 @@
     const demand = {
       route: request.action.route,
       timeLeftMs: request.deadlineAt - now,
-      patienceMs,
+      maxReplicaWaitMs: patienceMs,
       ...(request.mark === undefined ? {} : { mark: request.mark }),
     };
     return routeRead(demand, this.scene.build(this.view(), queue, now));
--- a/src/owner/scene.ts
+++ b/src/owner/scene.ts
@@ -3,12 +3,12 @@
   observePrimary,
   observeReplica,
   type PositionHistory,
-  type Progress,
-  type ReadScene,
+  type ReplicationProgress,
+  type RoutingSnapshot,
   type ReadTarget,
 } from "../policy/index.js";
 import {
-  compareMarks,
+  findMarkCoverage,
   type Group,
   type GroupView,
   type Mark,
@@ -29,7 +29,7 @@
 /** Keeps what the router needs to know beyond the latest view: positions over time. */
 export class SceneKeeper {
   private history: PositionHistory = emptyHistory;
-  private readonly progress = new Map<string, Progress>();
+  private readonly progress = new Map<string, ReplicationProgress>();
 
   constructor(
     private group: Group,
@@ -56,7 +56,7 @@
   }
 
   /** Builds what the router looks at. */
-  build(view: GroupView, queue: SceneQueue, now: number): ReadScene {
+  build(view: GroupView, queue: SceneQueue, now: number): RoutingSnapshot {
     const targets = this.group.targets.flatMap((target) => {
       const seen = view.targets[target.name];
       return seen === undefined ? [] : [this.buildTarget(target, seen, view, queue)];
@@ -111,5 +111,5 @@
   if (mark === undefined) return true;
   const seen = view.targets[target];
   if (seen === undefined) return false;
-  return compareMarks(seen.status.lineage, seen.status.mark, mark).type === "reached";
+  return findMarkCoverage(seen.status.lineage, seen.status.mark, mark).type === "reached";
 }
--- a/src/policy/compile.ts
+++ b/src/policy/compile.ts
@@ -57,7 +57,7 @@
 
 const plans: readonly Plan[] = ["trial", "paying"];
 const effects: readonly Effect[] = ["read", "write"];
-const none: RuleList = [];
+const noRules: RuleList = [];
 const indexes = new WeakMap<Configuration, RuleIndex>();
 
 /** The first rule whose condition holds, from an index that is built once for a configuration. */
@@ -65,14 +65,14 @@
   const index = getIndex(configuration);
   const team = findFirst(index.byTeam.get(traits.team), traits, Infinity);
   const group = findFirst(index.byGroup.get(traits.group), traits, team?.index ?? Infinity);
-  const shape = makeShape(traits.plan, traits.effect);
+  const shape = makePlanEffectKey(traits.plan, traits.effect);
   const named = group ?? team;
   const general = findFirst(index.general.get(shape), traits, named?.index ?? Infinity);
   return (general ?? named)?.rule;
 }
 
 /** The first rule of a list that holds and stands before `end` in the operators' list. */
-function findFirst(rules: RuleList = none, traits: RequestTraits, end: number) {
+function findFirst(rules: RuleList = noRules, traits: RequestTraits, end: number) {
   for (const compiled of rules) {
     if (compiled.index >= end) return undefined;
     if (isMet(compiled, traits)) return compiled;
@@ -104,14 +104,18 @@
   rules.forEach((rule, index) => {
     const { teams, groups, kinds } = rule.when;
     const compiled = { index, rule, groups: makeSet(groups), kinds: makeSet(kinds) };
-    if (teams !== undefined) addTo(byTeam, teams, compiled);
-    else if (groups !== undefined) addTo(byGroup, groups, compiled);
-    else addTo(general, listShapes(rule.when), compiled);
+    if (teams !== undefined) addToLists(byTeam, teams, compiled);
+    else if (groups !== undefined) addToLists(byGroup, groups, compiled);
+    else addToLists(general, listPlanEffectKeys(rule.when), compiled);
   });
   return { byTeam, byGroup, general };
 }
 
-function addTo(lists: Map<string, CompiledRule[]>, keys: readonly string[], rule: CompiledRule) {
+function addToLists(
+  lists: Map<string, CompiledRule[]>,
+  keys: readonly string[],
+  rule: CompiledRule,
+) {
   for (const key of new Set(keys)) {
     const list = lists.get(key);
     if (list === undefined) lists.set(key, [rule]);
@@ -119,17 +123,17 @@
   }
 }
 
-function listShapes(when: Condition): readonly string[] {
+function listPlanEffectKeys(when: Condition): readonly string[] {
   return plans
     .filter((plan) => when.plan === undefined || when.plan === plan)
     .flatMap((plan) =>
       effects
         .filter((effect) => when.effect === undefined || when.effect === effect)
-        .map((effect) => makeShape(plan, effect)),
+        .map((effect) => makePlanEffectKey(plan, effect)),
     );
 }
 
-function makeShape(plan: Plan, effect: Effect): string {
+function makePlanEffectKey(plan: Plan, effect: Effect): string {
   return `${plan} ${effect}`;
 }
 
--- a/src/policy/idempotency.ts
+++ b/src/policy/idempotency.ts
@@ -9,7 +9,7 @@
 }
 
 /** What to do with a write that carries a key. */
-export type KeyedPlan<A> =
+export type KeyedWritePlan<A> =
   | { readonly type: "run" }
   | { readonly type: "replay"; readonly answer: A }
   | { readonly type: "conflict" };
@@ -21,17 +21,17 @@
 export function planKeyedWrite<A>(
   key: IdempotencyKey,
   record: IdempotencyRecord<A> | undefined,
-): KeyedPlan<A> {
+): KeyedWritePlan<A> {
   if (record === undefined) return { type: "run" };
   if (record.digest !== key.digest) return { type: "conflict" };
   return { type: "replay", answer: record.answer };
 }
 
 /** What is known when a keyed write might be tried again. */
-export interface KeyedRetry {
+export interface KeyedWriteFailure {
   readonly verdict: Verdict;
   /** Since the first try, on the owner's clock. */
-  readonly sinceFirstTryMs: number;
+  readonly sinceFirstAttemptMs: number;
   /** How long the group keeps records. */
   readonly retentionMs: number;
 }
@@ -41,7 +41,11 @@
  * first run committed, the repeat finds its record; if it did not, nothing of it will be kept. Past
  * the retention a record may be gone and the repeat would run a second time.
  */
-export function canRetryKeyed({ verdict, sinceFirstTryMs, retentionMs }: KeyedRetry): boolean {
+export function canRetryKeyedWrite({
+  verdict,
+  sinceFirstAttemptMs: sinceFirstTryMs,
+  retentionMs,
+}: KeyedWriteFailure): boolean {
   switch (verdict.type) {
     case "notRun":
       return true;
--- a/src/policy/index.ts
+++ b/src/policy/index.ts
@@ -9,36 +9,36 @@
 } from "./match.js";
 export {
   type PositionHistory,
-  type PrimaryAnswer,
+  type PrimaryStatusAnswer,
   emptyHistory,
-  findAge,
+  findMaxAgeMs,
   findMarkSince,
   findNewestMark,
   findReachedAt,
   observePrimary,
 } from "./history.js";
-export { type Progress, findCatchUp, observeReplica } from "./progress.js";
+export { type ReplicationProgress, estimateCatchUpMs, observeReplica } from "./progress.js";
 export {
   type PrimaryReason,
-  type ReadDemand,
+  type ReadConstraints,
   type ReadRoute,
-  type ReadScene,
+  type RoutingSnapshot,
   type ReadTarget,
   routeRead,
 } from "./route.js";
 export {
-  type FailedTry,
+  type FailedAttempt,
   type RetryBudget,
   type RetryPlan,
   fullRetryBudget,
-  noteFirstTry,
+  recordFirstAttempt,
   planRetry,
 } from "./retry.js";
 export {
   type IdempotencyRecord,
-  type KeyedPlan,
-  type KeyedRetry,
-  canRetryKeyed,
+  type KeyedWritePlan,
+  type KeyedWriteFailure,
+  canRetryKeyedWrite,
   planKeyedWrite,
 } from "./idempotency.js";
 export { chooseOwner, hashPair, orderOwners } from "./owner.js";
--- a/src/policy/owner.ts
+++ b/src/policy/owner.ts
@@ -30,16 +30,16 @@
 
 /** Hashes two names to 32 bits: FNV-1a over both with a separator, and MurmurHash3's final mix. */
 export function hashPair(group: string, vm: string): number {
-  return mix(addText(Math.imul(addText(offsetBasis, group) ^ 0x1f, prime), vm));
+  return finalizeHash(hashText(Math.imul(hashText(offsetBasis, group) ^ 0x1f, prime), vm));
 }
 
-function addText(hash: number, text: string): number {
+function hashText(hash: number, text: string): number {
   let next = hash;
   for (let i = 0; i < text.length; i++) next = Math.imul(next ^ text.charCodeAt(i), prime);
   return next;
 }
 
-function mix(hash: number): number {
+function finalizeHash(hash: number): number {
   let next = hash ^ (hash >>> 16);
   next = Math.imul(next, 0x85ebca6b);
   next ^= next >>> 13;
--- a/src/policy/progress.ts
+++ b/src/policy/progress.ts
@@ -2,35 +2,36 @@
 import { findReachedAt, type PositionHistory } from "./history.js";
 
 /** How a replica copies its primary's log, from its reports so far. */
-export interface Progress {
+export interface ReplicationProgress {
   readonly mark: Mark;
-  readonly at: number;
+  readonly reportedAt: number;
   /** Moving average of the time from the primary's reaching a position to the replica's, ms. */
   readonly lagMs: number | undefined;
   /** Moving average of the records copied in a millisecond. */
-  readonly rate: number | undefined;
+  readonly recordsPerMs: number | undefined;
 }
 
-const weight = 0.2;
+const sampleWeight = 0.2;
 
 /** Takes a replica's report into what is known of its progress. */
 export function observeReplica(
-  progress: Progress | undefined,
+  progress: ReplicationProgress | undefined,
   view: TargetView,
   history: PositionHistory,
-): Progress {
+): ReplicationProgress {
   const { mark } = view.status;
   const at = view.answeredAt;
-  if (progress === undefined) return { mark, at, lagMs: undefined, rate: undefined };
+  if (progress === undefined)
+    return { mark, reportedAt: at, lagMs: undefined, recordsPerMs: undefined };
   const copied = mark.offset - progress.mark.offset;
-  if (copied <= 0 || at <= progress.at) return progress;
+  if (copied <= 0 || at <= progress.reportedAt) return progress;
   const reachedAt = findReachedAt(history, mark);
   const lag = reachedAt === undefined ? undefined : Math.max(0, at - reachedAt);
   return {
     mark,
-    at,
-    lagMs: mixIn(progress.lagMs, lag),
-    rate: mixIn(progress.rate, copied / (at - progress.at)),
+    reportedAt: at,
+    lagMs: updateAverage(progress.lagMs, lag),
+    recordsPerMs: updateAverage(progress.recordsPerMs, copied / (at - progress.reportedAt)),
   };
 }
 
@@ -38,8 +39,8 @@
  * Milliseconds until a replica that lacks `missing` records is expected to hold `wanted`: by its lag
  * while that is not overdue, otherwise by its rate. `undefined` when neither is known.
  */
-export function findCatchUp(
-  progress: Progress | undefined,
+export function estimateCatchUpMs(
+  progress: ReplicationProgress | undefined,
   history: PositionHistory,
   wanted: Mark,
   missing: number,
@@ -50,10 +51,13 @@
     const byLag = reachedAt + progress.lagMs - now;
     if (byLag > 0) return byLag;
   }
-  return progress?.rate === undefined ? undefined : missing / progress.rate;
+  return progress?.recordsPerMs === undefined ? undefined : missing / progress.recordsPerMs;
 }
 
-function mixIn(average: number | undefined, sample: number | undefined): number | undefined {
+function updateAverage(
+  average: number | undefined,
+  sample: number | undefined,
+): number | undefined {
   if (average === undefined || sample === undefined) return sample ?? average;
-  return average + weight * (sample - average);
+  return average + sampleWeight * (sample - average);
 }
--- a/src/policy/retry.ts
+++ b/src/policy/retry.ts
@@ -6,28 +6,28 @@
 }
 
 /** Retries for each first try, over time. */
-const tokensPerFirstTry = 0.1;
+const tokensPerFirstAttempt = 0.1;
 /** Retries that may follow each other after a quiet time. */
-const mostTokens = 10;
-const firstBackoffMs = 20;
-const longestBackoffMs = 1000;
+const maxTokens = 10;
+const initialBackoffMs = 20;
+const maxBackoffMs = 1000;
 
 /** A budget that allows a few retries from the start. */
-export const fullRetryBudget: RetryBudget = { tokens: mostTokens };
+export const fullRetryBudget: RetryBudget = { tokens: maxTokens };
 
 /** Notes a first try, which pays for a part of a retry. */
-export function noteFirstTry(budget: RetryBudget): RetryBudget {
-  return { tokens: Math.min(mostTokens, budget.tokens + tokensPerFirstTry) };
+export function recordFirstAttempt(budget: RetryBudget): RetryBudget {
+  return { tokens: Math.min(maxTokens, budget.tokens + tokensPerFirstAttempt) };
 }
 
 /** A try that failed. */
-export interface FailedTry {
+export interface FailedAttempt {
   readonly verdict: Verdict;
   readonly effect: Effect;
   /** Whether a byte of an answer has reached the caller. */
   readonly isAnswerBegun: boolean;
   /** Tries so far, the first one included. */
-  readonly tries: number;
+  readonly attempts: number;
   readonly limit: RetryLimit;
   readonly timeLeftMs: number;
 }
@@ -47,18 +47,18 @@
  * Retries are a share of first tries: when everything fails, the targets meet a tenth more work and
  * not several times as much, which would keep them failing after the cause has gone.
  */
-export function planRetry(failed: FailedTry, budget: RetryBudget, drawn: number): RetryPlan {
-  const barrier = findBarrier(failed);
+export function planRetry(failed: FailedAttempt, budget: RetryBudget, random: number): RetryPlan {
+  const barrier = findRetryObstacle(failed);
   if (barrier !== undefined) return { type: "giveUp", reason: barrier };
-  if (failed.tries > failed.limit.attempts) return { type: "giveUp", reason: "noAttemptsLeft" };
-  const delayMs = findDelay(failed, drawn);
+  if (failed.attempts > failed.limit.attempts) return { type: "giveUp", reason: "noAttemptsLeft" };
+  const delayMs = findDelay(failed, random);
   if (delayMs >= failed.timeLeftMs) return { type: "giveUp", reason: "noTime" };
   if (budget.tokens < 1) return { type: "giveUp", reason: "noBudget" };
   return { type: "retry", delayMs, budget: { tokens: budget.tokens - 1 } };
 }
 
 /** What a retry would break: a write that may have run, or an answer of which a part is out. */
-function findBarrier({ verdict, effect, isAnswerBegun }: FailedTry) {
+function findRetryObstacle({ verdict, effect, isAnswerBegun }: FailedAttempt) {
   if (isAnswerBegun) return "answerBegun";
   switch (verdict.type) {
     case "notRun":
@@ -71,8 +71,8 @@
 }
 
 /** The refusal's own time to come back, or an exponential step; jittered, so that none coincide. */
-function findDelay(failed: FailedTry, drawn: number): number {
+function findDelay(failed: FailedAttempt, random: number): number {
   const told = failed.verdict.type === "notRun" ? failed.verdict.retryAfterMs : 0;
-  const step = Math.min(longestBackoffMs, firstBackoffMs * 2 ** (failed.tries - 1));
-  return Math.ceil(told + step * (0.5 + drawn / 2));
+  const step = Math.min(maxBackoffMs, initialBackoffMs * 2 ** (failed.attempts - 1));
+  return Math.ceil(told + step * (0.5 + random / 2));
 }
--- a/src/policy/route.ts
+++ b/src/policy/route.ts
@@ -1,12 +1,12 @@
 import {
-  compareMarks,
+  findMarkCoverage,
   type Mark,
-  type Reach,
+  type MarkCoverage,
   type Route,
   type TargetStatus,
 } from "../model/index.js";
-import { findAge, type PositionHistory } from "./history.js";
-import { findCatchUp, type Progress } from "./progress.js";
+import { findMaxAgeMs, type PositionHistory } from "./history.js";
+import { estimateCatchUpMs, type ReplicationProgress } from "./progress.js";
 
 /** A target as the router sees it. */
 export interface ReadTarget {
@@ -19,11 +19,11 @@
   /** The wait for a slot there that its admission queue implies, in milliseconds. */
   readonly queueMs: number;
   /** For replicas, from `observeReplica`. */
-  readonly progress?: Progress;
+  readonly progress?: ReplicationProgress;
 }
 
 /** What a read asks of its target. */
-export interface ReadDemand {
+export interface ReadConstraints {
   readonly route: Route;
   /** The session's mark; it binds stale reads too. */
   readonly mark?: Mark;
@@ -32,11 +32,11 @@
    * The longest wait for a replica that a read prefers to an idle primary. 0 goes to the primary
    * whenever its queue is shorter than the wait.
    */
-  readonly patienceMs: number;
+  readonly maxReplicaWaitMs: number;
 }
 
 /** A group at the moment of routing. */
-export interface ReadScene {
+export interface RoutingSnapshot {
   readonly now: number;
   readonly targets: readonly ReadTarget[];
   readonly history: PositionHistory;
@@ -64,27 +64,31 @@
   | { readonly type: "wait"; readonly target: string; readonly waitMs: number }
   | { readonly type: "nowhere"; readonly reason: "noPrimary" };
 
-type Judgement =
+type ReplicaClass =
   | { readonly type: "eligible"; readonly target: ReadTarget }
   | { readonly type: "tooOld"; readonly target: ReadTarget }
   | { readonly type: "behind"; readonly target: ReadTarget; readonly missing: number }
   | { readonly type: "cut"; readonly target: ReadTarget };
 
-const shortestWaitMs = 1;
+const minWaitMs = 1;
 
 /** Chooses the targets that may serve a read and still show the session its own writes. */
-export function routeRead(demand: ReadDemand, scene: ReadScene): ReadRoute {
+export function routeRead(demand: ReadConstraints, scene: RoutingSnapshot): ReadRoute {
   if (demand.route.type === "primary") return routeToPrimary(scene, "ruleSaysPrimary");
   const replicas = scene.targets.filter((t) => t.role === "replica" && t.state === "serving");
-  const judgements = replicas.map((target) => judgeReplica(target, demand, scene));
+  const judgements = replicas.map((target) => classifyReplica(target, demand, scene));
   const eligible = judgements.filter((j) => j.type === "eligible").map((j) => j.target);
   return eligible.length > 0
     ? routeToReplica(eligible, demand, scene)
     : routeWithoutReplica(judgements, demand, scene);
 }
 
-function judgeReplica(target: ReadTarget, demand: ReadDemand, scene: ReadScene): Judgement {
-  const reach = findReach(target, demand.mark);
+function classifyReplica(
+  target: ReadTarget,
+  demand: ReadConstraints,
+  scene: RoutingSnapshot,
+): ReplicaClass {
+  const reach = findCoverage(target, demand.mark);
   switch (reach.type) {
     case "cut":
       return { type: "cut", target };
@@ -97,14 +101,14 @@
   }
 }
 
-function findReach(target: ReadTarget, mark: Mark | undefined): Reach {
+function findCoverage(target: ReadTarget, mark: Mark | undefined): MarkCoverage {
   if (mark === undefined) return { type: "reached" };
-  return compareMarks(target.status.lineage, target.status.mark, mark);
+  return findMarkCoverage(target.status.lineage, target.status.mark, mark);
 }
 
-function isYoungEnough(target: ReadTarget, route: Route, scene: ReadScene): boolean {
+function isYoungEnough(target: ReadTarget, route: Route, scene: RoutingSnapshot): boolean {
   if (route.type !== "stale") return true;
-  const age = findAge(scene.history, target.status.mark, scene.now);
+  const age = findMaxAgeMs(scene.history, target.status.mark, scene.now);
   return age !== undefined && age <= route.maxAgeMs;
 }
 
@@ -114,8 +118,8 @@
  */
 function routeToReplica(
   eligible: readonly ReadTarget[],
-  demand: ReadDemand,
-  scene: ReadScene,
+  demand: ReadConstraints,
+  scene: RoutingSnapshot,
 ): ReadRoute {
   const ordered = [...eligible].sort(
     (a, b) => b.freeSlots - a.freeSlots || a.queueMs - b.queueMs || (a.name < b.name ? -1 : 1),
@@ -130,13 +134,13 @@
 }
 
 function routeWithoutReplica(
-  judgements: readonly Judgement[],
-  demand: ReadDemand,
-  scene: ReadScene,
+  judgements: readonly ReplicaClass[],
+  demand: ReadConstraints,
+  scene: RoutingSnapshot,
 ): ReadRoute {
-  const soonest = findSoonest(judgements, demand, scene);
+  const soonest = findEarliestReplica(judgements, demand, scene);
   const primary = findPrimary(scene);
-  const worthMs = Math.max(demand.patienceMs, primary?.queueMs ?? Infinity);
+  const worthMs = Math.max(demand.maxReplicaWaitMs, primary?.queueMs ?? Infinity);
   if (soonest !== undefined && soonest.waitMs < Math.min(worthMs, demand.timeLeftMs)) {
     return { type: "wait", ...soonest };
   }
@@ -144,28 +148,32 @@
 }
 
 /** The replica that is expected to hold the mark first, and when. */
-function findSoonest(judgements: readonly Judgement[], demand: ReadDemand, scene: ReadScene) {
+function findEarliestReplica(
+  judgements: readonly ReplicaClass[],
+  demand: ReadConstraints,
+  scene: RoutingSnapshot,
+) {
   const waits = judgements.flatMap((j) => {
     if (j.type !== "behind" || demand.mark === undefined) return [];
     const { progress, name } = j.target;
-    const waitMs = findCatchUp(progress, scene.history, demand.mark, j.missing, scene.now);
-    return waitMs === undefined ? [] : [{ target: name, waitMs: Math.max(shortestWaitMs, waitMs) }];
+    const waitMs = estimateCatchUpMs(progress, scene.history, demand.mark, j.missing, scene.now);
+    return waitMs === undefined ? [] : [{ target: name, waitMs: Math.max(minWaitMs, waitMs) }];
   });
   return waits.sort((a, b) => a.waitMs - b.waitMs)[0];
 }
 
-function findPrimaryReason(judgements: readonly Judgement[]): PrimaryReason {
+function findPrimaryReason(judgements: readonly ReplicaClass[]): PrimaryReason {
   if (judgements.some((j) => j.type === "behind")) return "replicasBehind";
   if (judgements.some((j) => j.type === "tooOld")) return "replicasTooOld";
   return judgements.some((j) => j.type === "cut") ? "markWasCut" : "noReplicaServing";
 }
 
-function routeToPrimary(scene: ReadScene, reason: PrimaryReason): ReadRoute {
+function routeToPrimary(scene: RoutingSnapshot, reason: PrimaryReason): ReadRoute {
   const primary = findPrimary(scene);
   if (primary === undefined) return { type: "nowhere", reason: "noPrimary" };
   return { type: "primary", target: primary.name, reason };
 }
 
-function findPrimary(scene: ReadScene): ReadTarget | undefined {
+function findPrimary(scene: RoutingSnapshot): ReadTarget | undefined {
   return scene.targets.find((t) => t.role === "primary" && t.state === "serving");
 }
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -91,7 +91,7 @@
     if (target === undefined) {
       return { type: "unreachable", reason: "the target is not known here" };
     }
-    return this.control.status(target, { timeoutMs, fresh: true });
+    return this.control.getStatus(target, { timeoutMs, fresh: true });
   }
 
   dispose(): Promise<void> {
--- a/src/session/index.ts
+++ b/src/session/index.ts
@@ -15,5 +15,5 @@
   type SessionFailure,
   createSession,
   applyStep,
-  describeToken,
+  getTokenContent,
 } from "./session.js";
--- a/src/session/session.ts
+++ b/src/session/session.ts
@@ -1,8 +1,8 @@
 import {
-  type Applied,
+  type StepResult,
   fail,
   type Mark,
-  orderMarks,
+  compareMarkOrder,
   pickLaterMark,
   succeed,
   type Team,
@@ -86,13 +86,13 @@
   session: Session,
   step: SessionStep,
   limits: SessionLimits = defaultSessionLimits,
-): Applied<Session, SessionEffect, SessionFailure> {
+): StepResult<Session, SessionEffect, SessionFailure> {
   switch (step.type) {
     case "see":
-      return seeMarks(session, [[step.group, step.mark]], session.isComplete);
+      return observeMarks(session, [[step.group, step.mark]], session.isComplete);
     case "join":
       if (step.token.team !== session.team.name) return fail("otherTeam");
-      return seeMarks(session, step.token.marks, session.isComplete && step.token.isComplete);
+      return observeMarks(session, step.token.marks, session.isComplete && step.token.isComplete);
     case "joinUnknown":
       return succeed({ ...session, isComplete: false });
     case "prepare":
@@ -109,20 +109,20 @@
 }
 
 /** What a session takes along, for `signToken`. */
-export function describeToken(session: Session): SessionToken {
+export function getTokenContent(session: Session): SessionToken {
   return { team: session.team.name, marks: session.marks, isComplete: session.isComplete };
 }
 
-function seeMarks(
+function observeMarks(
   session: Session,
   seen: Iterable<readonly [string, Mark]>,
   isComplete: boolean,
-): Applied<Session, SessionEffect, SessionFailure> {
+): StepResult<Session, SessionEffect, SessionFailure> {
   const marks = new Map(session.marks);
   let grew = isComplete !== session.isComplete;
   for (const [group, mark] of seen) {
     const before = marks.get(group);
-    if (before !== undefined && orderMarks(before, mark) >= 0) continue;
+    if (before !== undefined && compareMarkOrder(before, mark) >= 0) continue;
     // Set anew, the group moves to the end: a full token leaves out those seen longest ago.
     marks.delete(group);
     marks.set(group, before === undefined ? mark : pickLaterMark(before, mark));
@@ -137,7 +137,7 @@
   name: string,
   statement: PreparedStatement,
   limits: SessionLimits,
-): Applied<Session, SessionEffect, SessionFailure> {
+): StepResult<Session, SessionEffect, SessionFailure> {
   if (name !== "" && session.statements.has(name)) return fail("statementExists");
   const rest = closeStatement(session, name);
   const statementBytes = rest.statementBytes + countBytes(name, statement);
@@ -167,7 +167,7 @@
   session: Session,
   name: "kind" | "idempotencyKey",
   value: string | undefined,
-): Applied<Session, SessionEffect, SessionFailure> {
+): StepResult<Session, SessionEffect, SessionFailure> {
   if (value !== undefined && value.length > maxSettingLength) return fail("settingTooLong");
   return succeed({ ...session, [name]: value });
 }
--- a/src/session/token.ts
+++ b/src/session/token.ts
@@ -47,8 +47,8 @@
   return isSigned ? decodeBody(body.subarray(1)) : reject("signature");
 }
 
-function encodeToken(token: SessionToken, key: TokenKey, groups: number): string {
-  const isComplete = token.isComplete && token.marks.size === groups;
+function encodeToken(token: SessionToken, key: TokenKey, groupCount: number): string {
+  const isComplete = token.isComplete && token.marks.size === groupCount;
   const marks = [...token.marks].map(([group, mark]) => [group, formatMark(mark)]);
   const json = JSON.stringify([token.team, isComplete ? 1 : 0, ...marks]);
   const body = Buffer.concat([Buffer.from([version]), Buffer.from(json)]);
--- a/src/statement/command.ts
+++ b/src/statement/command.ts
@@ -1,5 +1,5 @@
 import type { Mark } from "../model/index.js";
-import type { Prepared, Work } from "./statement.js";
+import type { PreparedDefinition, Work } from "./statement.js";
 import type { Reply } from "./reply.js";
 
 /** What is sent to a target on one connection. */
@@ -10,7 +10,7 @@
   /** Clears the connection's values and prepared statements. */
   | { readonly type: "reset" }
   | { readonly type: "set"; readonly name: string; readonly value: string }
-  | { readonly type: "prepare"; readonly prepared: Prepared }
+  | { readonly type: "prepare"; readonly prepared: PreparedDefinition }
   | { readonly type: "work"; readonly work: Work; readonly atLeast?: Mark }
   | { readonly type: "commit"; readonly id: string; readonly text: string }
   | { readonly type: "status" }
--- a/src/statement/index.ts
+++ b/src/statement/index.ts
@@ -6,13 +6,13 @@
 } from "./command.js";
 export {
   completeLocally,
-  type Ending,
+  type ReplyEnd,
   type ErrorCode,
   failLocally,
   isErrorCode,
   isNotRun,
-  ownSignature,
+  proxySignature,
   type Reply,
   type SessionState,
 } from "./reply.js";
-export { findEffect, type Prepared, type Statement, type Work } from "./statement.js";
+export { findEffect, type PreparedDefinition, type Statement, type Work } from "./statement.js";
--- a/src/statement/reply.ts
+++ b/src/statement/reply.ts
@@ -54,21 +54,21 @@
 export type SessionState = "idle" | "transaction" | "failed";
 
 /** How a statement ended. `signature` is the target's proof that it ran there. */
-export type Ending =
+export type ReplyEnd =
   | { readonly type: "complete"; readonly signature: string }
   | { readonly type: "error"; readonly code: ErrorCode; readonly text: string };
 
 /** The whole answer to one statement. */
 export interface Reply {
   readonly rows: readonly string[];
-  readonly end: Ending;
+  readonly end: ReplyEnd;
   readonly state: SessionState;
   /** Where the log of the target that answered ends. */
   readonly mark?: Mark;
 }
 
 /** The signature of what the proxy answers itself. */
-export const ownSignature = "-";
+export const proxySignature = "-";
 
 /** Whether a target's error says that this statement did not run there. */
 export function isNotRun(code: ErrorCode): boolean {
@@ -94,7 +94,7 @@
 
 /** An answer that the proxy gives without a target. */
 export function completeLocally(state: SessionState): Reply {
-  return { rows: [], end: { type: "complete", signature: ownSignature }, state };
+  return { rows: [], end: { type: "complete", signature: proxySignature }, state };
 }
 
 /** An error that the proxy gives without a target, or in place of a target's. */
--- a/src/statement/statement.ts
+++ b/src/statement/statement.ts
@@ -19,7 +19,7 @@
       readonly type: "prepare";
       readonly id: string;
       readonly name: string;
-      readonly prepared: Prepared;
+      readonly prepared: PreparedDefinition;
     }
   /** Runs a prepared statement; `argument` is opaque. */
   | {
@@ -31,7 +31,7 @@
   | { readonly type: "deallocate"; readonly id: string; readonly name: string };
 
 /** What a prepared statement does. Two with the same effect and shape are the same. */
-export interface Prepared {
+export interface PreparedDefinition {
   readonly effect: Effect;
   readonly shape: string;
 }
@@ -47,7 +47,7 @@
   | {
       readonly type: "execute";
       readonly id: string;
-      readonly prepared: Prepared;
+      readonly prepared: PreparedDefinition;
       readonly argument: string;
     };
 
--- a/src/target/control.ts
+++ b/src/target/control.ts
@@ -43,7 +43,7 @@
 
   constructor(private readonly options: ControlOptions = {}) {}
 
-  async status(
+  async getStatus(
     target: Target,
     options: {
       readonly timeoutMs: number;
--- a/test/filter/retry.test.ts
+++ b/test/filter/retry.test.ts
@@ -43,8 +43,8 @@
       tried = tries;
       return Promise.resolve(failWith(verdicts[tries - 1] ?? notRun));
     },
-    isOurs: () => true,
-    hasBegun: () => false,
+    canRetryHere: () => true,
+    hasAnswerBegun: () => false,
     onRetry: () => undefined,
   });
 }
--- a/test/model/mark.test.ts
+++ b/test/model/mark.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import fc from "fast-check";
 import {
-  compareMarks,
+  findMarkCoverage,
   firstTerm,
   formatMark,
   parseMark,
@@ -18,20 +18,26 @@
 ];
 
 test("a mark of the log's own terms is reached up to where the next term begins", () => {
-  expect(compareMarks(lineage, mark(3, 12), mark(1, 9))).toEqual({ type: "reached" });
-  expect(compareMarks(lineage, mark(3, 12), mark(1, 10))).toEqual({ type: "cut", at: 9 });
-  expect(compareMarks(lineage, mark(3, 12), mark(3, 14))).toEqual({ type: "behind", missing: 2 });
+  expect(findMarkCoverage(lineage, mark(3, 12), mark(1, 9))).toEqual({ type: "reached" });
+  expect(findMarkCoverage(lineage, mark(3, 12), mark(1, 10))).toEqual({ type: "cut", at: 9 });
+  expect(findMarkCoverage(lineage, mark(3, 12), mark(3, 14))).toEqual({
+    type: "behind",
+    missing: 2,
+  });
 });
 
 // A caller saw a write of a primary whose term left no record on the group's log.
 // Its offset is below the next branch, yet the record at that offset is another one,
 // so the mark must count as cut off and never as reached.
 test("a mark of a term that is missing from the lineage is cut", () => {
-  expect(compareMarks(lineage, mark(3, 12), mark(2, 5, "b"))).toEqual({ type: "cut", at: 9 });
+  expect(findMarkCoverage(lineage, mark(3, 12), mark(2, 5, "b"))).toEqual({ type: "cut", at: 9 });
 });
 
 test("a mark of a newer term than the log knows is behind", () => {
-  expect(compareMarks(lineage, mark(3, 12), mark(4, 12))).toEqual({ type: "behind", missing: 1 });
+  expect(findMarkCoverage(lineage, mark(3, 12), mark(4, 12))).toEqual({
+    type: "behind",
+    missing: 1,
+  });
 });
 
 test("marks survive being written and read", () => {
--- a/test/policy/retry.test.ts
+++ b/test/policy/retry.test.ts
@@ -1,25 +1,25 @@
 import { expect, test } from "@jest/globals";
 import fc from "fast-check";
 import {
-  canRetryKeyed,
+  canRetryKeyedWrite,
   fullRetryBudget,
-  noteFirstTry,
+  recordFirstAttempt,
   planKeyedWrite,
   planRetry,
-  type FailedTry,
+  type FailedAttempt,
 } from "../../src/policy/index.js";
 
 const notRun = { type: "notRun", reason: "queueFull", retryAfterMs: 30 } as const;
 const mayHaveRun = { type: "mayHaveRun", reason: "connection lost" } as const;
-const failed: FailedTry = {
+const failed: FailedAttempt = {
   verdict: notRun,
   effect: "write",
   isAnswerBegun: false,
-  tries: 1,
+  attempts: 1,
   limit: { attempts: 2 },
   timeLeftMs: 1000,
 };
-const plan = (change: Partial<FailedTry>, tokens = 5) =>
+const plan = (change: Partial<FailedAttempt>, tokens = 5) =>
   planRetry({ ...failed, ...change }, { tokens }, 0.5);
 
 test("a write is tried again only if it has not run", () => {
@@ -31,7 +31,7 @@
 });
 
 test("attempts, time and budget bound the retries", () => {
-  expect(plan({ tries: 3 })).toMatchObject({ reason: "noAttemptsLeft" });
+  expect(plan({ attempts: 3 })).toMatchObject({ reason: "noAttemptsLeft" });
   expect(plan({ timeLeftMs: 45 })).toMatchObject({ reason: "noTime" });
   expect(plan({}, 0.9)).toMatchObject({ reason: "noBudget" });
 });
@@ -45,9 +45,9 @@
       let budget = fullRetryBudget;
       let retries = 0;
       for (let i = 0; i < requests; i++) {
-        budget = noteFirstTry(budget);
+        budget = recordFirstAttempt(budget);
         for (let tries = 1; ; tries++) {
-          const next = planRetry({ ...failed, tries, limit: { attempts } }, budget, 0.5);
+          const next = planRetry({ ...failed, attempts: tries, limit: { attempts } }, budget, 0.5);
           if (next.type === "giveUp") break;
           budget = next.budget;
           retries += 1;
@@ -70,8 +70,8 @@
 // The answer to a keyed write was lost. Repeated while its record is kept, it finds the record.
 // Repeated after the record was dropped, it would run a second time.
 test("a keyed write that may have run is repeated only while records are kept", () => {
-  const retry = { verdict: mayHaveRun, sinceFirstTryMs: 10, retentionMs: 1000 };
-  expect(canRetryKeyed(retry)).toBe(true);
-  expect(canRetryKeyed({ ...retry, sinceFirstTryMs: 1000 })).toBe(false);
-  expect(canRetryKeyed({ ...retry, verdict: { type: "ran" } })).toBe(false);
+  const retry = { verdict: mayHaveRun, sinceFirstAttemptMs: 10, retentionMs: 1000 };
+  expect(canRetryKeyedWrite(retry)).toBe(true);
+  expect(canRetryKeyedWrite({ ...retry, sinceFirstAttemptMs: 1000 })).toBe(false);
+  expect(canRetryKeyedWrite({ ...retry, verdict: { type: "ran" } })).toBe(false);
 });
--- a/test/policy/route.test.ts
+++ b/test/policy/route.test.ts
@@ -3,11 +3,11 @@
 import { firstTerm } from "../../src/model/index.js";
 import {
   emptyHistory,
-  findAge,
+  findMaxAgeMs,
   observePrimary,
   observeReplica,
   routeRead,
-  type ReadDemand,
+  type ReadConstraints,
   type ReadTarget,
 } from "../../src/policy/index.js";
 
@@ -34,12 +34,12 @@
   ...rest,
 });
 const primary = target("p", 10, { role: "primary" });
-const read: ReadDemand = { route: { type: "replica" }, timeLeftMs: 1000, patienceMs: 0 };
+const read: ReadConstraints = { route: { type: "replica" }, timeLeftMs: 1000, maxReplicaWaitMs: 0 };
 const history = [view("p", 5, 100), view("p", 8, 200), view("p", 10, 300)].reduce(
   observePrimary,
   emptyHistory,
 );
-const route = (demand: Partial<ReadDemand>, ...targets: readonly ReadTarget[]) =>
+const route = (demand: Partial<ReadConstraints>, ...targets: readonly ReadTarget[]) =>
   routeRead({ ...read, ...demand }, { now: 310, targets: [primary, ...targets], history });
 
 test("replicas that hold the mark are taken by free slots", () => {
@@ -68,10 +68,10 @@
 });
 
 test("age counts from when the primary was last seen without more", () => {
-  expect(findAge(history, at(9), 310)).toBe(110);
-  expect(findAge(history, at(10), 310)).toBe(10);
-  expect(findAge(history, at(4), 310)).toBeUndefined();
-  expect(findAge(history, at(9, two), 310)).toBeUndefined();
+  expect(findMaxAgeMs(history, at(9), 310)).toBe(110);
+  expect(findMaxAgeMs(history, at(10), 310)).toBe(10);
+  expect(findMaxAgeMs(history, at(4), 310)).toBeUndefined();
+  expect(findMaxAgeMs(history, at(9, two), 310)).toBeUndefined();
 });
 
 // A replica is five seconds behind a primary that is seen a hundred times a second.
@@ -80,9 +80,9 @@
 test("the age of a replica far behind is known, and an upper bound", () => {
   let long = emptyHistory;
   for (let i = 1; i <= 9000; i++) long = observePrimary(long, view("p", i, 10 * i));
-  expect(long.sightings.length).toBeLessThanOrEqual(512);
+  expect(long.observations.length).toBeLessThanOrEqual(512);
   for (const held of [2000, 5000, 8500, 8900, 8999]) {
-    const age = findAge(long, at(held), 90_000) ?? 0;
+    const age = findMaxAgeMs(long, at(held), 90_000) ?? 0;
     expect(age).toBeGreaterThanOrEqual(90_000 - 10 * held);
     expect(age).toBeLessThan(1.1 * (90_000 - 10 * held) + 10);
   }
@@ -94,7 +94,7 @@
 test("a cut mark goes to the primary", () => {
   const branched = { mark: at(9, two), lineage: [...lineage, { term: two, start: 6 }] };
   const cut = target("r1", 9, { status: branched });
-  expect(route({ mark: at(8), patienceMs: 500 }, cut)).toEqual({
+  expect(route({ mark: at(8), maxReplicaWaitMs: 500 }, cut)).toEqual({
     type: "primary",
     target: "p",
     reason: "markWasCut",
@@ -110,7 +110,7 @@
   expect(progress.lagMs).toBe(30);
   const behind = target("r1", 8, { progress });
   expect(route({ mark: at(10) }, behind)).toMatchObject({ reason: "replicasBehind" });
-  expect(route({ mark: at(10), patienceMs: 25 }, behind)).toEqual({
+  expect(route({ mark: at(10), maxReplicaWaitMs: 25 }, behind)).toEqual({
     type: "wait",
     target: "r1",
     waitMs: 20,
--- a/test/session/session.test.ts
+++ b/test/session/session.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "@jest/globals";
 import fc from "fast-check";
-import { type Mark, orderMarks } from "../../src/model/index.js";
+import { type Mark, compareMarkOrder } from "../../src/model/index.js";
 import {
   applyStep,
   createSession,
-  describeToken,
+  getTokenContent,
   type Session,
   type SessionStep,
   signToken,
@@ -36,7 +36,7 @@
         start,
         ...seen.map((m) => ({ type: "see", group: "g", mark: m }) as const),
       );
-      expect(session.marks.get("g")).toEqual([...seen].sort(orderMarks).at(-1));
+      expect(session.marks.get("g")).toEqual([...seen].sort(compareMarkOrder).at(-1));
     }),
     { seed: 3 },
   );
@@ -50,14 +50,14 @@
 
 test("a token carries the marks to another proxy, also under the key before", () => {
   const session = apply(start, { type: "see", group: "g", mark: mark(2, 7) });
-  const text = signToken(describeToken(session), keys.slice(1));
-  expect(verifyToken(text, keys)).toEqual({ type: "verified", token: describeToken(session) });
+  const text = signToken(getTokenContent(session), keys.slice(1));
+  expect(verifyToken(text, keys)).toEqual({ type: "verified", token: getTokenContent(session) });
   expect(verifyToken(text, keys.slice(0, 1))).toEqual({ type: "rejected", reason: "signature" });
 });
 
 test("no changed token passes", () => {
   const text = signToken(
-    describeToken(apply(start, { type: "see", group: "g", mark: mark(2, 7) })),
+    getTokenContent(apply(start, { type: "see", group: "g", mark: mark(2, 7) })),
     keys,
   );
   const change = fc.tuple(fc.nat({ max: text.length - 1 }), fc.base64String({ minLength: 4 }));
@@ -80,7 +80,7 @@
     start,
     ...groups.map((group) => ({ type: "see", group, mark: mark(1, 1) }) as const),
   );
-  const check = verifyToken(signToken(describeToken(session), keys), keys);
+  const check = verifyToken(signToken(getTokenContent(session), keys), keys);
   if (check.type !== "verified") throw new Error(check.reason);
   expect([...check.token.marks.keys()]).toEqual(groups.slice(-32));
   expect(check.token.isComplete).toBe(false);
--- a/test/target/target.test.ts
+++ b/test/target/target.test.ts
@@ -132,7 +132,7 @@
 test("control reports status, fences and promotes", async () => {
   const [a, b] = await start({}, 2);
   const control = store.add(new PgTargetControl());
-  expect(await control.status(b.target, { timeoutMs })).toEqual({
+  expect(await control.getStatus(b.target, { timeoutMs })).toEqual({
     type: "accepted",
     status: b.member.status,
   });
@@ -154,7 +154,7 @@
   const control = store.add(new PgTargetControl());
   const { mark, fencedAt } = target.member.status;
   const after = { mark, fencedAt };
-  const waiting = control.status(target.target, { timeoutMs: 20_000, after, waitMs: 20_000 });
+  const waiting = control.getStatus(target.target, { timeoutMs: 20_000, after, waitMs: 20_000 });
   await control.fence(target.target, term(3), timeoutMs);
   expect(await waiting).toMatchObject({ status: { fencedAt: term(3) } });
 });
@@ -165,12 +165,12 @@
   const [target] = await start();
   const control = store.add(new PgTargetControl());
   target.faults.control.close();
-  const cut = await control.status(target.target, { timeoutMs: 20 });
+  const cut = await control.getStatus(target.target, { timeoutMs: 20 });
   expect(cut).toMatchObject({ type: "unreachable" });
   target.faults.control.open();
-  expect(await control.status(target.target, { timeoutMs })).toMatchObject({ type: "accepted" });
+  expect(await control.getStatus(target.target, { timeoutMs })).toMatchObject({ type: "accepted" });
   await target.kill();
-  expect(await control.status(target.target, { timeoutMs, fresh: true })).toMatchObject({
+  expect(await control.getStatus(target.target, { timeoutMs, fresh: true })).toMatchObject({
     type: "unreachable",
   });
 });
