--- a/src/policy/compile.ts
+++ b/src/policy/compile.ts
@@ -1,7 +1,7 @@
 import type { Condition, Configuration, Effect, RequestTraits, Rule } from "../model/index.js";
 import type { Plan } from "../model/index.js";
 
-/** The parts of a condition, in the order in which they are checked and explained. */
+/** The parts of a condition, in the order in which `explainMatch` checks them. */
 export const conditionParts = [
   "teams",
   "plan",
@@ -12,10 +12,10 @@
   "transaction",
 ] as const;
 
-/** One part of a condition. */
+/** The field name of one part of a condition. */
 export type ConditionPart = (typeof conditionParts)[number];
 
-/** Whether one part of a condition holds; a part that is not given does. */
+/** Whether one part of a condition holds. A part that is not given always holds. */
 export function isPartMet(part: ConditionPart, when: Condition, traits: RequestTraits): boolean {
   switch (part) {
     case "teams":
@@ -29,13 +29,13 @@
     case "effect":
       return when.effect === undefined || when.effect === traits.effect;
     case "tables":
-      return when.tables?.some((t) => traits.tables.includes(t)) ?? true;
+      return when.tables?.some((table) => traits.tables.includes(table)) ?? true;
     case "transaction":
       return when.transaction === undefined || when.transaction === traits.transaction;
   }
 }
 
-/** A rule with its place in the operators' list and its long lists as sets. */
+/** A rule with its position in the operators' list, and with sets in place of long lists. */
 interface CompiledRule {
   readonly index: number;
   readonly rule: Rule;
@@ -46,8 +46,9 @@
 type RuleList = readonly CompiledRule[];
 
 /**
- * Rules by what they name: those that name teams by team, the others that name groups by group, the
- * rest by plan and effect. A request meets at most one list of each, and each is in rule order.
+ * Indexes rules by their conditions: rules that name teams by team, other rules that name groups by
+ * group, and the rest by plan and effect. For a request at most one list of each map has to be
+ * searched. Every list is in the order of the rules.
  */
 interface RuleIndex {
   readonly byTeam: ReadonlyMap<string, RuleList>;
@@ -60,18 +61,18 @@
 const noRules: RuleList = [];
 const indexes = new WeakMap<Configuration, RuleIndex>();
 
-/** The first rule whose condition holds, from an index that is built once for a configuration. */
+/** Returns the first rule whose condition holds. The index is built once per configuration. */
 export function findRule(configuration: Configuration, traits: RequestTraits): Rule | undefined {
   const index = getIndex(configuration);
-  const team = findFirst(index.byTeam.get(traits.team), traits, Infinity);
-  const group = findFirst(index.byGroup.get(traits.group), traits, team?.index ?? Infinity);
-  const shape = makePlanEffectKey(traits.plan, traits.effect);
-  const named = group ?? team;
-  const general = findFirst(index.general.get(shape), traits, named?.index ?? Infinity);
-  return (general ?? named)?.rule;
+  const byTeam = findFirst(index.byTeam.get(traits.team), traits, Infinity);
+  const byGroup = findFirst(index.byGroup.get(traits.group), traits, byTeam?.index ?? Infinity);
+  const key = makePlanEffectKey(traits.plan, traits.effect);
+  const specific = byGroup ?? byTeam;
+  const general = findFirst(index.general.get(key), traits, specific?.index ?? Infinity);
+  return (general ?? specific)?.rule;
 }
 
-/** The first rule of a list that holds and stands before `end` in the operators' list. */
+/** Returns the first matching rule of a list whose position in the operators' list is before `end`. */
 function findFirst(rules: RuleList = noRules, traits: RequestTraits, end: number) {
   for (const compiled of rules) {
     if (compiled.index >= end) return undefined;
--- a/src/policy/defaults.ts
+++ b/src/policy/defaults.ts
@@ -26,8 +26,9 @@
 };
 
 /**
- * What holds when no rule does: paying writes on the primary as `critical`, paying reads on a
- * replica as `normal`, and whatever trial teams send as `trial`.
+ * The rules that apply when none of the operators' rules matches: writes of paying teams run on the
+ * primary with priority `critical`, their reads on a replica with `normal`, and all requests of trial
+ * teams with `trial`.
  */
 export const defaultRules = {
   payingWrite: {
@@ -52,7 +53,7 @@
   },
 } as const satisfies Readonly<Record<string, Rule>>;
 
-/** The default that decides when no rule of the operators does. */
+/** Returns the default rule for a request's plan and effect. */
 export function findDefaultRule(traits: Pick<RequestTraits, "plan" | "effect">): Rule {
   const isWrite = traits.effect === "write";
   switch (traits.plan) {
--- a/src/policy/idempotency.ts
+++ b/src/policy/idempotency.ts
@@ -1,22 +1,23 @@
 import type { IdempotencyKey, Verdict } from "../model/index.js";
 
-/** What the group's log has under a key: written in the transaction of the write itself. */
+/** The record of a keyed write in its group, stored in the same transaction as the write. */
 export interface IdempotencyRecord<A> {
   readonly key: string;
   readonly digest: string;
-  /** The answer that the first run gave. */
+  /** The answer of the first run. */
   readonly answer: A;
 }
 
-/** What to do with a write that carries a key. */
+/** What to do with a write that has an idempotency key. */
 export type KeyedWritePlan<A> =
   | { readonly type: "run" }
   | { readonly type: "replay"; readonly answer: A }
   | { readonly type: "conflict" };
 
 /**
- * Plans a keyed write by the record read on the primary, in the transaction that would write it. The
- * key is unique there, so that of two runs at once the second fails and finds the first one's record.
+ * Plans a keyed write by the `record` found under its key, which must be read on the primary in the
+ * transaction that would write it. Keys are unique there: of two concurrent runs the second fails, and
+ * its repeat finds the record of the first.
  */
 export function planKeyedWrite<A>(
   key: IdempotencyKey,
@@ -27,19 +28,19 @@
   return { type: "replay", answer: record.answer };
 }
 
-/** What is known when a keyed write might be tried again. */
+/** A failed attempt at a keyed write. */
 export interface KeyedWriteFailure {
   readonly verdict: Verdict;
-  /** Since the first try, on the owner's clock. */
+  /** Time since the first attempt, on the clock of the process that retries. */
   readonly sinceFirstAttemptMs: number;
-  /** How long the group keeps records. */
+  /** How long the group keeps the records of keyed writes. */
   readonly retentionMs: number;
 }
 
 /**
  * Whether a keyed write may be sent again. After `mayHaveRun` it may while records are kept: if the
- * first run committed, the repeat finds its record; if it did not, nothing of it will be kept. Past
- * the retention a record may be gone and the repeat would run a second time.
+ * first run committed, the repeat finds its record; if not, nothing of the first run remains. After
+ * the retention time the record may be gone, and the write would run a second time.
  */
 export function canRetryKeyedWrite({
   verdict,
--- a/src/policy/match.ts
+++ b/src/policy/match.ts
@@ -2,7 +2,7 @@
 import { conditionParts, findRule, isPartMet, type ConditionPart } from "./compile.js";
 import { findDefaultRule } from "./defaults.js";
 
-/** What one rule said to a request. Rules after the deciding one are not asked. */
+/** The result of checking one rule for a request. Rules after the deciding one are not checked. */
 export type RuleFinding =
   | { readonly type: "decides"; readonly rule: string }
   | {
@@ -14,20 +14,23 @@
     }
   | { readonly type: "notAsked"; readonly rule: string };
 
-/** How the deciding rule was found: each rule in order, and the one that decides. */
+/** The rule that decides about a request, with the finding of each rule in order. */
 export interface MatchExplanation {
   readonly decided: Rule;
-  /** Whether a default decided, since no rule of the operators did. */
+  /** Whether a default rule decides, since none of the operators' rules matches. */
   readonly isDefault: boolean;
   readonly findings: readonly RuleFinding[];
 }
 
-/** The rule that decides about a request: the first that holds, or the default for its kind. */
+/** Returns the rule that decides about a request: the first that matches, or a default rule. */
 export function matchRule(configuration: Configuration, traits: RequestTraits): Rule {
   return findRule(configuration, traits) ?? findDefaultRule(traits);
 }
 
-/** Asks each rule in order, without the index, and tells which part of its condition differs. */
+/**
+ * Checks each rule in order, without the index, and tells for each that does not match the first part
+ * of its condition that differs.
+ */
 export function explainMatch(
   configuration: Configuration,
   traits: RequestTraits,
@@ -45,8 +48,9 @@
 }
 
 /**
- * Where a request may go under its rule: writes and transactions stay on the primary whatever the
- * rule says, since only there a later statement of the transaction may write.
+ * Returns where a request may run under its rule. Writes and interactive transactions run on the
+ * primary whatever the rule's route: a later statement of the transaction may write, which only the
+ * primary can do.
  */
 export function resolveRoute(
   traits: Pick<RequestTraits, "effect" | "transaction">,
@@ -56,7 +60,7 @@
 }
 
 function explainRule(rule: Rule, traits: RequestTraits): RuleFinding {
-  const part = conditionParts.find((p) => !isPartMet(p, rule.when, traits));
+  const part = conditionParts.find((name) => !isPartMet(name, rule.when, traits));
   if (part === undefined) return { type: "decides", rule: rule.name };
   const wanted = rule.when[part] ?? null;
   return { type: "differs", rule: rule.name, part, wanted, found: findTrait(part, traits) };
--- a/src/policy/owner.ts
+++ b/src/policy/owner.ts
@@ -1,8 +1,9 @@
 import type { Vm } from "../model/index.js";
 
 /**
- * The VM that owns a group: the one with the highest score among those that are live. When a VM
- * comes or goes only the groups that it wins or held change owner. `undefined` without a live VM.
+ * Chooses a group's owner by rendezvous hashing: the live VM with the highest score for the group.
+ * When a VM joins or leaves, only the groups that it gains or loses change owner. `undefined` without
+ * a live VM.
  */
 export function chooseOwner(group: string, vms: readonly Vm[]): Vm | undefined {
   let best: Vm | undefined;
@@ -10,13 +11,13 @@
   for (const vm of vms) {
     if (vm.state !== "live") continue;
     const score = hashPair(group, vm.name);
-    const isTieWon = score === bestScore && best !== undefined && vm.name < best.name;
-    if (score > bestScore || isTieWon) [best, bestScore] = [vm, score];
+    const hasWonTie = score === bestScore && best !== undefined && vm.name < best.name;
+    if (score > bestScore || hasWonTie) [best, bestScore] = [vm, score];
   }
   return best;
 }
 
-/** The live VMs in the order in which they would own a group: the second takes over from the first. */
+/** Orders the live VMs by score for a group: each becomes the owner if all before it are gone. */
 export function orderOwners(group: string, vms: readonly Vm[]): readonly Vm[] {
   return vms
     .filter((vm) => vm.state === "live")
@@ -28,7 +29,10 @@
 const offsetBasis = 0x811c9dc5;
 const prime = 0x01000193;
 
-/** Hashes two names to 32 bits: FNV-1a over both with a separator, and MurmurHash3's final mix. */
+/**
+ * Hashes two names to 32 bits: FNV-1a over both and a separator, then the finalizer of MurmurHash3,
+ * which spreads similar names evenly.
+ */
 export function hashPair(group: string, vm: string): number {
   return finalizeHash(hashText(Math.imul(hashText(offsetBasis, group) ^ 0x1f, prime), vm));
 }
--- a/src/policy/progress.ts
+++ b/src/policy/progress.ts
@@ -1,19 +1,19 @@
 import type { Mark, TargetView } from "../model/index.js";
 import { findReachedAt, type PositionHistory } from "./history.js";
 
-/** How a replica copies its primary's log, from its reports so far. */
+/** A replica's progress in copying its primary's log, estimated from its status reports. */
 export interface ReplicationProgress {
   readonly mark: Mark;
   readonly reportedAt: number;
-  /** Moving average of the time from the primary's reaching a position to the replica's, ms. */
+  /** Moving average of the time by which the replica reaches a position later than the primary. */
   readonly lagMs: number | undefined;
-  /** Moving average of the records copied in a millisecond. */
+  /** Moving average of the number of records copied per millisecond. */
   readonly recordsPerMs: number | undefined;
 }
 
 const sampleWeight = 0.2;
 
-/** Takes a replica's report into what is known of its progress. */
+/** Updates a replica's progress by its status. A status without new records changes nothing. */
 export function observeReplica(
   progress: ReplicationProgress | undefined,
   view: TargetView,
@@ -36,8 +36,9 @@
 }
 
 /**
- * Milliseconds until a replica that lacks `missing` records is expected to hold `wanted`: by its lag
- * while that is not overdue, otherwise by its rate. `undefined` when neither is known.
+ * Estimates the milliseconds until a replica that lacks `missing` records holds `wanted`: by its
+ * average lag, or by its copy rate when the lag is unknown or has already passed. `undefined` when
+ * the rate is unknown too.
  */
 export function estimateCatchUpMs(
   progress: ReplicationProgress | undefined,
--- a/src/policy/route.ts
+++ b/src/policy/route.ts
@@ -8,41 +8,41 @@
 import { findMaxAgeMs, type PositionHistory } from "./history.js";
 import { estimateCatchUpMs, type ReplicationProgress } from "./progress.js";
 
-/** A target as the router sees it. */
+/** The state of a target that routing depends on. */
 export interface ReadTarget {
   readonly name: string;
-  /** By the owner's belief: a superseded primary is a replica at most. */
+  /** As known to the owner. A superseded primary counts as a replica. */
   readonly role: "primary" | "replica";
   readonly state: "serving" | "leaving" | "unreachable";
   readonly status: Pick<TargetStatus, "mark" | "lineage">;
   readonly freeSlots: number;
-  /** The wait for a slot there that its admission queue implies, in milliseconds. */
+  /** The estimated wait for a slot of the target, in milliseconds. */
   readonly queueMs: number;
-  /** For replicas, from `observeReplica`. */
+  /** For replicas: the result of `observeReplica`. */
   readonly progress?: ReplicationProgress;
 }
 
-/** What a read asks of its target. */
+/** The constraints of a read on its target. */
 export interface ReadConstraints {
   readonly route: Route;
-  /** The session's mark; it binds stale reads too. */
+  /** The session's mark, which stale reads must see too. */
   readonly mark?: Mark;
   readonly timeLeftMs: number;
   /**
-   * The longest wait for a replica that a read prefers to an idle primary. 0 goes to the primary
-   * whenever its queue is shorter than the wait.
+   * The longest wait for a replica that is preferred to an idle primary. With 0 the read runs on the
+   * primary whenever the wait there is not longer than the one for the replica.
    */
   readonly maxReplicaWaitMs: number;
 }
 
-/** A group at the moment of routing. */
+/** The state of a group at the time of routing. */
 export interface RoutingSnapshot {
   readonly now: number;
   readonly targets: readonly ReadTarget[];
   readonly history: PositionHistory;
 }
 
-/** Why a read goes to the primary. */
+/** Why a read runs on the primary. */
 export type PrimaryReason =
   | "ruleSaysPrimary"
   | "markWasCut"
@@ -51,19 +51,20 @@
   | "replicasBehind"
   | "replicasBusy";
 
-/** Where a read goes and why, fit for a log line. */
+/** Where a read runs and why. The reasons are written to the log. */
 export type ReadRoute =
-  /** Any of `targets` will do; the first has the most free slots. */
+  /** Any of `targets` may serve the read. They are ordered by free slots, the most first. */
   | {
       readonly type: "replica";
       readonly targets: readonly string[];
       readonly reason: "holdsMark" | "youngEnough";
     }
   | { readonly type: "primary"; readonly target: string; readonly reason: PrimaryReason }
-  /** Route again when `target` reports, after `waitMs` at the latest. */
+  /** The read must be routed again when `target` reports its status, or after `waitMs`. */
   | { readonly type: "wait"; readonly target: string; readonly waitMs: number }
   | { readonly type: "nowhere"; readonly reason: "noPrimary" };
 
+/** Whether a replica may serve a read; if not, why. */
 type ReplicaClass =
   | { readonly type: "eligible"; readonly target: ReadTarget }
   | { readonly type: "tooOld"; readonly target: ReadTarget }
@@ -72,30 +73,34 @@
 
 const minWaitMs = 1;
 
-/** Chooses the targets that may serve a read and still show the session its own writes. */
-export function routeRead(demand: ReadConstraints, scene: RoutingSnapshot): ReadRoute {
-  if (demand.route.type === "primary") return routeToPrimary(scene, "ruleSaysPrimary");
-  const replicas = scene.targets.filter((t) => t.role === "replica" && t.state === "serving");
-  const judgements = replicas.map((target) => classifyReplica(target, demand, scene));
-  const eligible = judgements.filter((j) => j.type === "eligible").map((j) => j.target);
+/** Chooses the targets that may serve a read such that the session sees its own writes. */
+export function routeRead(constraints: ReadConstraints, snapshot: RoutingSnapshot): ReadRoute {
+  if (constraints.route.type === "primary") return routeToPrimary(snapshot, "ruleSaysPrimary");
+  const replicas = snapshot.targets.filter(
+    (target) => target.role === "replica" && target.state === "serving",
+  );
+  const classes = replicas.map((target) => classifyReplica(target, constraints, snapshot));
+  const eligible = classes
+    .filter((found) => found.type === "eligible")
+    .map((found) => found.target);
   return eligible.length > 0
-    ? routeToReplica(eligible, demand, scene)
-    : routeWithoutReplica(judgements, demand, scene);
+    ? routeToReplica(eligible, constraints, snapshot)
+    : routeWithoutReplica(classes, constraints, snapshot);
 }
 
 function classifyReplica(
   target: ReadTarget,
-  demand: ReadConstraints,
-  scene: RoutingSnapshot,
+  constraints: ReadConstraints,
+  snapshot: RoutingSnapshot,
 ): ReplicaClass {
-  const reach = findCoverage(target, demand.mark);
-  switch (reach.type) {
+  const coverage = findCoverage(target, constraints.mark);
+  switch (coverage.type) {
     case "cut":
       return { type: "cut", target };
     case "behind":
-      return { type: "behind", target, missing: reach.missing };
+      return { type: "behind", target, missing: coverage.missing };
     case "reached":
-      return isYoungEnough(target, demand.route, scene)
+      return isYoungEnough(target, constraints.route, snapshot)
         ? { type: "eligible", target }
         : { type: "tooOld", target };
   }
@@ -106,74 +111,85 @@
   return findMarkCoverage(target.status.lineage, target.status.mark, mark);
 }
 
-function isYoungEnough(target: ReadTarget, route: Route, scene: RoutingSnapshot): boolean {
+function isYoungEnough(target: ReadTarget, route: Route, snapshot: RoutingSnapshot): boolean {
   if (route.type !== "stale") return true;
-  const age = findMaxAgeMs(scene.history, target.status.mark, scene.now);
-  return age !== undefined && age <= route.maxAgeMs;
+  const ageMs = findMaxAgeMs(snapshot.history, target.status.mark, snapshot.now);
+  return ageMs !== undefined && ageMs <= route.maxAgeMs;
 }
 
 /**
- * Every eligible replica is named, so that admission takes whichever frees a slot first. They give
- * way to the primary only where their queues would outlast the deadline and the primary's not.
+ * Returns all eligible replicas, so that admission can use the first that has a free slot. The primary
+ * is chosen instead if the wait for each of them exceeds the read's deadline and is longer than the
+ * one for the primary.
  */
 function routeToReplica(
   eligible: readonly ReadTarget[],
-  demand: ReadConstraints,
-  scene: RoutingSnapshot,
+  constraints: ReadConstraints,
+  snapshot: RoutingSnapshot,
 ): ReadRoute {
   const ordered = [...eligible].sort(
     (a, b) => b.freeSlots - a.freeSlots || a.queueMs - b.queueMs || (a.name < b.name ? -1 : 1),
   );
-  const shortest = Math.min(...ordered.map((t) => t.queueMs));
-  const primary = findPrimary(scene);
-  if (shortest > demand.timeLeftMs && primary !== undefined && primary.queueMs < shortest) {
+  const shortestMs = Math.min(...ordered.map((target) => target.queueMs));
+  const primary = findPrimary(snapshot);
+  if (
+    shortestMs > constraints.timeLeftMs &&
+    primary !== undefined &&
+    primary.queueMs < shortestMs
+  ) {
     return { type: "primary", target: primary.name, reason: "replicasBusy" };
   }
-  const reason = demand.route.type === "stale" ? "youngEnough" : "holdsMark";
-  return { type: "replica", targets: ordered.map((t) => t.name), reason };
+  const reason = constraints.route.type === "stale" ? "youngEnough" : "holdsMark";
+  return { type: "replica", targets: ordered.map((target) => target.name), reason };
 }
 
 function routeWithoutReplica(
-  judgements: readonly ReplicaClass[],
-  demand: ReadConstraints,
-  scene: RoutingSnapshot,
+  classes: readonly ReplicaClass[],
+  constraints: ReadConstraints,
+  snapshot: RoutingSnapshot,
 ): ReadRoute {
-  const soonest = findEarliestReplica(judgements, demand, scene);
-  const primary = findPrimary(scene);
-  const worthMs = Math.max(demand.maxReplicaWaitMs, primary?.queueMs ?? Infinity);
-  if (soonest !== undefined && soonest.waitMs < Math.min(worthMs, demand.timeLeftMs)) {
-    return { type: "wait", ...soonest };
+  const earliest = findEarliestReplica(classes, constraints, snapshot);
+  const primary = findPrimary(snapshot);
+  const maxWaitMs = Math.max(constraints.maxReplicaWaitMs, primary?.queueMs ?? Infinity);
+  if (earliest !== undefined && earliest.waitMs < Math.min(maxWaitMs, constraints.timeLeftMs)) {
+    return { type: "wait", ...earliest };
   }
-  return routeToPrimary(scene, findPrimaryReason(judgements));
+  return routeToPrimary(snapshot, findPrimaryReason(classes));
 }
 
-/** The replica that is expected to hold the mark first, and when. */
+/** Returns the replica that is expected to hold the mark first, and in how many milliseconds. */
 function findEarliestReplica(
-  judgements: readonly ReplicaClass[],
-  demand: ReadConstraints,
-  scene: RoutingSnapshot,
+  classes: readonly ReplicaClass[],
+  constraints: ReadConstraints,
+  snapshot: RoutingSnapshot,
 ) {
-  const waits = judgements.flatMap((j) => {
-    if (j.type !== "behind" || demand.mark === undefined) return [];
-    const { progress, name } = j.target;
-    const waitMs = estimateCatchUpMs(progress, scene.history, demand.mark, j.missing, scene.now);
+  const estimates = classes.flatMap((found) => {
+    if (found.type !== "behind" || constraints.mark === undefined) return [];
+    const { progress, name } = found.target;
+    const waitMs = estimateCatchUpMs(
+      progress,
+      snapshot.history,
+      constraints.mark,
+      found.missing,
+      snapshot.now,
+    );
     return waitMs === undefined ? [] : [{ target: name, waitMs: Math.max(minWaitMs, waitMs) }];
   });
-  return waits.sort((a, b) => a.waitMs - b.waitMs)[0];
+  return estimates.sort((a, b) => a.waitMs - b.waitMs)[0];
 }
 
-function findPrimaryReason(judgements: readonly ReplicaClass[]): PrimaryReason {
-  if (judgements.some((j) => j.type === "behind")) return "replicasBehind";
-  if (judgements.some((j) => j.type === "tooOld")) return "replicasTooOld";
-  return judgements.some((j) => j.type === "cut") ? "markWasCut" : "noReplicaServing";
+function findPrimaryReason(classes: readonly ReplicaClass[]): PrimaryReason {
+  if (classes.some((found) => found.type === "behind")) return "replicasBehind";
+  if (classes.some((found) => found.type === "tooOld")) return "replicasTooOld";
+  return classes.some((found) => found.type === "cut") ? "markWasCut" : "noReplicaServing";
 }
 
-function routeToPrimary(scene: RoutingSnapshot, reason: PrimaryReason): ReadRoute {
-  const primary = findPrimary(scene);
+function routeToPrimary(snapshot: RoutingSnapshot, reason: PrimaryReason): ReadRoute {
+  const primary = findPrimary(snapshot);
   if (primary === undefined) return { type: "nowhere", reason: "noPrimary" };
   return { type: "primary", target: primary.name, reason };
 }
 
-function findPrimary(scene: RoutingSnapshot): ReadTarget | undefined {
-  return scene.targets.find((t) => t.role === "primary" && t.state === "serving");
+function findPrimary(snapshot: RoutingSnapshot): ReadTarget | undefined {
+  return snapshot.targets.find((target) => target.role === "primary" && target.state === "serving");
 }
--- a/test/policy/match.test.ts
+++ b/test/policy/match.test.ts
@@ -35,13 +35,13 @@
   transaction: fc.boolean(),
 });
 
-test("the index decides as the rules read in order do", () => {
+test("the index finds the same rule as checking the rules in order", () => {
   fc.assert(
-    fc.property(fc.array(conditions, { maxLength: 12 }), traits, (whens, asked) => {
+    fc.property(fc.array(conditions, { maxLength: 12 }), traits, (whens, request) => {
       const rules = whens.map((when, i) => ({ name: `rule-${i}`, when, then }));
       const configuration = configure(rules);
-      const explained = explainMatch(configuration, asked);
-      expect(matchRule(configuration, asked)).toBe(explained.decided);
+      const explained = explainMatch(configuration, request);
+      expect(matchRule(configuration, request)).toBe(explained.decided);
       expect(explained.findings.map((f) => f.rule)).toEqual(rules.map((r) => r.name));
       expect(explained.findings.some((f) => f.type === "decides")).toBe(!explained.isDefault);
     }),
@@ -59,7 +59,7 @@
   transaction: false,
 };
 
-test("the explanation names the part that differs, and the rules that were not asked", () => {
+test("the explanation names the part that differs, and the rules that were not checked", () => {
   const rules: readonly Rule[] = [
     { name: "writes", when: { plan: "paying", effect: "write" }, then },
     { name: "none", when: { teams: [] }, then },
@@ -74,7 +74,7 @@
   ]);
 });
 
-test("without a rule the plan and the effect decide", () => {
+test("without a matching rule the plan and the effect decide", () => {
   const none = configure([]);
   expect(matchRule(none, payingRead)).toBe(defaultRules.payingRead);
   expect(matchRule(none, { ...payingRead, effect: "write" })).toBe(defaultRules.payingWrite);
--- a/test/policy/owner.test.ts
+++ b/test/policy/owner.test.ts
@@ -13,7 +13,7 @@
   .uniqueArray(fc.integer({ min: 0, max: 500 }), { minLength: 2, maxLength: 12 })
   .map((numbers) => numbers.map((n) => vm(`vm-${n}`)));
 
-test("a VM that leaves moves only its own groups, each to the next in order", () => {
+test("when a VM leaves, only its own groups move, each to the next VM in order", () => {
   fc.assert(
     fc.property(fleets, fc.string(), fc.nat(11), (vms, group, pick) => {
       const order = orderOwners(group, vms);
@@ -28,7 +28,7 @@
   );
 });
 
-test("groups spread over the VMs, with similar names too", () => {
+test("groups with similar names are spread evenly over the VMs", () => {
   const vms = Array.from({ length: 8 }, (_, i) => vm(`vm-${i}`));
   const owned = new Map<string | undefined, number>();
   for (let i = 0; i < 4600; i++) {
--- a/test/policy/retry.test.ts
+++ b/test/policy/retry.test.ts
@@ -22,7 +22,7 @@
 const plan = (change: Partial<FailedAttempt>, tokens = 5) =>
   planRetry({ ...failed, ...change }, { tokens }, 0.5);
 
-test("a write is tried again only if it has not run", () => {
+test("a write is retried only if it has not run", () => {
   expect(plan({})).toEqual({ type: "retry", delayMs: 45, budget: { tokens: 4 } });
   expect(plan({ verdict: mayHaveRun })).toEqual({ type: "giveUp", reason: "mayHaveRun" });
   expect(plan({ verdict: { type: "ran" } })).toMatchObject({ reason: "ran" });
@@ -30,24 +30,28 @@
   expect(plan({ effect: "read", isAnswerBegun: true })).toMatchObject({ reason: "answerBegun" });
 });
 
-test("attempts, time and budget bound the retries", () => {
+test("attempts, time and budget limit the retries", () => {
   expect(plan({ attempts: 3 })).toMatchObject({ reason: "noAttemptsLeft" });
   expect(plan({ timeLeftMs: 45 })).toMatchObject({ reason: "noTime" });
   expect(plan({}, 0.9)).toMatchObject({ reason: "noBudget" });
 });
 
-// The primary is gone for a while and every try fails.
-// Each request would be tried three times, so that the new primary meets three times the work.
-// The budget lets one retry through for ten first tries, and the tenth more ends with the cause.
-test("no storm: retries stay a tenth of the first tries", () => {
+// Guards against a retry storm: the primary is missing for a while and every attempt fails. If each
+// request were tried three times, the new primary would get three times the load.
+// The budget allows one retry per ten first attempts, and this extra load ends with the cause.
+test("retries are at most a tenth of the first attempts", () => {
   fc.assert(
     fc.property(fc.integer({ min: 50, max: 400 }), fc.nat(10), (requests, attempts) => {
       let budget = fullRetryBudget;
       let retries = 0;
       for (let i = 0; i < requests; i++) {
         budget = recordFirstAttempt(budget);
-        for (let tries = 1; ; tries++) {
-          const next = planRetry({ ...failed, attempts: tries, limit: { attempts } }, budget, 0.5);
+        for (let attempt = 1; ; attempt++) {
+          const next = planRetry(
+            { ...failed, attempts: attempt, limit: { attempts } },
+            budget,
+            0.5,
+          );
           if (next.type === "giveUp") break;
           budget = next.budget;
           retries += 1;
@@ -59,7 +63,7 @@
   );
 });
 
-test("a repeat under a key gets the recorded answer, another statement an error", () => {
+test("a repeat with the same key gets the recorded answer, another statement a conflict", () => {
   const key = { key: "k", digest: "d" };
   const record = { ...key, answer: "INSERT 0 1" };
   expect(planKeyedWrite(key, undefined)).toEqual({ type: "run" });
@@ -67,9 +71,9 @@
   expect(planKeyedWrite({ ...key, digest: "e" }, record)).toEqual({ type: "conflict" });
 });
 
-// The answer to a keyed write was lost. Repeated while its record is kept, it finds the record.
-// Repeated after the record was dropped, it would run a second time.
-test("a keyed write that may have run is repeated only while records are kept", () => {
+// The answer to a keyed write is lost. A repeat finds the record of the write while that is kept.
+// After the record has been dropped, a repeat would run the write a second time.
+test("a keyed write that may have run is retried only while records are kept", () => {
   const retry = { verdict: mayHaveRun, sinceFirstAttemptMs: 10, retentionMs: 1000 };
   expect(canRetryKeyedWrite(retry)).toBe(true);
   expect(canRetryKeyedWrite({ ...retry, sinceFirstAttemptMs: 1000 })).toBe(false);
--- a/test/policy/route.test.ts
+++ b/test/policy/route.test.ts
@@ -39,10 +39,10 @@
   observePrimary,
   emptyHistory,
 );
-const route = (demand: Partial<ReadConstraints>, ...targets: readonly ReadTarget[]) =>
-  routeRead({ ...read, ...demand }, { now: 310, targets: [primary, ...targets], history });
+const route = (constraints: Partial<ReadConstraints>, ...targets: readonly ReadTarget[]) =>
+  routeRead({ ...read, ...constraints }, { now: 310, targets: [primary, ...targets], history });
 
-test("replicas that hold the mark are taken by free slots", () => {
+test("replicas that hold the mark are ordered by free slots", () => {
   const targets = [target("r1", 9), target("r2", 9, { freeSlots: 2 }), target("r3", 7)];
   expect(route({ mark: at(9) }, ...targets)).toEqual({
     type: "replica",
@@ -51,15 +51,15 @@
   });
 });
 
-test("leaving and unreachable targets get nothing", () => {
+test("leaving and unreachable targets get no reads", () => {
   const gone = [target("r1", 9, { state: "leaving" }), target("r2", 9, { state: "unreachable" })];
   expect(route({}, ...gone)).toMatchObject({ type: "primary", reason: "noReplicaServing" });
 });
 
-// A caller writes and then reads with a rule that accepts data of a second's age.
-// The replica is young enough, but it does not hold the caller's write yet.
-// Age alone would hide the caller's own work from it.
-test("a stale read still shows the session its own write", () => {
+// A caller writes, then reads under a rule that accepts data that is a second old.
+// The replica's data is recent enough but lacks the caller's write.
+// If the age alone decided, the caller would not see its own write.
+test("a stale read sees the session's own writes", () => {
   const stale = { type: "stale", maxAgeMs: 1000 } as const;
   expect(route({ route: stale }, target("r1", 8))).toMatchObject({ type: "replica" });
   expect(route({ route: stale, mark: at(9) }, target("r1", 8))).toMatchObject({ type: "primary" });
@@ -67,17 +67,17 @@
   expect(route({ route: strict }, target("r1", 8))).toMatchObject({ reason: "replicasTooOld" });
 });
 
-test("age counts from when the primary was last seen without more", () => {
+test("age counts from when the primary was last observed to hold no more", () => {
   expect(findMaxAgeMs(history, at(9), 310)).toBe(110);
   expect(findMaxAgeMs(history, at(10), 310)).toBe(10);
   expect(findMaxAgeMs(history, at(4), 310)).toBeUndefined();
   expect(findMaxAgeMs(history, at(9, two), 310)).toBeUndefined();
 });
 
-// A replica is five seconds behind a primary that is seen a hundred times a second.
-// Were only the newest sightings kept, its age would be unknown and stale reads would leave it.
-// Older sightings are thinned out instead: the age is known, and never too small.
-test("the age of a replica far behind is known, and an upper bound", () => {
+// A replica lags five seconds behind a primary that is observed a hundred times a second.
+// If only the newest observations were kept, the age of its data would be unknown and stale reads would
+// avoid it. Older observations are thinned out instead, so that the age is known and never too small.
+test("the age of a replica with a long lag is known, and an upper bound", () => {
   let long = emptyHistory;
   for (let i = 1; i <= 9000; i++) long = observePrimary(long, view("p", i, 10 * i));
   expect(long.observations.length).toBeLessThanOrEqual(512);
@@ -88,10 +88,10 @@
   }
 });
 
-// A session saw a write that no fenced target held; the new primary's log branched off before it.
-// Every log of the new term is cut below the mark, so that waiting would never end.
-// The primary is asked, and its owner decides what the caller hears.
-test("a cut mark goes to the primary", () => {
+// A session saw a write that none of the targets fenced in an election held, so that the new primary's
+// term begins before it. No log of the new term will ever hold the mark, and a wait would never end.
+// The read runs on the primary, whose owner decides what the caller is told.
+test("a read with a cut mark runs on the primary", () => {
   const branched = { mark: at(9, two), lineage: [...lineage, { term: two, start: 6 }] };
   const cut = target("r1", 9, { status: branched });
   expect(route({ mark: at(8), maxReplicaWaitMs: 500 }, cut)).toEqual({
@@ -101,7 +101,7 @@
   });
 });
 
-test("a read waits for a replica that is sooner than the primary's queue", () => {
+test("a read waits for a replica that catches up before the primary has a free slot", () => {
   const reports = [view("r1", 5, 130), view("r1", 8, 230)];
   const progress = reports.reduce(
     (p, v) => observeReplica(p, v, history),
@@ -115,16 +115,16 @@
     target: "r1",
     waitMs: 20,
   });
-  const busy = { ...primary, queueMs: 40 };
-  const scene = { now: 310, targets: [busy, behind], history };
-  expect(routeRead({ ...read, mark: at(10) }, scene)).toMatchObject({ type: "wait" });
-  const hurried = { ...read, mark: at(10), timeLeftMs: 15 };
-  expect(routeRead(hurried, scene)).toMatchObject({ type: "primary" });
+  const busyPrimary = { ...primary, queueMs: 40 };
+  const snapshot = { now: 310, targets: [busyPrimary, behind], history };
+  expect(routeRead({ ...read, mark: at(10) }, snapshot)).toMatchObject({ type: "wait" });
+  const urgent = { ...read, mark: at(10), timeLeftMs: 15 };
+  expect(routeRead(urgent, snapshot)).toMatchObject({ type: "primary" });
 });
 
-test("without a primary a read that needs one goes nowhere", () => {
-  const scene = { now: 310, targets: [target("r1", 8)], history };
-  expect(routeRead({ ...read, mark: at(9) }, scene)).toEqual({
+test("without a primary a read that needs one has no route", () => {
+  const snapshot = { now: 310, targets: [target("r1", 8)], history };
+  expect(routeRead({ ...read, mark: at(9) }, snapshot)).toEqual({
     type: "nowhere",
     reason: "noPrimary",
   });
