--- a/src/model/disposables.ts
+++ b/src/model/disposables.ts
@@ -1,19 +1,22 @@
-/** Something that is released once. */
+/** A resource that is released exactly once. */
 export interface Disposable {
   dispose(): void | Promise<void>;
 }
 
-/** Gathers what a part owns and releases it in reverse order, each once, all even if one fails. */
+/**
+ * Owns resources and releases them in reverse order, each once. If some fail to be released, the
+ * others still are, and `dispose` rejects with an `AggregateError`.
+ */
 export class DisposableStore implements Disposable {
   private readonly owned: Disposable[] = [];
 
-  /** Takes `item` over and hands it back. */
+  /** Takes ownership of `item` and returns it. */
   add<T extends Disposable>(item: T): T {
     this.owned.push(item);
     return item;
   }
 
-  /** Takes over a function that releases something. */
+  /** Registers a function that releases a resource. */
   defer(release: () => void | Promise<void>): void {
     this.owned.push({ dispose: release });
   }
--- a/src/model/invariant.ts
+++ b/src/model/invariant.ts
@@ -1,4 +1,4 @@
-/** The brief's invariants, each counted where the program asserts it. */
+/** The safety guarantees of the system. Each name is a label of the violation metric. */
 export const invariants = [
   "readYourWrites",
   "noSupersededAcknowledgement",
@@ -14,21 +14,24 @@
 /** The name of an invariant. */
 export type Invariant = (typeof invariants)[number];
 
-/** Hears of each broken invariant: the metric and the log in a program, a throw in a test. */
+/** Called with each violated invariant. A program counts and logs it, a test throws. */
 export type ViolationHandler = (invariant: Invariant, detail: string) => void;
 
 let handleViolation: ViolationHandler = (invariant, detail) => {
   throw new Error(`invariant ${invariant} broken: ${detail}`);
 };
 
-/** Sets who hears of broken invariants in this process, and hands back the one before. */
+/**
+ * Sets the handler of violated invariants for the whole process and returns the previous one. Until
+ * the first call a violation throws.
+ */
 export function setViolationHandler(handler: ViolationHandler): ViolationHandler {
   const before = handleViolation;
   handleViolation = handler;
   return before;
 }
 
-/** Asserts an invariant inside the program. `detail` is built only when it is broken. */
+/** Reports a violation unless `holds`. `detail` is called only for a violation. */
 export function assertInvariant(invariant: Invariant, holds: boolean, detail: () => string): void {
   if (!holds) handleViolation(invariant, detail());
 }
--- a/src/model/json.ts
+++ b/src/model/json.ts
@@ -1,3 +1,3 @@
-/** A value that JSON can carry. */
+/** A value that can be encoded as JSON. */
 export type Json =
   null | boolean | number | string | readonly Json[] | { readonly [key: string]: Json };
--- a/src/model/ports.ts
+++ b/src/model/ports.ts
@@ -6,71 +6,85 @@
 import type { Term } from "./term.js";
 import type { Verdict } from "./verdict.js";
 
-/** Time as the core sees it. `now` never goes back; milliseconds from an arbitrary start. */
+/** A monotonic clock, in milliseconds from an arbitrary start. Simulations supply their own. */
 export interface Clock {
   now(): number;
   /** Resolves after `ms`, or rejects with the signal's reason. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
 }
 
-/** Randomness as the core sees it: a number of [0, 1). */
+/** A source of random numbers in [0, 1). Simulations supply a seeded one. */
 export interface Random {
   draw(): number;
 }
 
 /**
- * Control of one target: terms, fencing and positions. Every call resolves; a target that can't be
- * reached or does not answer within `timeoutMs` gives `unreachable`, and the request may have run.
+ * Administers targets: reads their status, fences them against older terms and assigns their roles.
+ * No call rejects. For a target that can't be reached or doesn't answer within `timeoutMs` the result
+ * is `unreachable`; the request may have been executed all the same.
  */
 export interface TargetControl {
-  /** With `after`, answers once the mark or the fence differs from it, or after `waitMs`. */
+  /**
+   * Reads a target's status. With `after`, the target answers once its mark or its fence differs from
+   * that, or after `waitMs` (long polling).
+   */
   getStatus(
     target: Target,
     options: {
       readonly timeoutMs: number;
       readonly after?: { readonly mark: Mark; readonly fencedAt: Term };
       readonly waitMs?: number;
-      /** Opens a new connection, to tell a dead target from a silent connection. */
+      /** Uses a new connection, which tells a dead target from a dead connection. */
       readonly fresh?: boolean;
     },
   ): Promise<ControlResult>;
-  /** From then on the target commits, copies and is promoted in no term older than `term`. */
+  /**
+   * Fences the target at `term`: from then on it neither commits, replicates nor becomes primary in
+   * an older term.
+   */
   fence(target: Target, term: Term, timeoutMs: number): Promise<ControlResult>;
-  /** Makes it primary in `term`; refused unless it stands fenced at exactly this term. */
+  /** Makes the target primary in `term`; refused unless it is fenced at exactly this term. */
   promote(target: Target, term: Term, timeoutMs: number): Promise<ControlResult>;
-  /** Makes it a replica of `primary` in `term`, cutting off what the primary's log does not hold. */
+  /**
+   * Makes the target a replica of `primary` in `term`. The target discards the records of its log that
+   * the primary's log does not hold.
+   */
   follow(target: Target, primary: Target, term: Term, timeoutMs: number): Promise<ControlResult>;
 }
 
-/** How one exchange with a target ended. */
+/** The result of one exchange of messages with a target. */
 export type ExchangeResult =
-  /** `ReadyForQuery` came; its status byte: idle, in a transaction, in a failed transaction. */
+  /**
+   * `ReadyForQuery` was received, with its transaction status: idle, in a transaction or in a failed
+   * transaction.
+   */
   | { readonly type: "ready"; readonly status: "I" | "T" | "E" }
-  /** The connection broke or was abandoned. `sent` tells whether a byte may have reached the target. */
+  /** The connection broke or was abandoned. `sent`: a byte may have reached the target. */
   | { readonly type: "broken"; readonly sent: boolean; readonly reason: string };
 
-/** Receives one whole message of the answer, type byte and length included. */
+/** Receives one complete message of an answer, with its type byte and length. */
 export type MessageSink = (message: Uint8Array) => void | Promise<void>;
 
-/** One PostgreSQL connection to a target. One exchange at a time. */
+/** A PostgreSQL connection to a target. It carries one exchange at a time. */
 export interface TargetSession {
   readonly target: string;
-  /** False once it was closed, broken or abandoned: it then never carries another exchange. */
+  /** False for good once the connection was closed, broken or abandoned. */
   readonly isUsable: boolean;
   /**
-   * Sends whole frontend messages and hands on the answer up to `ReadyForQuery`, which is not handed
-   * on. Aborting closes the connection, so that a late answer reaches nobody.
+   * Sends complete frontend messages and passes the answer to `sink`, up to but without
+   * `ReadyForQuery`. Aborting closes the connection, so that a late answer can't be taken for that of
+   * a later exchange.
    */
   exchange(messages: Uint8Array, sink: MessageSink, signal: AbortSignal): Promise<ExchangeResult>;
   close(): void;
 }
 
-/** Opens PostgreSQL connections to targets. Rejects when none could be opened in time. */
+/** Opens PostgreSQL connections to targets. `open` rejects when it fails or exceeds `timeoutMs`. */
 export interface TargetConnector {
   open(target: Target, database: string, timeoutMs: number): Promise<TargetSession>;
 }
 
-/** An object in the platform's store. Versions of one object only grow. */
+/** An object in the platform's store. The version of an object only increases. */
 export interface StoredObject {
   readonly kind: string;
   readonly name: string;
@@ -78,105 +92,115 @@
   readonly value: Json;
 }
 
-/** The outcome of a read. `unavailable` covers outages and answers that came too late. */
+/** The result of a read. `unavailable`: the store failed or gave no usable answer in time. */
 export type StoreRead<T> =
   | { readonly type: "found"; readonly value: T }
   | { readonly type: "absent" }
   | { readonly type: "unavailable"; readonly reason: string };
 
-/** The outcome of a conditional update. After `unknown` it may have taken effect. */
+/**
+ * The result of a conditional write. `conflict`: the object has another version. `unknown`: the write
+ * may have taken effect. `unavailable`: it has not.
+ */
 export type StoreWrite =
   | { readonly type: "written"; readonly object: StoredObject }
   | { readonly type: "conflict" }
   | { readonly type: "unknown"; readonly reason: string }
   | { readonly type: "unavailable"; readonly reason: string };
 
-/** A change seen by a watch. `broken` means that changes may have been missed: list again. */
+/** An event of a watch. After `broken`, changes may have been missed and the kind must be listed again. */
 export type StoreChange =
   | { readonly type: "changed"; readonly object: StoredObject }
   | { readonly type: "removed"; readonly kind: string; readonly name: string }
   | { readonly type: "broken"; readonly reason: string };
 
-/** The platform's object API. No call rejects; none lasts longer than the client's timeout. */
+/** A client of the platform's object store. No call rejects or outlasts the client's timeout. */
 export interface ObjectStore {
   get(kind: string, name: string): Promise<StoreRead<StoredObject>>;
   list(kind: string): Promise<StoreRead<readonly StoredObject[]>>;
-  /** Writes only if the object still has `version`; 0 means that it must not exist. */
+  /** Writes only if the object's version is `version`; 0 means that the object must not exist. */
   put(kind: string, name: string, value: Json, version: number): Promise<StoreWrite>;
   remove(kind: string, name: string, version: number): Promise<StoreWrite>;
-  /** Hands on changes of a kind after a listing's highest version, until aborted or `broken`. */
+  /**
+   * Passes each change of a kind with a version above `afterVersion`, the highest of a listing, to
+   * `handle`. Resolves once aborted or after `broken`.
+   */
   watch(
     kind: string,
     afterVersion: number,
     handle: (change: StoreChange) => void,
     signal: AbortSignal,
   ): Promise<void>;
-  /** The platform's list of VMs, which lags behind the truth. */
+  /** Lists the VMs that the platform knows of. The list is updated with a delay. */
   listVms(): Promise<StoreRead<readonly Vm[]>>;
-  /** The database groups that the platform runs. */
+  /** Lists the platform's database groups. */
   listGroups(): Promise<StoreRead<readonly Group[]>>;
 }
 
-/** What one VM has heard of another, passed on with the next messages. */
+/** What one VM knows of another's state; it is spread by gossip in messages between peers. */
 export interface GossipItem {
   readonly vm: Vm;
   readonly incarnation: string;
   readonly state: "alive" | "suspect" | "leaving" | "down";
 }
 
-/** What a process says of itself to a peer; every peer message carries it. */
+/** The state of the sending process, part of every message between peers. */
 export interface PeerHello {
   readonly vm: string;
-  /** Differs between two runs of the process on one VM. */
+  /** Differs between two runs of the process on the same VM. */
   readonly incarnation: string;
   readonly state: "starting" | "ready" | "leaving";
-  /** The greatest configuration revision it has in force. */
+  /** The configuration revision in force at the sender. */
   readonly revision: number;
-  /** What it has heard of other VMs lately, itself first. */
+  /** Recent gossip about VMs, with the sender itself first. */
   readonly news?: readonly GossipItem[];
 }
 
-/** What a peer answers to a probe on behalf of another. */
+/** The result of a probe, direct or through another peer. */
 export type ProbeResult =
   | { readonly type: "answered"; readonly hello: PeerHello }
   | { readonly type: "silent"; readonly reason: string };
 
-/** What a peer found of a target, or that the peer itself gave no answer and so no evidence. */
+/**
+ * The result of a target's check through a peer. `silent`: the peer itself did not answer, which says
+ * nothing about the target.
+ */
 export type PeerCheck = ControlResult | { readonly type: "silent"; readonly reason: string };
 
-/** Calls between proxies. No call rejects. */
+/** Calls other proxies. No call rejects. */
 export interface PeerClient {
   probe(vm: Vm, hello: PeerHello, timeoutMs: number): Promise<ProbeResult>;
   /** Asks `via` to probe `vm`. */
   probeThrough(via: Vm, vm: Vm, hello: PeerHello, timeoutMs: number): Promise<ProbeResult>;
-  /** Asks `via` for a fresh status of a target, on a new connection. */
+  /** Asks `via` to read a target's status on a new connection. */
   checkTarget(via: Vm, group: string, target: string, timeoutMs: number): Promise<PeerCheck>;
-  /** Fetches the peer's configuration when it is newer than `afterRevision`. */
+  /** Fetches a peer's configuration if its revision is greater than `afterRevision`. */
   fetchConfiguration(vm: Vm, afterRevision: number, timeoutMs: number): Promise<StoreRead<Json>>;
-  /** Pushes a configuration; answers with the revision then in force at the peer. */
+  /** Sends a configuration; the result is the revision in force at the peer afterwards. */
   pushConfiguration(vm: Vm, configuration: Json, timeoutMs: number): Promise<StoreRead<number>>;
 }
 
-/** What came of one request, or of one batch of an interactive transaction. */
+/** The result of one request, or of one batch of an interactive transaction. */
 export type Outcome =
   | {
       readonly type: "answered";
-      /** `T` and `E` keep the conversation on its connection; `I` ends the transaction. */
+      /** The transaction status. With `T` and `E` the conversation keeps its connection to the target. */
       readonly status: "I" | "T" | "E";
-      /** What the session must see from now on; absent when nothing new is to be seen. */
+      /** What later reads of the session must see; absent when that has not changed. */
       readonly mark?: Mark;
       readonly servedBy: { readonly target: string; readonly role: "primary" | "replica" };
     }
   | { readonly type: "failed"; readonly verdict: Verdict; readonly message: string };
 
 /**
- * One caller's exchange with a group's owner: a single request, or a transaction that stays on one
- * connection from the first batch to the last.
+ * A caller's exchange with a group's owner: a single request, or an interactive transaction whose
+ * batches all run on one connection to a target.
  */
 export interface Conversation {
   /**
-   * Runs one batch of whole frontend messages, up to and with its `Sync` or `Query`. The answer
-   * goes to `sink` without `ReadyForQuery`. Never rejects. One call at a time.
+   * Runs one batch of complete frontend messages that ends with `Sync` or `Query`. The answer is
+   * passed to `sink` without `ReadyForQuery`. Never rejects. Must not be called while another call is
+   * pending.
    */
   run(
     request: Request,
@@ -184,11 +208,11 @@
     sink: MessageSink,
     signal: AbortSignal,
   ): Promise<Outcome>;
-  /** Ends it; an open transaction is rolled back by closing its connection. */
+  /** Ends the conversation. An open transaction is rolled back by closing its connection. */
   close(): void;
 }
 
-/** Opens conversations with groups, at this process or at the owner's. */
+/** Opens conversations with groups, whether this process or another owns the group. */
 export interface GroupGateway {
   open(group: string): Conversation;
 }
--- a/src/model/request.ts
+++ b/src/model/request.ts
@@ -2,35 +2,41 @@
 import type { Effect, ServeAction } from "./rule.js";
 import type { Plan } from "./team.js";
 
-/** What the rules look at: who asks, and for what. */
+/** The attributes of a request that conditions of rules refer to. */
 export interface RequestTraits {
   readonly group: string;
   readonly team: string;
   readonly plan: Plan;
-  /** The caller's own word for the request, or the effect's name where it gave none. */
+  /** The kind that the caller gave the request, or the effect where it gave none. */
   readonly kind: string;
   readonly effect: Effect;
   readonly tables: readonly string[];
-  /** Whether the statement opens or belongs to an interactive transaction. */
+  /** Whether the statement begins or is part of an interactive transaction. */
   readonly transaction: boolean;
 }
 
-/** A caller's own name for one write: a repeat under the same key must not run again. */
+/** Identifies one write of a caller: a repeat with the same key must not run a second time. */
 export interface IdempotencyKey {
   readonly key: string;
-  /** SHA-256 of statement and parameters, hexadecimal. A repeat with another digest is an error. */
+  /**
+   * SHA-256 of the statement and its parameters, hexadecimal. Using the key with another digest is an
+   * error.
+   */
   readonly digest: string;
 }
 
-/** One request on its way to a group: what it is, the rule's action and what the session must see. */
+/** A request to a group, with the action of the rule that decided about it. */
 export interface Request {
   readonly id: string;
   readonly traits: RequestTraits;
   readonly rule: string;
   readonly action: ServeAction;
-  /** The least the answer must reflect; absent when the session has seen nothing of the group. */
+  /** What the answer must at least reflect; absent when the session has seen nothing of the group. */
   readonly mark?: Mark;
   readonly idempotency?: IdempotencyKey;
-  /** Milliseconds on the clock of the process that holds the value. Hops carry the time left. */
+  /**
+   * On the clock of the process that holds the value, in milliseconds. Messages between processes carry
+   * the time left instead.
+   */
   readonly deadlineAt: number;
 }
--- a/src/model/target.ts
+++ b/src/model/target.ts
@@ -1,46 +1,49 @@
 import type { Lineage, Mark } from "./mark.js";
 import type { Term } from "./term.js";
 
-/** What a target says of itself. */
+/** The status that a target reports. */
 export interface TargetStatus {
   readonly target: string;
   readonly role: "primary" | "replica";
-  /** The end of its log. */
+  /** Where its log ends. */
   readonly mark: Mark;
   readonly lineage: Lineage;
-  /** It takes part in no term older than this one: the highest it was fenced, promoted or told to follow at. */
+  /**
+   * The highest term at which the target was fenced, promoted or made a replica. It takes part in no
+   * older term.
+   */
   readonly fencedAt: Term;
   /**
-   * The target it copies now. Absent once it is fenced past the term in which it was told: it copies
-   * nothing then, and must be told again even when the same target is elected anew.
+   * The target that it replicates from. Absent once it is fenced past the term in which it was told to:
+   * it then replicates nothing until it is told again, even if the same target is elected again.
    */
   readonly follows?: string;
 }
 
-/** A control request's outcome. `refused` carries the term that stood in the way. */
+/** The result of a control request. `fencedAt` of `refused` is the term that it conflicts with. */
 export type ControlResult =
   | { readonly type: "accepted"; readonly status: TargetStatus }
   | { readonly type: "refused"; readonly fencedAt: Term }
   | { readonly type: "unreachable"; readonly reason: string };
 
-/** What the group's owner last knew of one target. Times are on the owner's clock. */
+/** The last known state of a target at the group's owner. Times are on the owner's clock. */
 export interface TargetView {
   readonly status: TargetStatus;
-  /** When the request that brought `status` was sent: the status is no older. */
+  /** When the request for `status` was sent. The status is at least as recent. */
   readonly askedAt: number;
   readonly answeredAt: number;
   readonly missedProbes: number;
 }
 
-/** A group as its owner sees it. */
+/** The last known state of a group at its owner. */
 export interface GroupView {
   readonly group: string;
-  /** The name of the primary that the owner believes in, with its term. */
+  /** The target that the owner takes for the primary, with its term. */
   readonly primary?: { readonly target: string; readonly term: Term };
   readonly targets: Readonly<Record<string, TargetView | undefined>>;
 }
 
-/** The smallest number of targets of which any two sets meet. */
+/** The size of a majority of `targetCount` targets: any two sets of that size share a target. */
 export function countMajority(targetCount: number): number {
   return Math.floor(targetCount / 2) + 1;
 }
--- a/src/model/team.ts
+++ b/src/model/team.ts
@@ -1,20 +1,20 @@
-/** What a team pays for. Trial teams never crowd out paying ones. */
+/** A team's plan. Trial teams must not displace the requests of paying ones. */
 export type Plan = "trial" | "paying";
 
-/** How many operations a team may begin, counted over all proxies. */
+/** How many operations a team may start, counted over all proxies. */
 export interface TeamRate {
-  /** Operations a second in the long run. */
+  /** Sustained operations per second. */
   readonly perSecond: number;
-  /** Operations that may come at once beyond that. */
+  /** Operations that may be started at once in addition. */
   readonly burst: number;
 }
 
-/** A customer's team. The roster lists all of them. */
+/** A customer's team. The configuration lists all of them. */
 export interface Team {
   readonly name: string;
   readonly plan: Plan;
-  /** Secrets by which its callers say whose they are; none where callers are told apart otherwise. */
+  /** Secrets by which its callers authenticate; absent where callers are identified by other means. */
   readonly keys?: readonly string[];
-  /** Absent where nothing bounds it. */
+  /** Absent when the team's rate is not limited. */
   readonly rate?: TeamRate;
 }
--- a/src/model/term.ts
+++ b/src/model/term.ts
@@ -1,14 +1,14 @@
 /**
- * A period in which one target may act as primary of its group. The round grows with every
- * election; the name of the VM that opened the term makes it unique, so two rival promoters can
- * never open the same one.
+ * A period in which at most one target may act as primary of its group. The round increases with
+ * every election. Two VMs that elect a primary at the same time may choose the same round, but never
+ * the same term, since a term also has the name of the VM that opened it.
  */
 export interface Term {
   readonly round: number;
   readonly vm: string;
 }
 
-/** The term before any election. */
+/** The term in force before the first election. */
 export const firstTerm: Term = { round: 0, vm: "" };
 
 /** Orders terms by round, then by VM name. Negative when `a` is the older one. */
@@ -18,18 +18,18 @@
   return a.vm < b.vm ? -1 : 1;
 }
 
-/** Opens the term that follows every one of `seen`, in the name of `vm`. */
+/** Creates a term of `vm` that is greater than every one of `seen`. */
 export function openTerm(vm: string, seen: readonly Term[]): Term {
   const highest = seen.reduce((round, term) => Math.max(round, term.round), 0);
   return { round: highest + 1, vm };
 }
 
-/** Writes a term as `round.vm`, the form of tokens, logs and the target's control functions. */
+/** Formats a term as `round.vm`, as in session tokens, logs and a target's control functions. */
 export function formatTerm(term: Term): string {
   return `${term.round}.${term.vm}`;
 }
 
-/** Reads what `formatTerm` wrote; `undefined` when the text is no term. */
+/** Parses the format of `formatTerm`; `undefined` when the text is not a valid term. */
 export function parseTerm(text: string): Term | undefined {
   const dot = text.indexOf(".");
   const round = Number(text.slice(0, dot));
--- a/src/model/topology.ts
+++ b/src/model/topology.ts
@@ -1,4 +1,4 @@
-/** Where a process of the system or a target listens. */
+/** The network address on which a proxy or a target listens. */
 export interface Address {
   readonly host: string;
   readonly port: number;
@@ -9,7 +9,7 @@
   readonly name: string;
 }
 
-/** A machine of the platform that runs one proxy. `leaving` is the platform's word, which lags. */
+/** A machine of the platform that runs one proxy. `state` is reported by the platform, with a delay. */
 export interface Vm {
   readonly name: string;
   readonly dataCentre: string;
@@ -17,20 +17,20 @@
   readonly state: "live" | "leaving";
 }
 
-/** One database server of a group. Rates and limits are those of the platform. */
+/** One database server of a group. The platform sets its limits. */
 export interface Target {
   readonly name: string;
   readonly dataCentre: string;
   readonly address: Address;
-  /** Statements it works on at once. */
+  /** How many statements it executes at the same time. */
   readonly slots: number;
-  /** Connections it accepts, from all proxies together. */
+  /** How many connections it accepts, counted over all proxies. */
   readonly connections: number;
-  /** The platform is taking it away: it gets no new work. Absent means that it stays. */
+  /** True while the platform is removing the target, which then gets no new work. Absent means false. */
   readonly isLeaving?: boolean;
 }
 
-/** A database group: one logical database on several targets, of which one is primary. */
+/** A logical database on several targets: one primary and its replicas. */
 export interface Group {
   readonly name: string;
   readonly targets: readonly Target[];
--- a/src/model/verdict.ts
+++ b/src/model/verdict.ts
@@ -1,13 +1,13 @@
 /**
- * Whether a request that failed may have run. `notRun` is a promise: no byte of the request reached
- * a target, or the target's transaction is known to have been rolled back.
+ * Whether a failed request may have run. `notRun` is a guarantee: no byte of the request reached a
+ * target, or the target's transaction is known to have been rolled back.
  */
 export type Verdict =
   | { readonly type: "notRun"; readonly reason: NotRunReason; readonly retryAfterMs: number }
   | { readonly type: "mayHaveRun"; readonly reason: string }
   | { readonly type: "ran" };
 
-/** Why a request was given up before it ran. Each has one SQLSTATE. */
+/** Why a request was refused or given up before it ran. `findSqlState` gives the SQLSTATE of each. */
 export type NotRunReason =
   | "refusedByRule"
   | "queueFull"
@@ -21,10 +21,10 @@
   | "storeDown"
   | "tooManyConnections";
 
-/** SQLSTATE of a request that may have run: transaction_resolution_unknown. */
+/** The SQLSTATE of a request that may have run: transaction_resolution_unknown. */
 export const mayHaveRunSqlState = "08007";
 
-/** The SQLSTATE that a caller sees for a request that has not run: class 53 or 57. */
+/** The SQLSTATE that a caller gets for a request that has not run: class 53 or 57. */
 export function findSqlState(reason: NotRunReason): string {
   switch (reason) {
     case "refusedByRule":
