--- a/src/filter/chain.ts
+++ b/src/filter/chain.ts
@@ -1,15 +1,15 @@
 import type { Outcome } from "../model/index.js";
 
-/** Runs the rest of the chain on a context and gives the request's outcome. */
+/** Runs the rest of the chain and resolves with the request's outcome. */
 export type Next<C> = (context: C) => Promise<Outcome>;
 
-/** One step of a request's way: it answers itself, or changes the context and calls `next`. */
+/** One step in the processing of a request: it answers it, or calls `next`, perhaps with a changed context. */
 export interface Filter<C> {
   readonly name: string;
   apply(context: C, next: Next<C>): Promise<Outcome>;
 }
 
-/** Puts filters in order; the last of them must answer. */
+/** Chains filters in order. The last one must answer the request; otherwise the promise rejects. */
 export function composeFilters<C>(filters: readonly Filter<C>[]): Next<C> {
   return filters.reduceRight<Next<C>>(
     (next, filter) => (context) => filter.apply(context, next),
--- a/src/filter/retry.ts
+++ b/src/filter/retry.ts
@@ -7,31 +7,37 @@
   type RetryBudget,
 } from "../policy/index.js";
 
-/** How long the records of keyed writes are kept at the least, in milliseconds. */
+/** The minimum time for which the records of keyed writes are kept. */
 const retentionMs = 24 * 60 * 60 * 1000;
 
 type FailedOutcome = Extract<Outcome, { type: "failed" }>;
 
-/** What is tried, and what decides whether it may be tried again. */
+/** A request to run, and what decides whether it may be tried again. */
 export interface RetryOperation {
   readonly request: Request;
   readonly signal: AbortSignal;
-  /** Runs the given try; the first is 1. */
-  readonly run: (tries: number) => Promise<Outcome>;
-  /** Whether this place tries again after such a verdict; others may, elsewhere. */
+  /** Runs one attempt; `attempt` counts from 1. */
+  readonly run: (attempt: number) => Promise<Outcome>;
+  /**
+   * Whether a failure with this verdict is retried here. Others are retried by another process or
+   * returned at once.
+   */
   readonly canRetryHere: (verdict: Verdict) => boolean;
-  /** Whether a part of the answer has gone to the caller. */
+  /** Whether a part of the answer has been sent to the caller. */
   readonly hasAnswerBegun: () => boolean;
   readonly onRetry: (outcome: FailedOutcome, delayMs: number) => void;
 }
 
-/** Whether a request may run twice: reads, and writes whose key finds the first run's record. */
+/**
+ * Whether a request may be sent twice: a read, or a write with an idempotency key outside an
+ * interactive transaction, whose repeat finds the record of the first run.
+ */
 export function isIdempotent({ traits, idempotency }: Request): boolean {
   if (traits.effect === "read") return true;
   return idempotency !== undefined && !traits.transaction;
 }
 
-/** Tries requests again within their rules' attempts and one budget of retries. */
+/** Retries requests within the limits of their rules and a retry budget that all of them share. */
 export class Retrier {
   private budget: RetryBudget = fullRetryBudget;
 
@@ -41,43 +47,42 @@
   ) {}
 
   /**
-   * Runs a trial until it is answered or given up. Once a try may have run, the request may have run
-   * whatever the later tries say: that one of them did not run is no news of the first.
+   * Runs a request until it is answered or given up. Once an attempt may have run, the outcome remains
+   * that the request may have run: a later attempt that did not run says nothing about the earlier one.
    */
-  async run(trial: RetryOperation): Promise<Outcome> {
+  async run(operation: RetryOperation): Promise<Outcome> {
     this.budget = recordFirstAttempt(this.budget);
     const startedAt = this.clock.now();
     let unknown: FailedOutcome | undefined;
-    for (let tries = 1; ; tries += 1) {
-      const outcome = await trial.run(tries);
+    for (let attempt = 1; ; attempt += 1) {
+      const outcome = await operation.run(attempt);
       if (outcome.type === "answered") return outcome;
       if (outcome.verdict.type === "mayHaveRun") unknown ??= outcome;
-      const delayMs = this.plan(trial, outcome.verdict, tries, startedAt);
+      const delayMs = this.planDelayMs(operation, outcome.verdict, attempt, startedAt);
       if (delayMs === undefined) return unknown ?? outcome;
-      trial.onRetry(outcome, delayMs);
-      await this.clock.sleep(delayMs, trial.signal).catch(() => undefined);
-      if (trial.signal.aborted) return unknown ?? outcome;
+      operation.onRetry(outcome, delayMs);
+      await this.clock.sleep(delayMs, operation.signal).catch(() => undefined);
+      if (operation.signal.aborted) return unknown ?? outcome;
     }
   }
 
-  /** The delay before the next try, or nothing when there is none. */
-  private plan(
-    { request, canRetryHere: isOurs, hasAnswerBegun: hasBegun }: RetryOperation,
+  /** The delay before the next attempt; `undefined` when the request is not retried. */
+  private planDelayMs(
+    { request, canRetryHere, hasAnswerBegun }: RetryOperation,
     verdict: Verdict,
-    tries: number,
+    attempts: number,
     startedAt: number,
   ): number | undefined {
-    if (!isOurs(verdict)) return undefined;
+    if (!canRetryHere(verdict)) return undefined;
     const now = this.clock.now();
-    const sinceFirstTryMs = now - startedAt;
+    const sinceFirstAttemptMs = now - startedAt;
     const canRepeat =
-      isIdempotent(request) &&
-      canRetryKeyedWrite({ verdict, sinceFirstAttemptMs: sinceFirstTryMs, retentionMs });
+      isIdempotent(request) && canRetryKeyedWrite({ verdict, sinceFirstAttemptMs, retentionMs });
     const failed = {
       verdict,
       effect: canRepeat ? "read" : request.traits.effect,
-      isAnswerBegun: hasBegun(),
-      attempts: tries,
+      isAnswerBegun: hasAnswerBegun(),
+      attempts,
       limit: request.action.retry,
       timeLeftMs: request.deadlineAt - now,
     } as const;
--- a/test/filter/retry.test.ts
+++ b/test/filter/retry.test.ts
@@ -33,15 +33,15 @@
 const unknown: Verdict = { type: "mayHaveRun", reason: "lost while committing" };
 const notRun: Verdict = { type: "notRun", reason: "noPrimary", retryAfterMs: 10 };
 
-let tried = 0;
+let lastAttempt = 0;
 
-function runTries(verdicts: readonly Verdict[], asked: Request): Promise<Outcome> {
+function runAttempts(verdicts: readonly Verdict[], request: Request): Promise<Outcome> {
   return new Retrier(clock, { draw: () => 0 }).run({
-    request: asked,
+    request,
     signal: new AbortController().signal,
-    run: (tries) => {
-      tried = tries;
-      return Promise.resolve(failWith(verdicts[tries - 1] ?? notRun));
+    run: (attempt) => {
+      lastAttempt = attempt;
+      return Promise.resolve(failWith(verdicts[attempt - 1] ?? notRun));
     },
     canRetryHere: () => true,
     hasAnswerBegun: () => false,
@@ -49,15 +49,15 @@
   });
 }
 
-// The answer to a keyed write's commit is lost, and its repeat meets a group without a primary.
-// The repeat did not run, but the first try may have: a caller that heard "not run" could book the
-// cello elsewhere while this family has it already.
-test("a request that may have run once is never told not to have run", async () => {
-  expect(await runTries([unknown, notRun], keyed)).toMatchObject({ verdict: unknown });
+// The answer to a keyed write's commit is lost, and its retry finds the group without a primary.
+// The retry did not run, but the first attempt may have. A caller that is told "not run" could repeat
+// the write elsewhere, and it would take effect twice.
+test("a request of which an attempt may have run is never reported as not run", async () => {
+  expect(await runAttempts([unknown, notRun], keyed)).toMatchObject({ verdict: unknown });
 });
 
-// Without a key a repeat could run a second time.
-test("a write without a key that may have run is not tried again", async () => {
-  expect(await runTries([unknown, notRun], unkeyed)).toMatchObject({ verdict: unknown });
-  expect(tried).toBe(1);
+// Without a key nothing keeps a retry from running the write a second time.
+test("a write without a key that may have run is not retried", async () => {
+  expect(await runAttempts([unknown, notRun], unkeyed)).toMatchObject({ verdict: unknown });
+  expect(lastAttempt).toBe(1);
 });
