--- a/src/session/session.ts
+++ b/src/session/session.ts
@@ -9,36 +9,39 @@
 } from "../model/index.js";
 import type { SessionToken } from "./token.js";
 
-/** A statement that the caller prepared by name. */
+/** A statement that the caller has prepared under a name. */
 export interface PreparedStatement {
   /** The statement without its tags. */
   readonly statement: string;
   readonly tags: ReadonlyMap<string, string>;
-  /** The caller's `Parse` message, whole. */
+  /** The caller's complete `Parse` message. */
   readonly message: Uint8Array;
 }
 
-/** What the proxy knows of one caller between its requests. Changed only by `applyStep`. */
+/** The state of a caller's session between its requests. Immutable; `applyStep` creates the next one. */
 export interface Session {
   readonly team: Team;
   readonly group: string;
   readonly marks: ReadonlyMap<string, Mark>;
-  /** False when the session has seen more than `marks` tells: groups without a mark then want the latest. */
+  /**
+   * False when the session may have seen groups that `marks` lacks. Reads of a group without a mark must
+   * then see the latest data.
+   */
   readonly isComplete: boolean;
   readonly statements: ReadonlyMap<string, PreparedStatement>;
   readonly statementBytes: number;
   readonly kind: string | undefined;
-  /** Names the next write, which uses it up. */
+  /** The key of the next write, which clears it. */
   readonly idempotencyKey: string | undefined;
 }
 
-/** Bounds of what one session may keep. */
+/** Limits of the prepared statements of one session. */
 export interface SessionLimits {
   readonly maxStatements: number;
   readonly maxStatementBytes: number;
 }
 
-/** Bounds that suit drivers' statement caches. */
+/** Large enough for the statement caches of common drivers. */
 export const defaultSessionLimits: SessionLimits = {
   maxStatements: 1000,
   maxStatementBytes: 1024 * 1024,
@@ -46,10 +49,11 @@
 
 /** A change to a session. */
 export type SessionStep =
+  /** Later reads of the group must see `mark`. */
   | { readonly type: "see"; readonly group: string; readonly mark: Mark }
-  /** Takes over what another session of the team has seen. */
+  /** Adds the marks of another session of the same team. */
   | { readonly type: "join"; readonly token: SessionToken }
-  /** A token was presented that can't be relied on. */
+  /** A token was rejected: what the caller has seen before is not known. */
   | { readonly type: "joinUnknown" }
   | { readonly type: "prepare"; readonly name: string; readonly statement: PreparedStatement }
   | { readonly type: "closeStatement"; readonly name: string }
@@ -57,17 +61,17 @@
   | { readonly type: "setKind"; readonly kind?: string }
   | { readonly type: "setIdempotencyKey"; readonly key?: string };
 
-/** What is to be done outside after a step. */
+/** What the caller of `applyStep` must do: send the session's new token to the client. */
 export interface SessionEffect {
-  readonly type: "tellToken";
+  readonly type: "sendToken";
 }
 
-/** Why a step does not apply. */
+/** Why a step fails. */
 export type SessionFailure = "statementExists" | "statementsFull" | "otherTeam" | "settingTooLong";
 
 const maxSettingLength = 256;
 
-/** A session at its start. */
+/** Creates a session that has seen nothing yet. */
 export function createSession(team: Team, group: string): Session {
   return {
     team,
@@ -81,7 +85,7 @@
   };
 }
 
-/** Applies one step. */
+/** Applies one step and returns the next session, or why the step fails. */
 export function applyStep(
   session: Session,
   step: SessionStep,
@@ -108,7 +112,7 @@
   }
 }
 
-/** What a session takes along, for `signToken`. */
+/** Returns the content of the session's token, for `signToken`. */
 export function getTokenContent(session: Session): SessionToken {
   return { team: session.team.name, marks: session.marks, isComplete: session.isComplete };
 }
@@ -119,17 +123,17 @@
   isComplete: boolean,
 ): StepResult<Session, SessionEffect, SessionFailure> {
   const marks = new Map(session.marks);
-  let grew = isComplete !== session.isComplete;
+  let hasChanged = isComplete !== session.isComplete;
   for (const [group, mark] of seen) {
-    const before = marks.get(group);
-    if (before !== undefined && compareMarkOrder(before, mark) >= 0) continue;
-    // Set anew, the group moves to the end: a full token leaves out those seen longest ago.
+    const known = marks.get(group);
+    if (known !== undefined && compareMarkOrder(known, mark) >= 0) continue;
+    // Reinserting moves the group to the end: a full token leaves out the groups seen longest ago.
     marks.delete(group);
-    marks.set(group, before === undefined ? mark : pickLaterMark(before, mark));
-    grew = true;
+    marks.set(group, known === undefined ? mark : pickLaterMark(known, mark));
+    hasChanged = true;
   }
-  if (!grew) return succeed(session);
-  return succeed({ ...session, marks, isComplete }, [{ type: "tellToken" }]);
+  if (!hasChanged) return succeed(session);
+  return succeed({ ...session, marks, isComplete }, [{ type: "sendToken" }]);
 }
 
 function prepareStatement(
@@ -139,12 +143,12 @@
   limits: SessionLimits,
 ): StepResult<Session, SessionEffect, SessionFailure> {
   if (name !== "" && session.statements.has(name)) return fail("statementExists");
-  const rest = closeStatement(session, name);
-  const statementBytes = rest.statementBytes + countBytes(name, statement);
-  const isFull = rest.statements.size >= limits.maxStatements;
+  const remaining = closeStatement(session, name);
+  const statementBytes = remaining.statementBytes + countBytes(name, statement);
+  const isFull = remaining.statements.size >= limits.maxStatements;
   if (isFull || statementBytes > limits.maxStatementBytes) return fail("statementsFull");
-  const statements = new Map(rest.statements).set(name, statement);
-  return succeed({ ...rest, statements, statementBytes });
+  const statements = new Map(remaining.statements).set(name, statement);
+  return succeed({ ...remaining, statements, statementBytes });
 }
 
 function closeStatement(session: Session, name: string): Session {
--- a/src/session/token.ts
+++ b/src/session/token.ts
@@ -1,19 +1,22 @@
 import { createHmac, timingSafeEqual } from "node:crypto";
 import { formatMark, type Mark, parseMark } from "../model/index.js";
 
-/** What a session takes along when it moves to another proxy. */
+/** The content of a token, by which a session continues at another proxy. */
 export interface SessionToken {
   readonly team: string;
-  /** By group, what the session must see there. */
+  /** By group, what the session's reads must see. */
   readonly marks: ReadonlyMap<string, Mark>;
-  /** Whether every group that the session has used is listed. */
+  /** Whether `marks` has every group that the session has used. */
   readonly isComplete: boolean;
 }
 
-/** A secret that signs tokens, the same on every proxy of the fleet. */
+/** A secret that signs tokens; all proxies must have the same keys. */
 export type TokenKey = Uint8Array;
 
-/** Outcome of checking a token. A token of another team counts as unknown to the caller. */
+/**
+ * The result of checking a token's format and signature. The team is not checked here: `applyStep`
+ * fails for a token of another team, which is then treated like a rejected one.
+ */
 export type TokenCheck =
   | { readonly type: "verified"; readonly token: SessionToken }
   | { readonly type: "rejected"; readonly reason: "malformed" | "version" | "signature" };
@@ -23,7 +26,11 @@
 const maxTokenLength = 4096;
 const maxGroups = 32;
 
-/** Signs a token with the first of `keys`. Marks beyond the bound are left out and said to be. */
+/**
+ * Encodes a token and signs it with the first of `keys`. Marks beyond the limits of 32 groups and 4096
+ * characters are left out, the oldest first, and the token is then marked incomplete. Throws
+ * `RangeError` without a key.
+ */
 export function signToken(token: SessionToken, keys: readonly TokenKey[]): string {
   const [key] = keys;
   if (key === undefined) throw new RangeError("a session token needs a key");
@@ -35,7 +42,10 @@
   }
 }
 
-/** Checks a token against every key, so that keys can be changed while old tokens are about. */
+/**
+ * Decodes a token that one of `keys` has signed. All keys are tried, so that a key can be replaced
+ * while tokens signed with the previous one are still in use.
+ */
 export function verifyToken(text: string, keys: readonly TokenKey[]): TokenCheck {
   if (text.length > maxTokenLength || !/^[\w-]+$/.test(text)) return reject("malformed");
   const bytes = Buffer.from(text, "base64url");
@@ -60,7 +70,7 @@
 }
 
 function decodeBody(body: Buffer): TokenCheck {
-  // The signature shows that a proxy wrote this; the checks below only mind its own mistakes.
+  // The signature proves that a proxy wrote the body; these checks only guard against its bugs.
   const value: unknown = JSON.parse(body.toString());
   if (!Array.isArray(value)) return reject("malformed");
   const [team, complete, ...entries] = value as readonly unknown[];
--- a/test/session/session.test.ts
+++ b/test/session/session.test.ts
@@ -27,7 +27,7 @@
 const statement = { statement: "select 1", tags: new Map<string, string>(), message: Buffer.of(1) };
 const prepare = (name: string): SessionStep => ({ type: "prepare", name, statement });
 
-test("a session's marks never go back, in whatever order they come", () => {
+test("a session's marks never decrease, in whatever order they are seen", () => {
   const marks = fc.array(fc.tuple(fc.nat({ max: 3 }), fc.nat({ max: 9 })), { minLength: 1 });
   fc.assert(
     fc.property(marks, (list) => {
@@ -42,20 +42,20 @@
   );
 });
 
-test("the token is told only when a mark grew", () => {
+test("a new token is sent only after a mark has increased", () => {
   const step = { type: "see", group: "g", mark: mark(1, 1) } as const;
-  expect(applyStep(start, step)).toMatchObject({ effects: [{ type: "tellToken" }] });
+  expect(applyStep(start, step)).toMatchObject({ effects: [{ type: "sendToken" }] });
   expect(applyStep(apply(start, step), step)).toMatchObject({ effects: [] });
 });
 
-test("a token carries the marks to another proxy, also under the key before", () => {
+test("a token carries the marks to another proxy, also when signed with the previous key", () => {
   const session = apply(start, { type: "see", group: "g", mark: mark(2, 7) });
   const text = signToken(getTokenContent(session), keys.slice(1));
   expect(verifyToken(text, keys)).toEqual({ type: "verified", token: getTokenContent(session) });
   expect(verifyToken(text, keys.slice(0, 1))).toEqual({ type: "rejected", reason: "signature" });
 });
 
-test("no changed token passes", () => {
+test("a modified token is rejected", () => {
   const text = signToken(
     getTokenContent(apply(start, { type: "see", group: "g", mark: mark(2, 7) })),
     keys,
@@ -72,9 +72,9 @@
 });
 
 // A session has used more groups than a token may list and moves to another proxy.
-// The token leaves out the groups used longest ago and says so. Without that the other proxy would
-// serve their next reads from any replica, and the caller would miss its own work.
-test("a full token says that it is not complete", () => {
+// The token leaves out the groups used longest ago and must be marked incomplete. Otherwise the other
+// proxy would serve reads of these groups from any replica, and the caller would miss its own writes.
+test("a full token is marked incomplete", () => {
   const groups = Array.from({ length: 40 }, (_, i) => `group-${i}`);
   const session = apply(
     start,
@@ -87,7 +87,7 @@
   expect(apply(start, { type: "join", token: check.token }).isComplete).toBe(false);
 });
 
-test("a token of another team is not taken over", () => {
+test("a token of another team is rejected", () => {
   const token = { team: "other", marks: new Map(), isComplete: true };
   expect(applyStep(start, { type: "join", token })).toEqual({
     type: "failed",
@@ -95,7 +95,7 @@
   });
 });
 
-test("prepared statements are bounded, and closing gives their room back", () => {
+test("prepared statements are limited, and closing one frees its share of the limit", () => {
   const full = apply(start, prepare("a"), prepare("b"));
   expect(applyStep(full, prepare("a"))).toMatchObject({ failure: "statementExists" });
   expect(() => apply(full, prepare("c"))).toThrow("statementsFull");
