--- a/src/statement/command.ts
+++ b/src/statement/command.ts
@@ -2,47 +2,47 @@
 import type { PreparedDefinition, Work } from "./statement.js";
 import type { Reply } from "./reply.js";
 
-/** What is sent to a target on one connection. */
+/** A command to a target on one connection. */
 export type TargetCommand =
-  /** With `atLeast`, refused unless the target's log holds that mark. */
+  /** With `atLeast`, the target refuses unless its log holds that mark. */
   | { readonly type: "begin"; readonly isReadOnly: boolean; readonly atLeast?: Mark }
   | { readonly type: "rollback" }
-  /** Clears the connection's values and prepared statements. */
+  /** Clears the session values and prepared statements of the connection. */
   | { readonly type: "reset" }
   | { readonly type: "set"; readonly name: string; readonly value: string }
   | { readonly type: "prepare"; readonly prepared: PreparedDefinition }
   | { readonly type: "work"; readonly work: Work; readonly atLeast?: Mark }
   | { readonly type: "commit"; readonly id: string; readonly text: string }
   | { readonly type: "status" }
-  /** Makes a primary of an older term a replica. */
+  /** Makes the target a replica if it is the primary of a round before `round`. */
   | { readonly type: "demote"; readonly round: number };
 
-/** What came of a command. */
+/** The result of a command. */
 export type CommandResult =
   | { readonly type: "answered"; readonly reply: Reply }
-  /** The connection broke or was given up. `sent`: the command may have reached the target. */
+  /** The connection broke or was abandoned. `sent`: the command may have reached the target. */
   | { readonly type: "broken"; readonly sent: boolean; readonly reason: string };
 
-/** One connection to a target. One command at a time. */
+/** A connection to a target. It carries one command at a time. */
 export interface TargetLink {
   readonly target: string;
   readonly isUsable: boolean;
   /** Where the target's log ended when the connection was opened. */
   readonly openedAt: Mark | undefined;
   /**
-   * Never rejects. Without an answer in `timeoutMs` the connection is closed, so that a late one
-   * reaches nobody.
+   * Never rejects. Without an answer in `timeoutMs` the connection is closed, so that a late answer
+   * can't be taken for that of a later command.
    */
   run(command: TargetCommand, timeoutMs: number): Promise<CommandResult>;
   close(): void;
 }
 
-/** What a target says of itself. */
+/** The status that a target reports. */
 export interface TargetReport {
   readonly role: "primary" | "replica";
-  /** Where its log ends, as far as it has received it. */
+  /** The end of the log that it has received. */
   readonly received: Mark;
-  /** The highest term that it was told of. */
+  /** The highest round of a term that it has been told of. */
   readonly round: number;
   readonly lagMs: number;
 }
--- a/src/statement/reply.ts
+++ b/src/statement/reply.ts
@@ -1,27 +1,27 @@
 import type { Mark } from "../model/index.js";
 
-/** Why a statement failed. See `isNotRun` for what each promises. */
+/** Why a statement failed. `isNotRun` tells which codes guarantee that it did not run. */
 export type ErrorCode =
-  /** Nothing ran: the target or the proxy has no capacity for it now. */
+  /** Nothing ran: the target or the proxy has no capacity for the statement. */
   | "busy"
-  /** The transaction was rolled back; nothing of it is kept. */
+  /** The transaction was rolled back completely. */
   | "aborted"
-  /** Nothing ran: the target's log does not yet hold the position asked for. */
+  /** Nothing ran: the target's log does not hold the required position yet. */
   | "lagging"
-  /** Nothing ran: the target is not primary. */
+  /** Nothing ran: the target is not the primary. */
   | "readOnly"
-  /** Nothing ran: the connection reached another target than the one meant. */
+  /** Nothing ran: the connection reached another target than the intended one. */
   | "wrongTarget"
   /** Nothing ran: the target accepts no more connections. */
   | "tooManyConnections"
-  /** Nothing ran: no statement was prepared under this name. */
+  /** Nothing ran: no statement is prepared under this name. */
   | "unknownStatement"
-  /** Nothing ran: no such database. */
+  /** Nothing ran: the database does not exist. */
   | "unknownDatabase"
   | "tooLarge"
   | "malformed"
   | "denied"
-  /** It ran and failed. */
+  /** The statement ran and failed. */
   | "failed"
   /** It may have run. */
   | "timeout"
@@ -50,27 +50,27 @@
   return Object.hasOwn(errorCodes, word);
 }
 
-/** Idle, in a transaction, or in one that failed and can only be ended. */
+/** The transaction state of a session. A `failed` transaction can only be ended. */
 export type SessionState = "idle" | "transaction" | "failed";
 
-/** How a statement ended. `signature` is the target's proof that it ran there. */
+/** How a statement ended. `signature` is the target's proof that the statement ran there. */
 export type ReplyEnd =
   | { readonly type: "complete"; readonly signature: string }
   | { readonly type: "error"; readonly code: ErrorCode; readonly text: string };
 
-/** The whole answer to one statement. */
+/** The complete answer to one statement. */
 export interface Reply {
   readonly rows: readonly string[];
   readonly end: ReplyEnd;
   readonly state: SessionState;
-  /** Where the log of the target that answered ends. */
+  /** The end of the log of the target that answered. */
   readonly mark?: Mark;
 }
 
-/** The signature of what the proxy answers itself. */
+/** The signature in replies that the proxy gives without a target. */
 export const proxySignature = "-";
 
-/** Whether a target's error says that this statement did not run there. */
+/** Whether an error code guarantees that the statement did not run, or was rolled back. */
 export function isNotRun(code: ErrorCode): boolean {
   switch (code) {
     case "busy":
@@ -92,12 +92,12 @@
   }
 }
 
-/** An answer that the proxy gives without a target. */
+/** Creates a successful reply of the proxy itself, without a target. */
 export function completeLocally(state: SessionState): Reply {
   return { rows: [], end: { type: "complete", signature: proxySignature }, state };
 }
 
-/** An error that the proxy gives without a target, or in place of a target's. */
+/** Creates an error reply of the proxy itself, without a target or in place of a target's reply. */
 export function failLocally(code: ErrorCode, text: string, state: SessionState): Reply {
   return { rows: [], end: { type: "error", code, text }, state };
 }
--- a/src/statement/statement.ts
+++ b/src/statement/statement.ts
@@ -1,8 +1,8 @@
 import type { Effect } from "../model/index.js";
 
 /**
- * One statement of a caller whose protocol sends opaque work with an id. `text` is what the target
- * gets to see, unchanged.
+ * A statement of a caller whose protocol sends opaque work with an id. `text` is passed to the target
+ * unchanged.
  */
 export type Statement =
   | { readonly type: "begin"; readonly id: string; readonly isReadOnly: boolean }
@@ -30,13 +30,13 @@
     }
   | { readonly type: "deallocate"; readonly id: string; readonly name: string };
 
-/** What a prepared statement does. Two with the same effect and shape are the same. */
+/** The definition of a prepared statement. Two with the same effect and shape are interchangeable. */
 export interface PreparedDefinition {
   readonly effect: Effect;
   readonly shape: string;
 }
 
-/** What a statement became once the session's names are resolved: work for a target. */
+/** Work for a target: a statement in which the session's name of a prepared statement is resolved. */
 export type Work =
   | {
       readonly type: "access";
@@ -51,7 +51,7 @@
       readonly argument: string;
     };
 
-/** The effect of a piece of work. */
+/** Whether a piece of work reads or writes. */
 export function findEffect(work: Work): Effect {
   return work.type === "access" ? work.effect : work.prepared.effect;
 }
