--- a/src/owner/group.ts
+++ b/src/owner/group.ts
@@ -156,7 +156,7 @@
     const demand = {
       route: request.action.route,
       timeLeftMs: request.deadlineAt - now,
-      patienceMs,
+      maxReplicaWaitMs: patienceMs,
       ...(request.mark === undefined ? {} : { mark: request.mark }),
     };
     return routeRead(demand, this.routing.buildReadScene(this.getView(), queue, now));
