--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -79,8 +79,8 @@
     invariant: "Two transactions never mix on one connection",
     safeguard: "a connection with an open transaction stays with its conversation",
     file: "src/owner/filters/connect.ts",
-    find: '  else if (outcome.status === "I") connection.giveBack();',
-    put: "  else if (outcome.status.length > 0) connection.giveBack();",
+    find: '  else if (outcome.status === "I") connection.release();',
+    put: "  else if (outcome.status.length > 0) connection.release();",
     tests: "test/owner/serve",
   },
   {
@@ -102,7 +102,7 @@
   {
     invariant: "A leaving target gets no new work",
     safeguard: "a leaving target is no candidate",
-    file: "src/owner/scene.ts",
+    file: "src/owner/routing.ts",
     find: 'if (target.isLeaving === true) return "leaving";',
     put: "",
     also: { file: "src/owner/group.ts", find: "this.pools.get(name)?.drain();", put: "" },
--- a/src/capacity/index.ts
+++ b/src/capacity/index.ts
@@ -1,5 +1,5 @@
 export {
-  type ConnectionTaken,
+  type AcquireResult,
   type HeldConnection,
   type PooledSession,
   type PoolPorts,
--- a/src/capacity/pool.ts
+++ b/src/capacity/pool.ts
@@ -12,7 +12,7 @@
 import { Waiters } from "./waiters.js";
 
 /** Between two notes of progress on one connection, at the least, in milliseconds. */
-const progressMs = 50;
+const progressIntervalMs = 50;
 const refusedRetryMs = 100;
 
 /** What a pool needs of a connection. */
@@ -32,7 +32,7 @@
   /** An empty exchange: a connection that something between the ends has forgotten stays silent. */
   check(session: S, signal: AbortSignal): Promise<boolean>;
   /** Whether the target refused a connection because it has too many. */
-  isTooMany(error: unknown): boolean;
+  isTooManyConnections(error: unknown): boolean;
 }
 
 /** What a pool may be told besides. */
@@ -43,7 +43,7 @@
 }
 
 /** What came of asking for a connection. */
-export type ConnectionTaken<S extends PooledSession> =
+export type AcquireResult<S extends PooledSession> =
   | { readonly type: "granted"; readonly connection: HeldConnection<S> }
   | { readonly type: "refused"; readonly reason: NotRunReason; readonly retryAfterMs: number };
 
@@ -53,7 +53,7 @@
   /** Notes that bytes of an answer came, so that the connection does not count as silent. */
   noteProgress(): void;
   /** Back to the pool: its last exchange ended idle and nothing is in flight. */
-  giveBack(): void;
+  release(): void;
   /** Closes it: an answer that is still on its way must reach nobody. */
   drop(): void;
 }
@@ -62,10 +62,10 @@
 export class TargetPool<S extends PooledSession> implements Disposable {
   private pool: Pool;
   private readonly sessions = new Map<string, S>();
-  private readonly waiters = new Waiters<ConnectionTaken<S>>();
-  private readonly ended = new AbortController();
+  private readonly waiters = new Waiters<AcquireResult<S>>();
+  private readonly disposal = new AbortController();
   private readonly ticker: Ticker;
-  private nextWaiter = 1;
+  private nextWaiterNumber = 1;
 
   constructor(
     private readonly ports: PoolPorts<S>,
@@ -79,9 +79,9 @@
   }
 
   /** Waits for a connection until `deadlineAt`; with a team's name for one that serves this team alone. */
-  take(deadlineAt: number, signal: AbortSignal, team = ""): Promise<ConnectionTaken<S>> {
-    const waiter = `w${this.nextWaiter}`;
-    this.nextWaiter += 1;
+  acquire(deadlineAt: number, signal: AbortSignal, team = ""): Promise<AcquireResult<S>> {
+    const waiter = `w${this.nextWaiterNumber}`;
+    this.nextWaiterNumber += 1;
     const ask = () => {
       this.apply({ type: "ask", at: this.clock.now(), waiter, team, deadlineAt });
     };
@@ -93,12 +93,12 @@
   }
 
   /** Follows a change of this process's part of the target's connections. */
-  resize(limit: number, largestShare: number): void {
-    this.apply({ type: "resize", at: this.clock.now(), limit, maxShare: largestShare });
+  resize(limit: number, maxShare: number): void {
+    this.apply({ type: "resize", at: this.clock.now(), limit, maxShare: maxShare });
   }
 
   /** Notes that the target turned work away because all its slots were taken. */
-  noteFull(): void {
+  noteSaturated(): void {
     this.apply({ type: "full", at: this.clock.now() });
   }
 
@@ -122,7 +122,7 @@
   }
 
   dispose(): void {
-    this.ended.abort();
+    this.disposal.abort();
     this.ticker.dispose();
     for (const waiter of this.waiters.listIds()) this.refuse(waiter, "draining");
     for (const session of this.sessions.values()) session.close();
@@ -130,12 +130,12 @@
   }
 
   private apply(event: ConnectionEvent): void {
-    if (this.ended.signal.aborted) return;
+    if (this.disposal.signal.aborted) return;
     const applied = applyConnections(this.pool, event);
     if (applied.type === "failed") return;
     this.pool = applied.state;
     for (const effect of applied.effects) this.execute(effect);
-    this.ticker.setNeeded(!this.isQuiet());
+    this.ticker.setRunning(!this.isQuiet());
   }
 
   private execute(effect: ConnectionEffect): void {
@@ -165,7 +165,7 @@
     const timeoutMs = this.pool.settings.openTimeoutMs;
     try {
       const session = await this.ports.open(timeoutMs, team);
-      if (this.ended.signal.aborted || this.pool.connections[connection]?.type !== "opening") {
+      if (this.disposal.signal.aborted || this.pool.connections[connection]?.type !== "opening") {
         session.close();
         this.apply({ type: "gone", at: this.clock.now(), connection });
         return;
@@ -173,7 +173,7 @@
       this.sessions.set(connection, session);
       this.apply({ type: "opened", at: this.clock.now(), connection });
     } catch (error) {
-      const reason = this.ports.isTooMany(error) ? "tooMany" : "failed";
+      const reason = this.ports.isTooManyConnections(error) ? "tooMany" : "failed";
       this.apply({ type: "openFailed", at: this.clock.now(), connection, reason });
     }
   }
@@ -198,22 +198,22 @@
       this.refuse(waiter, "noConnection");
       return;
     }
-    const held = this.createHeld(waiter, connection, session);
+    const held = this.createHeldConnection(waiter, connection, session);
     if (!this.waiters.settle(waiter, { type: "granted", connection: held })) held.drop();
   }
 
-  private createHeld(waiter: string, connection: string, session: S): HeldConnection<S> {
+  private createHeldConnection(waiter: string, connection: string, session: S): HeldConnection<S> {
     let lastNotedAt = -Infinity;
     let isHeld = true;
     return {
       session,
       noteProgress: () => {
         const at = this.clock.now();
-        if (!isHeld || at - lastNotedAt < progressMs) return;
+        if (!isHeld || at - lastNotedAt < progressIntervalMs) return;
         lastNotedAt = at;
         this.apply({ type: "progress", at, connection });
       },
-      giveBack: () => {
+      release: () => {
         if (!isHeld) return;
         isHeld = false;
         const at = this.clock.now();
--- a/src/capacity/slots.ts
+++ b/src/capacity/slots.ts
@@ -57,9 +57,9 @@
   }
 
   /** Sets a target's slots; 0 while it takes no work, with the time when it is expected back. */
-  resize(target: string, role: "primary" | "replica", slots: number, backInMs?: number): void {
-    const back = backInMs === undefined ? {} : { backInMs };
-    this.apply({ type: "resize", at: this.clock.now(), target, role, slots, ...back });
+  resize(target: string, role: "primary" | "replica", slots: number, readyInMs?: number): void {
+    const ready = readyInMs === undefined ? {} : { readyInMs };
+    this.apply({ type: "resize", at: this.clock.now(), target, role, slots, ...ready });
   }
 
   /** Lets other targets serve a request that still waits. */
@@ -77,7 +77,7 @@
   }
 
   /** Requests that wait for a target alone. */
-  countWaitingFor(target: string): number {
+  countWaitingOnlyFor(target: string): number {
     return listWaitingOnlyFor(this.admission, target).length;
   }
 
@@ -86,8 +86,8 @@
   }
 
   /** The wait that the queue implies, in milliseconds. */
-  measureWaitMs(question: RequestProfile): number {
-    return estimateWait(this.admission, question, this.clock.now()).waitMs;
+  estimateWaitMs(request: RequestProfile): number {
+    return estimateWait(this.admission, request, this.clock.now()).waitMs;
   }
 
   summarise(): AdmissionSummary {
@@ -107,7 +107,7 @@
     }
     this.admission = applied.state;
     for (const effect of applied.effects) this.execute(effect);
-    this.ticker.setNeeded(this.waiters.size > 0);
+    this.ticker.setRunning(this.waiters.size > 0);
   }
 
   private execute(effect: AdmissionEffect): void {
--- a/src/capacity/ticker.ts
+++ b/src/capacity/ticker.ts
@@ -13,12 +13,12 @@
 
   constructor(
     private readonly tick: () => void,
-    private readonly everyMs = defaultTickMs,
+    private readonly intervalMs = defaultTickMs,
   ) {}
 
-  setNeeded(isNeeded: boolean): void {
+  setRunning(isNeeded: boolean): void {
     if (!isNeeded) this.dispose();
-    else if (this.timer === undefined) this.wait();
+    else if (this.timer === undefined) this.scheduleTick();
   }
 
   dispose(): void {
@@ -26,15 +26,15 @@
     this.timer = undefined;
   }
 
-  private wait(): void {
-    const sinceLast = performance.now() % this.everyMs;
+  private scheduleTick(): void {
+    const sinceLast = performance.now() % this.intervalMs;
     // Rounded up: a timer that fired before the moment would fire again at it.
     this.timer = setTimeout(
       () => {
-        this.wait();
+        this.scheduleTick();
         this.tick();
       },
-      Math.ceil(this.everyMs - sinceLast),
+      Math.ceil(this.intervalMs - sinceLast),
     ).unref();
   }
 }
--- a/src/controller/admission/step.ts
+++ b/src/controller/admission/step.ts
@@ -164,7 +164,7 @@
   const { target, role, slots, at } = event;
   const known =
     admission.targets[target] ?? createTargetSlots(target, admission.settings.initialServiceMs, at);
-  const slotsExpectedAt = event.backInMs === undefined ? undefined : at + event.backInMs;
+  const slotsExpectedAt = event.readyInMs === undefined ? undefined : at + event.readyInMs;
   const resized = { ...known, role, slots, slotsExpectedAt };
   const next = { ...admission, targets: { ...admission.targets, [target]: resized } };
   return fillSlots(next, target, at);
--- a/src/controller/admission/types.ts
+++ b/src/controller/admission/types.ts
@@ -45,7 +45,7 @@
        * With 0 slots, the time until slots are expected. Requests wait for the target only if it is
        * set.
        */
-      readonly backInMs?: number;
+      readonly readyInMs?: number;
     }
   | { readonly type: "tick"; readonly at: number };
 
--- a/src/direct/group.ts
+++ b/src/direct/group.ts
@@ -1,4 +1,4 @@
-import { SlotQueue, TargetPool, type ConnectionTaken, type SlotResult } from "../capacity/index.js";
+import { SlotQueue, TargetPool, type AcquireResult, type SlotResult } from "../capacity/index.js";
 import type { AdmissionRequest } from "../controller/admission/index.js";
 import {
   compareTerms,
@@ -32,7 +32,7 @@
 import { computeShare, minShare, type ConnectionShare } from "./share.js";
 
 /** The result of acquiring a connection for one statement or transaction. */
-export type ConnectionResult = ConnectionTaken<TrackedLink>;
+export type ConnectionResult = AcquireResult<TrackedLink>;
 
 /** Limits of the wait for a connection. Times are on the proxy's clock, in milliseconds. */
 export interface ConnectionWaitLimits {
@@ -132,7 +132,7 @@
 
   /** Whether any statement waits for this target alone. */
   hasWaitersFor(target: string): boolean {
-    return this.slots.countWaitingFor(target) > 0;
+    return this.slots.countWaitingOnlyFor(target) > 0;
   }
 
   /** Waits for a connection that serves the team; the empty name stands for anonymous callers. */
@@ -147,7 +147,7 @@
     if (pool === undefined) {
       return Promise.resolve({ type: "refused", reason: "noConnection", retryAfterMs: 0 });
     }
-    return pool.take(deadlineAt, signal, team);
+    return pool.acquire(deadlineAt, signal, team);
   }
 
   noteStart(target: string): void {
@@ -164,7 +164,7 @@
 
   /** Records that a target had no free slot. */
   noteSaturated(target: string): void {
-    this.pools.get(target)?.noteFull();
+    this.pools.get(target)?.noteSaturated();
     this.health.set(target, noteSaturated(this.findHealth(target), this.ports.clock.now()));
   }
 
@@ -234,7 +234,7 @@
     const ports = {
       open: (timeoutMs: number, team: string) => this.openLink(target, timeoutMs, team),
       check: (link: TrackedLink) => link.check(checkTimeoutMs),
-      isTooMany: (error: unknown) => dialer.isTooManyConnections(error),
+      isTooManyConnections: (error: unknown) => dialer.isTooManyConnections(error),
     };
     const { base, max } = this.findShare(target.name);
     const settings = {
--- a/src/direct/placement.ts
+++ b/src/direct/placement.ts
@@ -158,7 +158,7 @@
     role,
     link: connection.session,
     noteProgress: () => connection.noteProgress(),
-    release: () => end(() => connection.giveBack()),
+    release: () => end(() => connection.release()),
     drop: () => end(() => connection.drop()),
   };
 }
--- a/src/owner/answer.ts
+++ b/src/owner/answer.ts
@@ -45,7 +45,7 @@
 }
 
 /** What of an answer is held back: nothing, everything from its first outcome on, or all of it. */
-export type Holding = "none" | "outcome" | "all";
+export type HoldMode = "none" | "outcome" | "all";
 
 /**
  * Hands an answer's rows on up to its first outcome (a `CommandComplete` or an `ErrorResponse`) and
@@ -55,18 +55,18 @@
 export class HeldAnswer {
   private readonly held: Uint8Array[] = [];
   private heldBytes = 0;
-  private passedCount = 0;
+  private forwardedCount = 0;
   private readonly tagList: string[] = [];
-  private state: string | undefined;
+  private errorState: string | undefined;
 
   constructor(
     private readonly sink: MessageSink,
-    private readonly holding: Holding,
+    private readonly holdMode: HoldMode,
   ) {}
 
   /** Whether the caller may have seen a part of the answer. */
-  get hasPassed(): boolean {
-    return this.passedCount > 0;
+  get hasForwarded(): boolean {
+    return this.forwardedCount > 0;
   }
 
   /** The tags of the commands that completed. */
@@ -76,7 +76,7 @@
 
   /** The SQLSTATE of the target's error, if it answered with one. */
   get sqlState(): string | undefined {
-    return this.state;
+    return this.errorState;
   }
 
   /** What is held now: whole messages, one behind the other. */
@@ -84,29 +84,29 @@
     return Buffer.concat(this.held);
   }
 
-  readonly take: MessageSink = (message) => {
+  readonly receive: MessageSink = (message) => {
     const tag = readCommandTag(message);
     if (tag !== undefined) this.tagList.push(tag);
-    this.state = readSqlState(message) ?? this.state;
-    if (this.isHeld() || this.isPrelude(message)) {
+    this.errorState = readSqlState(message) ?? this.errorState;
+    if (this.mustHold() || this.isPrelude(message)) {
       this.hold(message);
       return;
     }
-    return this.held.length > 0 ? this.releaseWith(message) : this.pass(message);
+    return this.held.length > 0 ? this.releaseWith(message) : this.forward(message);
   };
 
   /** Hands on what was held. */
   async release(): Promise<void> {
-    for (const message of this.held.splice(0)) await this.pass(message);
+    for (const message of this.held.splice(0)) await this.forward(message);
     this.heldBytes = 0;
   }
 
   /** Drops what was held; the caller hears of a verdict instead. */
-  drop(): void {
+  discard(): void {
     this.held.length = 0;
     this.heldBytes = 0;
     this.tagList.length = 0;
-    this.state = undefined;
+    this.errorState = undefined;
   }
 
   /**
@@ -114,26 +114,26 @@
    * tried again: the caller would see it twice, and so saw the target's bare error instead.
    */
   private isPrelude(message: Uint8Array): boolean {
-    if (this.holding === "none" || this.hasPassed) return false;
+    if (this.holdMode === "none" || this.hasForwarded) return false;
     return preludeTypes.has(String.fromCharCode(message[0] ?? 0));
   }
 
   private async releaseWith(message: Uint8Array): Promise<void> {
     await this.release();
-    await this.pass(message);
+    await this.forward(message);
   }
 
-  private pass(message: Uint8Array): ReturnType<MessageSink> {
-    this.passedCount += 1;
+  private forward(message: Uint8Array): ReturnType<MessageSink> {
+    this.forwardedCount += 1;
     return this.sink(message);
   }
 
-  private isHeld(): boolean {
-    switch (this.holding) {
+  private mustHold(): boolean {
+    switch (this.holdMode) {
       case "none":
         return false;
       case "outcome":
-        return this.tagList.length > 0 || this.state !== undefined;
+        return this.tagList.length > 0 || this.errorState !== undefined;
       case "all":
         return true;
     }
@@ -159,7 +159,7 @@
 }
 
 /** The message types of a run, such as `PBDES`: the form in which a statement was sent. */
-export function describeShape(run: Uint8Array): string {
+export function listMessageTypes(run: Uint8Array): string {
   return splitMessages(run)
     .map((message) => String.fromCharCode(message[0] ?? 0))
     .join("");
--- a/src/owner/confirmer.ts
+++ b/src/owner/confirmer.ts
@@ -1,7 +1,7 @@
 import type { GroupWatch } from "../groupwatch/index.js";
 import { compareTerms, type Mark } from "../model/index.js";
-import type { Place, ServeContext } from "./context.js";
-import type { Confirmed, Confirmer } from "./filters/confirm.js";
+import type { PlacedConnection, ServeContext } from "./context.js";
+import type { ConfirmationResult, Confirmer } from "./filters/confirm.js";
 
 /** How often the primary is asked for the position of a commit before it counts as unconfirmed. */
 const readAttempts = 3;
@@ -13,7 +13,10 @@
     private readonly waitForPrimary: (signal: AbortSignal) => Promise<void>,
   ) {}
 
-  async confirm(context: ServeContext, { target, term }: Place): Promise<Confirmed> {
+  async confirm(
+    context: ServeContext,
+    { target, term }: PlacedConnection,
+  ): Promise<ConfirmationResult> {
     if (term === undefined) return { type: "unconfirmed", reason: "the term was not known" };
     for (let attempt = 0; attempt < readAttempts && !context.signal.aborted; attempt += 1) {
       const mode = context.request.action.acknowledgement;
@@ -43,7 +46,7 @@
     { request, signal }: ServeContext,
     mark: Mark,
     askedAt: number,
-  ): Promise<Confirmed> {
+  ): Promise<ConfirmationResult> {
     const mode = request.action.acknowledgement;
     const confirmation = await this.watch.confirm(mark.term, mark, mode, signal, askedAt);
     switch (confirmation.type) {
--- a/src/owner/connections.ts
+++ b/src/owner/connections.ts
@@ -1,7 +1,7 @@
 import { serialize } from "pg-protocol";
 import {
   TargetPool,
-  type ConnectionTaken,
+  type AcquireResult,
   type HeldConnection,
   type PoolPorts,
 } from "../capacity/index.js";
@@ -14,7 +14,7 @@
 export type PgPool = TargetPool<TargetSession>;
 
 /** What came of asking for a PostgreSQL connection. */
-export type PgConnectionTaken = ConnectionTaken<TargetSession>;
+export type PgAcquireResult = AcquireResult<TargetSession>;
 
 /** A PostgreSQL connection held by one request or transaction. */
 export type PgConnection = HeldConnection<TargetSession>;
@@ -29,7 +29,8 @@
   const ports: PoolPorts<TargetSession> = {
     open: (timeoutMs) => connector.open(target, database, timeoutMs),
     check: checkSession,
-    isTooMany: (error) => error instanceof OpenError && error.state === tooManyConnectionsState,
+    isTooManyConnections: (error) =>
+      error instanceof OpenError && error.state === tooManyConnectionsState,
   };
   return new TargetPool(ports, clock, { settings: { limit: target.connections } });
 }
--- a/src/owner/context.ts
+++ b/src/owner/context.ts
@@ -9,7 +9,7 @@
 import type { HeldAnswer } from "./answer.js";
 
 /** Where a request runs: a target in its role, and the connection that carries it. */
-export interface Place {
+export interface PlacedConnection {
   readonly target: Target;
   readonly role: "primary" | "replica";
   /** The term in which the owner took the target for the primary when the request was placed. */
@@ -18,16 +18,16 @@
 }
 
 /** Notes where a try of a request was placed, for the filters outside of the placing ones. */
-export class Placement {
-  private place: Place | undefined;
+export class LatestPlacement {
+  private latest: PlacedConnection | undefined;
 
   /** The latest place; a retry may have found another than the try before. */
-  get current(): Place | undefined {
-    return this.place;
+  get current(): PlacedConnection | undefined {
+    return this.latest;
   }
 
-  note(place: Place): void {
-    this.place = place;
+  record(place: PlacedConnection): void {
+    this.latest = place;
   }
 }
 
@@ -42,16 +42,17 @@
   readonly attempt: number;
   /** Milliseconds until the request's deadline. */
   readonly timeLeftMs: () => number;
-  readonly placement: Placement;
+  readonly placement: LatestPlacement;
   /** The target whose slot the request holds. */
   readonly slotTarget?: string;
-  readonly place?: Place;
+  readonly placedConnection?: PlacedConnection;
 }
 
 /** The place of a request that was given one; filters after the routing rely on it. */
-export function getPlace(context: ServeContext): Place {
-  if (context.place === undefined) throw new Error("the request was not given a target yet");
-  return context.place;
+export function getPlacedConnection(context: ServeContext): PlacedConnection {
+  if (context.placedConnection === undefined)
+    throw new Error("the request was not given a target yet");
+  return context.placedConnection;
 }
 
 /** Builds the outcome of a request that has not run and will not. */
--- a/src/owner/conversation.ts
+++ b/src/owner/conversation.ts
@@ -7,8 +7,8 @@
   type Outcome,
   type Request,
 } from "../model/index.js";
-import { HeldAnswer, type Holding } from "./answer.js";
-import { Placement, refuse, type Place, type ServeContext } from "./context.js";
+import { HeldAnswer, type HoldMode } from "./answer.js";
+import { LatestPlacement, refuse, type PlacedConnection, type ServeContext } from "./context.js";
 import { startDeadline } from "./deadline.js";
 import { createAttemptFilter } from "./filters/attempt.js";
 import { createConfirmFilter } from "./filters/confirm.js";
@@ -17,25 +17,25 @@
 import { executeFilter } from "./filters/execute.js";
 import { createFloorFilter } from "./filters/floor.js";
 import { createOpenFilter } from "./filters/open.js";
-import { createPlaceFilter, runPlaced } from "./filters/place.js";
+import { createPlaceFilter, runInSlot } from "./filters/place.js";
 import type { ServedGroup } from "./group.js";
 import type { PgConnection } from "./connections.js";
 
 const refusedRetryMs = 100;
 
 /** The connection that an open transaction stays on. */
-interface Pinned {
-  readonly place: Place;
+interface PinnedConnection {
+  readonly place: PlacedConnection;
   readonly connection: PgConnection;
 }
 
 /** One caller's exchange with a group that this process serves. */
 export class OwnerConversation implements Conversation {
-  private readonly serveFresh: Next<ServeContext>;
+  private readonly serveUnpinned: Next<ServeContext>;
   private readonly servePinned: Next<ServeContext>;
-  private pinned: Pinned | undefined;
+  private pinned: PinnedConnection | undefined;
   /** The target on which the group counts this conversation's transaction. */
-  private counted: string | undefined;
+  private countedTarget: string | undefined;
   private isRunning = false;
   private isClosed = false;
 
@@ -45,12 +45,12 @@
     private readonly onEnd: () => void,
   ) {
     const { logger } = group.ports;
-    const pin = (place: Place, connection: PgConnection) => {
+    const pin = (place: PlacedConnection, connection: PgConnection) => {
       this.pinned = { place, connection };
     };
     const attempt = createAttemptFilter(group);
     const confirm = createConfirmFilter(group.confirmer, logger);
-    this.serveFresh = composeFilters([
+    this.serveUnpinned = composeFilters([
       createOpenFilter(group),
       group.retry,
       createFloorFilter((signal) => group.confirmer.findFloor(signal)),
@@ -79,8 +79,8 @@
     this.isRunning = true;
     const deadline = startDeadline(request.deadlineAt - this.group.ports.clock.now(), signal);
     try {
-      const answer = new HeldAnswer(sink, findHolding(request));
-      const placement = new Placement();
+      const answer = new HeldAnswer(sink, chooseHoldMode(request));
+      const placement = new LatestPlacement();
       const { signal: inTime } = deadline;
       const timeLeftMs = () => request.deadlineAt - this.group.ports.clock.now();
       const context = {
@@ -93,12 +93,12 @@
         placement,
       };
       const outcome = await this.serve(context);
-      this.noteOutcome(request, outcome);
+      this.reportOutcome(request, outcome);
       return outcome;
     } finally {
       deadline.dispose();
       this.isRunning = false;
-      this.countTransaction(this.pinned?.place.target.name);
+      this.updateTransactionCount(this.pinned?.place.target.name);
       if (this.hasEnded()) this.end();
     }
   }
@@ -111,8 +111,8 @@
 
   private serve(context: ServeContext): Promise<Outcome> {
     const { pinned } = this;
-    if (pinned === undefined) return this.serveFresh(context);
-    context.placement.note(pinned.place);
+    if (pinned === undefined) return this.serveUnpinned(context);
+    context.placement.record(pinned.place);
     return this.servePinned(context);
   }
 
@@ -127,22 +127,29 @@
         const { target } = pinned.place;
         // A leaving target has no slots for new work; what it has begun goes on to its end.
         if (this.group.isLeaving(target.name)) {
-          return this.endPinned(await execute({ ...context, place: pinned.place }), pinned);
+          return this.settlePinned(
+            await execute({ ...context, placedConnection: pinned.place }),
+            pinned,
+          );
         }
-        const placed = await this.group.acquire(context.request, [target.name], context.signal);
+        const placed = await this.group.acquireSlot(context.request, [target.name], context.signal);
         if (placed.type === "refused") {
           const { reason, retryAfterMs } = placed;
           const refused = refuse(reason, retryAfterMs, "the transaction was rolled back");
-          return this.endPinned(refused, pinned);
+          return this.settlePinned(refused, pinned);
         }
-        const outcome = await runPlaced({ ...context, place: pinned.place }, placed.slot, execute);
-        if (!pinned.connection.session.isUsable) this.group.noteBroken(target.name);
-        return this.endPinned(outcome, pinned);
+        const outcome = await runInSlot(
+          { ...context, placedConnection: pinned.place },
+          placed.slot,
+          execute,
+        );
+        if (!pinned.connection.session.isUsable) this.group.reportConnectionFailure(target.name);
+        return this.settlePinned(outcome, pinned);
       },
     };
   }
 
-  private endPinned(outcome: Outcome, { place, connection }: Pinned): Outcome {
+  private settlePinned(outcome: Outcome, { place, connection }: PinnedConnection): Outcome {
     this.pinned = undefined;
     settleConnection(outcome, place, connection, (again, held) => {
       this.pinned = { place: again, connection: held };
@@ -151,12 +158,12 @@
   }
 
   /** A transaction counts as open until its commit is confirmed: the role must not move before. */
-  private countTransaction(target: string | undefined): void {
-    if (target === this.counted) return;
-    const before = this.counted;
-    this.counted = target;
-    if (target !== undefined) this.group.countTransaction(target, 1);
-    if (before !== undefined) this.group.countTransaction(before, -1);
+  private updateTransactionCount(target: string | undefined): void {
+    if (target === this.countedTarget) return;
+    const before = this.countedTarget;
+    this.countedTarget = target;
+    if (target !== undefined) this.group.adjustTransactionCount(target, 1);
+    if (before !== undefined) this.group.adjustTransactionCount(before, -1);
   }
 
   private hasEnded(): boolean {
@@ -168,11 +175,11 @@
     this.isClosed = true;
     this.pinned?.connection.drop();
     this.pinned = undefined;
-    this.countTransaction(undefined);
+    this.updateTransactionCount(undefined);
     this.onEnd();
   }
 
-  private noteOutcome(request: Request, outcome: Outcome): void {
+  private reportOutcome(request: Request, outcome: Outcome): void {
     const { logger, hooks } = this.group.ports;
     hooks.onOutcome(request, outcome);
     if (outcome.type === "answered") return;
@@ -190,7 +197,7 @@
  * A keyed write's whole answer is held, since it is kept for repeats; any other write's is held from
  * its outcome on, until the write is confirmed.
  */
-function findHolding({ traits, idempotency }: Request): Holding {
+function chooseHoldMode({ traits, idempotency }: Request): HoldMode {
   if (traits.effect === "read") return "none";
   return idempotency !== undefined && !traits.transaction ? "all" : "outcome";
 }
--- a/src/owner/expectation.ts
+++ b/src/owner/expectation.ts
@@ -1,13 +1,13 @@
 import type { Clock, Disposable } from "../model/index.js";
 
 /** How long a group's first requests wait for its targets' first answers, in milliseconds. */
-const openingMs = 1000;
+const openingWaitMs = 1000;
 
 /**
  * How long a lost primary's successor is waited for, in milliseconds. Past it something stands in
  * the way of a failover, such as a lost majority, and whoever waited on would only learn so late.
  */
-const longestGapMs = 3000;
+const maxOutageMs = 3000;
 
 /** Whether a group that has no serving primary is likely to have one soon. */
 export class PrimaryExpectation implements Disposable {
@@ -22,7 +22,7 @@
   ) {}
 
   /** The group was opened: its targets are about to answer for the first time. */
-  open(): void {
+  startOpening(): void {
     this.openedAt = this.clock.now();
   }
 
@@ -35,17 +35,17 @@
     if (this.lostAt !== undefined) return;
     this.lostAt = this.clock.now();
     clearTimeout(this.timer);
-    this.timer = setTimeout(this.onOverdue, longestGapMs).unref();
+    this.timer = setTimeout(this.onOverdue, maxOutageMs).unref();
   }
 
   /** Whether a primary is expected soon: the group has just been opened, or lost its primary. */
-  isDue(): boolean {
-    const isOpening = this.clock.now() - this.openedAt < openingMs;
-    return isOpening || (this.lostAt !== undefined && this.measureGapMs() < longestGapMs);
+  isPrimaryExpected(): boolean {
+    const isOpening = this.clock.now() - this.openedAt < openingWaitMs;
+    return isOpening || (this.lostAt !== undefined && this.measureOutageMs() < maxOutageMs);
   }
 
   /** How long the primary has not served, in milliseconds; 0 while it does. */
-  measureGapMs(): number {
+  measureOutageMs(): number {
     return this.lostAt === undefined ? 0 : this.clock.now() - this.lostAt;
   }
 
--- a/src/owner/filters/attempt.ts
+++ b/src/owner/filters/attempt.ts
@@ -1,6 +1,6 @@
 import { isIdempotent, type Filter } from "../../filter/index.js";
 import type { Disposable, Term } from "../../model/index.js";
-import { getPlace, type ServeContext } from "../context.js";
+import { getPlacedConnection, type ServeContext } from "../context.js";
 
 /** What an attempt asks of its group. */
 export interface AttemptGroup {
@@ -9,10 +9,10 @@
 }
 
 /** The shortest time that a first attempt is given, in milliseconds. */
-const shortestAttemptMs = 1000;
+const minAttemptMs = 1000;
 
 /** The share of the time left that a first attempt may take while another may follow. */
-const firstShare = 1 / 3;
+const firstAttemptShare = 1 / 3;
 
 /**
  * Gives an attempt up when waiting on can bring nothing.
@@ -36,10 +36,10 @@
       };
       context.signal.addEventListener("abort", follow, { once: true });
       if (context.signal.aborted) follow();
-      const timer = startLimit(context, () => {
+      const timer = startAttemptTimer(context, () => {
         give("no answer; the connection may be silent");
       });
-      const watching = watchPlace(group, context, () => {
+      const watching = watchPrimary(group, context, () => {
         give("the primary was superseded");
       });
       try {
@@ -53,19 +53,19 @@
   };
 }
 
-function startLimit(context: ServeContext, give: () => void): NodeJS.Timeout | undefined {
+function startAttemptTimer(context: ServeContext, give: () => void): NodeJS.Timeout | undefined {
   const { request, attempt, timeLeftMs } = context;
   const isLimited = attempt === 1 && request.action.retry.attempts > 0 && isIdempotent(request);
   if (!isLimited) return undefined;
-  return setTimeout(give, Math.max(shortestAttemptMs, timeLeftMs() * firstShare));
+  return setTimeout(give, Math.max(minAttemptMs, timeLeftMs() * firstAttemptShare));
 }
 
-function watchPlace(
+function watchPrimary(
   group: AttemptGroup,
   context: ServeContext,
   give: () => void,
 ): Disposable | undefined {
-  const { term } = getPlace(context);
+  const { term } = getPlacedConnection(context);
   if (term === undefined || context.request.traits.effect === "read") return undefined;
   return group.watchTerm(term, give);
 }
--- a/src/owner/filters/confirm.ts
+++ b/src/owner/filters/confirm.ts
@@ -2,7 +2,7 @@
 import { assertInvariant, compareTerms, type Mark, type Outcome } from "../../model/index.js";
 import { ownerEvents } from "../../log/events/owner.js";
 import type { Logger } from "../../log/index.js";
-import { failUnknown, refuse, type Place, type ServeContext } from "../context.js";
+import { failUnknown, refuse, type PlacedConnection, type ServeContext } from "../context.js";
 
 /** SQLSTATEs with which a target that is no longer primary refuses a write. */
 const refusedByReplica: ReadonlySet<string> = new Set(["25006", "57P01", "57P02", "57P03"]);
@@ -11,13 +11,13 @@
 const supersededRetryMs = 200;
 
 /** What became of a committed write's confirmation. */
-export type Confirmed =
+export type ConfirmationResult =
   | { readonly type: "confirmed"; readonly mark: Mark }
   | { readonly type: "unconfirmed"; readonly reason: string };
 
 /** Confirms the writes of one group. */
 export interface Confirmer {
-  confirm(context: ServeContext, place: Place): Promise<Confirmed>;
+  confirm(context: ServeContext, place: PlacedConnection): Promise<ConfirmationResult>;
 }
 
 /**
@@ -33,11 +33,11 @@
     async apply(context, next) {
       const outcome = await next(context);
       if (outcome.type === "failed") {
-        context.answer.drop();
+        context.answer.discard();
         return outcome;
       }
       if (isSuperseded(context)) {
-        context.answer.drop();
+        context.answer.discard();
         return refuse("superseded", supersededRetryMs, "the target is no longer primary");
       }
       const place = context.placement.current;
@@ -55,7 +55,7 @@
 interface Committed {
   readonly context: ServeContext;
   readonly outcome: Answered;
-  readonly place: Place;
+  readonly place: PlacedConnection;
 }
 
 async function confirmWrite(
@@ -78,7 +78,7 @@
       return { ...outcome, mark: confirmed.mark };
     case "unconfirmed":
       logger.write(ownerEvents.writeUnconfirmed, { ...fields, reason: confirmed.reason });
-      context.answer.drop();
+      context.answer.discard();
       return failUnknown(`committed but not confirmed: ${confirmed.reason}`);
   }
 }
@@ -87,7 +87,7 @@
 function isSuperseded(context: ServeContext): boolean {
   const { answer, request } = context;
   if (request.traits.effect === "read" || request.traits.transaction) return false;
-  if (answer.hasPassed || answer.tags.length > 0) return false;
+  if (answer.hasForwarded || answer.tags.length > 0) return false;
   return answer.sqlState !== undefined && refusedByReplica.has(answer.sqlState);
 }
 
--- a/src/owner/filters/connect.ts
+++ b/src/owner/filters/connect.ts
@@ -1,50 +1,60 @@
 import type { Filter } from "../../filter/index.js";
 import type { Outcome, Target, TargetSession, Term } from "../../model/index.js";
-import { refuse, type Place, type ServeContext } from "../context.js";
-import type { PgConnection, PgConnectionTaken } from "../connections.js";
+import { refuse, type PlacedConnection, type ServeContext } from "../context.js";
+import type { PgConnection, PgAcquireResult } from "../connections.js";
 
 /** When a write whose primary was superseded meanwhile may be tried again, in milliseconds. */
 const supersededRetryMs = 200;
 
 /** What connecting asks of the group. */
 export interface ConnectingGroup {
-  take(target: string, deadlineAt: number, signal: AbortSignal): Promise<PgConnectionTaken>;
-  describe(target: string): {
+  acquireConnection(
+    target: string,
+    deadlineAt: number,
+    signal: AbortSignal,
+  ): Promise<PgAcquireResult>;
+  describeTarget(target: string): {
     readonly target: Target;
     readonly role: "primary" | "replica";
     readonly term: Term | undefined;
   };
   /** A connection broke: a hint for the failure detector. */
-  noteBroken(target: string): void;
+  reportConnectionFailure(target: string): void;
 }
 
 /** Keeps a place for the next batch of an open transaction. */
-export type Pin = (place: Place, connection: PgConnection) => void;
+export type PinConnection = (place: PlacedConnection, connection: PgConnection) => void;
 
 /**
  * Takes a connection for the request. It goes back to the pool only after an exchange that ended
  * idle; with a transaction open it stays with its conversation, and after a failure it is closed, so
  * that a late answer or a half-done transaction can never meet the next caller.
  */
-export function createConnectFilter(group: ConnectingGroup, pin: Pin): Filter<ServeContext> {
+export function createConnectFilter(
+  group: ConnectingGroup,
+  pin: PinConnection,
+): Filter<ServeContext> {
   return {
     name: "connect",
     async apply(context, next) {
       const name = context.slotTarget;
       if (name === undefined) throw new Error("the request holds no slot yet");
-      const taken = await group.take(name, context.request.deadlineAt, context.signal);
+      const taken = await group.acquireConnection(name, context.request.deadlineAt, context.signal);
       if (taken.type === "refused") {
         return refuse(taken.reason, taken.retryAfterMs, `no connection to ${name}`);
       }
       const { connection } = taken;
-      const place: Place = { ...group.describe(name), session: observeProgress(connection) };
+      const place: PlacedConnection = {
+        ...group.describeTarget(name),
+        session: observeProgress(connection),
+      };
       if (!canRun(context, place)) {
-        connection.giveBack();
+        connection.release();
         return refuse("superseded", supersededRetryMs, `${name} is primary no more`);
       }
-      context.placement.note(place);
-      const outcome = await next({ ...context, place });
-      if (!connection.session.isUsable) group.noteBroken(name);
+      context.placement.record(place);
+      const outcome = await next({ ...context, placedConnection: place });
+      if (!connection.session.isUsable) group.reportConnectionFailure(name);
       settleConnection(outcome, place, connection, pin);
       return outcome;
     },
@@ -56,19 +66,19 @@
  * freeze and not fenced yet, would commit what the new one's log lacks: the write would be lost.
  * Nothing was sent yet, so the refusal is true, and the next try looks for the primary afresh.
  */
-function canRun({ request }: ServeContext, { role }: Place): boolean {
+function canRun({ request }: ServeContext, { role }: PlacedConnection): boolean {
   return role === "primary" || request.traits.effect === "read";
 }
 
 /** Gives a connection back, keeps it for its open transaction, or closes it. */
 export function settleConnection(
   outcome: Outcome,
-  place: Place,
+  place: PlacedConnection,
   connection: PgConnection,
-  pin: Pin,
+  pin: PinConnection,
 ): void {
   if (outcome.type === "failed") connection.drop();
-  else if (outcome.status === "I") connection.giveBack();
+  else if (outcome.status === "I") connection.release();
   else pin(place, connection);
 }
 
--- a/src/owner/filters/deduplicate.ts
+++ b/src/owner/filters/deduplicate.ts
@@ -3,26 +3,26 @@
 import { planKeyedWrite, type IdempotencyRecord } from "../../policy/index.js";
 import { ownerEvents } from "../../log/events/owner.js";
 import type { Logger } from "../../log/index.js";
-import { describeShape, splitMessages } from "../answer.js";
-import { failUnknown, getPlace, refuse, type ServeContext } from "../context.js";
+import { listMessageTypes, splitMessages } from "../answer.js";
+import { failUnknown, getPlacedConnection, refuse, type ServeContext } from "../context.js";
 import { buildErrorResponse } from "../error.js";
-import { executeSql, formatLiteral, type SqlAnswer } from "../sql.js";
+import { executeSql, quoteLiteral, type SqlAnswer } from "../sql.js";
 
 const table = "radishwalk_idempotency";
 const undefinedTable = "42P01";
 const serializationFailure = "40001";
 const keyMisusedState = "22023";
-const maxRounds = 4;
+const maxTries = 4;
 const retryAfterMs = 50;
 
 /** The largest answer that is kept for repeats, in bytes; a repeat of a larger one gets an error. */
 export const maxRecordedBytes = 256 * 1024;
 
 /** Written in place of an answer that was too large to keep. */
-const tooLarge = "too large";
+const tooLargeMarker = "too large";
 
 /** What one round of a keyed write came to. */
-type Round =
+type TryResult =
   | { readonly type: "done"; readonly outcome: Outcome }
   | { readonly type: "again" }
   | { readonly type: "createTable" };
@@ -40,10 +40,10 @@
       if (idempotency === undefined || traits.effect === "read" || traits.transaction) {
         return next(context);
       }
-      for (let round = 0; round < maxRounds; round += 1) {
-        const came = await runRound(context, idempotency, logger);
+      for (let round = 0; round < maxTries; round += 1) {
+        const came = await tryOnce(context, idempotency, logger);
         if (came.type === "done") return came.outcome;
-        context.answer.drop();
+        context.answer.discard();
         if (came.type === "createTable") await createTable(context);
       }
       return refuse("overloaded", retryAfterMs, "another request holds the same key; try again");
@@ -51,37 +51,37 @@
   };
 }
 
-async function runRound(
+async function tryOnce(
   context: ServeContext,
   key: IdempotencyKey,
   logger: Logger,
-): Promise<Round> {
-  const { session } = getPlace(context);
-  const id = formatLiteral(`${context.request.traits.team}:${key.key}`);
-  const digest = `${key.digest}:${describeShape(context.messages)}`;
+): Promise<TryResult> {
+  const { session } = getPlacedConnection(context);
+  const id = quoteLiteral(`${context.request.traits.team}:${key.key}`);
+  const digest = `${key.digest}:${listMessageTypes(context.messages)}`;
   const claim = await executeSql(
     session,
-    `BEGIN; INSERT INTO ${table} (key, digest, outcome) VALUES (${id}, ${formatLiteral(digest)}, '') ON CONFLICT DO NOTHING`,
+    `BEGIN; INSERT INTO ${table} (key, digest, outcome) VALUES (${id}, ${quoteLiteral(digest)}, '') ON CONFLICT DO NOTHING`,
     context.signal,
   );
-  const broken = describeBroken(claim);
+  const broken = findBrokenResult(claim);
   if (broken !== undefined) return broken;
   if (claim.sqlState !== undefined) return rollBack(context, claim.sqlState);
-  if (claim.tags.includes("INSERT 0 0")) return repeat(context, id, digest, logger);
-  return runFirst(context, id);
+  if (claim.tags.includes("INSERT 0 0")) return answerRepeat(context, id, digest, logger);
+  return runWrite(context, id);
 }
 
 /** A transaction whose `COMMIT` was never sent can't commit: the target rolls it back. */
-function describeBroken(answer: SqlAnswer): Round | undefined {
+function findBrokenResult(answer: SqlAnswer): TryResult | undefined {
   if (answer.result.type !== "broken") return undefined;
   const reason = `rolled back: ${answer.result.reason}`;
   return { type: "done", outcome: refuse("noConnection", retryAfterMs, reason) };
 }
 
-async function rollBack(context: ServeContext, sqlState: string): Promise<Round> {
-  const { session } = getPlace(context);
+async function rollBack(context: ServeContext, sqlState: string): Promise<TryResult> {
+  const { session } = getPlacedConnection(context);
   const answer = await executeSql(session, "ROLLBACK", context.signal);
-  const broken = describeBroken(answer);
+  const broken = findBrokenResult(answer);
   if (broken !== undefined) return broken;
   if (sqlState === undefinedTable) return { type: "createTable" };
   if (sqlState === serializationFailure) return { type: "again" };
@@ -91,19 +91,19 @@
 
 async function createTable(context: ServeContext): Promise<void> {
   const text = `CREATE TABLE IF NOT EXISTS ${table} (key text PRIMARY KEY, digest text, outcome text)`;
-  await executeSql(getPlace(context).session, text, context.signal);
+  await executeSql(getPlacedConnection(context).session, text, context.signal);
 }
 
-async function runFirst(context: ServeContext, id: string): Promise<Round> {
-  const place = getPlace(context);
+async function runWrite(context: ServeContext, id: string): Promise<TryResult> {
+  const place = getPlacedConnection(context);
   const { answer, signal } = context;
-  const ran = await place.session.exchange(context.messages, answer.take, signal);
-  if (ran.type === "broken") return describeBroken({ result: ran, ...noAnswer }) ?? againRound;
-  if (answer.sqlState !== undefined) return endFailed(context, answer.sqlState);
+  const ran = await place.session.exchange(context.messages, answer.receive, signal);
+  if (ran.type === "broken") return findBrokenResult({ result: ran, ...emptyAnswer }) ?? tryAgain;
+  if (answer.sqlState !== undefined) return rollBackFailed(context, answer.sqlState);
   const recorded = encodeAnswer(answer.heldMessages);
-  const text = `UPDATE ${table} SET outcome = ${formatLiteral(recorded)} WHERE key = ${id}`;
+  const text = `UPDATE ${table} SET outcome = ${quoteLiteral(recorded)} WHERE key = ${id}`;
   const kept = await executeSql(place.session, text, signal);
-  const broken = describeBroken(kept);
+  const broken = findBrokenResult(kept);
   if (broken !== undefined) return broken;
   if (kept.sqlState !== undefined) return rollBack(context, kept.sqlState);
   // Without its record the write would commit, and a repeat under its key would run it again.
@@ -112,11 +112,11 @@
   return isKept ? commit(context) : rollBack(context, serializationFailure);
 }
 
-const noAnswer = { tags: [], rows: [], sqlState: undefined } as const;
-const againRound: Round = { type: "again" };
+const emptyAnswer = { tags: [], rows: [], sqlState: undefined } as const;
+const tryAgain: TryResult = { type: "again" };
 
-async function commit(context: ServeContext): Promise<Round> {
-  const place = getPlace(context);
+async function commit(context: ServeContext): Promise<TryResult> {
+  const place = getPlacedConnection(context);
   const done = await executeSql(place.session, "COMMIT", context.signal);
   if (done.result.type === "broken") {
     const { sent, reason } = done.result;
@@ -125,30 +125,30 @@
       : refuse("noConnection", retryAfterMs, `rolled back: ${reason}`);
     return { type: "done", outcome };
   }
-  if (done.sqlState === serializationFailure) return againRound;
+  if (done.sqlState === serializationFailure) return tryAgain;
   if (done.sqlState !== undefined || done.tags.includes("ROLLBACK")) {
     const message = `the commit was refused (SQLSTATE ${done.sqlState ?? "none"})`;
     return { type: "done", outcome: refuse("superseded", retryAfterMs, message) };
   }
-  return { type: "done", outcome: answerFrom(context) };
+  return { type: "done", outcome: buildAnswered(context) };
 }
 
 /** The statement itself failed: the caller gets the target's error, and nothing is recorded. */
-async function endFailed(context: ServeContext, sqlState: string): Promise<Round> {
-  const answer = await executeSql(getPlace(context).session, "ROLLBACK", context.signal);
-  const broken = describeBroken(answer);
+async function rollBackFailed(context: ServeContext, sqlState: string): Promise<TryResult> {
+  const answer = await executeSql(getPlacedConnection(context).session, "ROLLBACK", context.signal);
+  const broken = findBrokenResult(answer);
   if (broken !== undefined) return broken;
-  if (sqlState === serializationFailure) return againRound;
-  return { type: "done", outcome: answerFrom(context) };
+  if (sqlState === serializationFailure) return tryAgain;
+  return { type: "done", outcome: buildAnswered(context) };
 }
 
-async function repeat(
+async function answerRepeat(
   context: ServeContext,
   id: string,
   digest: string,
   logger: Logger,
-): Promise<Round> {
-  const { session } = getPlace(context);
+): Promise<TryResult> {
+  const { session } = getPlacedConnection(context);
   const fields = { request: context.request.id, team: context.request.traits.team };
   const ended = await executeSql(session, "ROLLBACK", context.signal);
   const read = await executeSql(
@@ -156,42 +156,44 @@
     `SELECT digest, outcome FROM ${table} WHERE key = ${id}`,
     context.signal,
   );
-  const broken = describeBroken(ended) ?? describeBroken(read);
+  const broken = findBrokenResult(ended) ?? findBrokenResult(read);
   if (broken !== undefined) return broken;
   const plan = planKeyedWrite({ key: id, digest }, readRecord(id, read));
   switch (plan.type) {
     case "run":
-      return againRound;
+      return tryAgain;
     case "conflict": {
       logger.write(ownerEvents.keyMisused, fields);
       const message = "this idempotency key belongs to another statement; nothing ran";
-      await context.answer.take(buildErrorResponse(keyMisusedState, message));
-      return { type: "done", outcome: answerFrom(context) };
+      await context.answer.receive(buildErrorResponse(keyMisusedState, message));
+      return { type: "done", outcome: buildAnswered(context) };
     }
     case "replay":
       logger.write(ownerEvents.answerRepeated, fields);
-      for (const message of decodeAnswer(plan.answer)) await context.answer.take(message);
-      return { type: "done", outcome: answerFrom(context) };
+      for (const message of decodeAnswer(plan.answer)) await context.answer.receive(message);
+      return { type: "done", outcome: buildAnswered(context) };
   }
 }
 
 function readRecord(key: string, { rows }: SqlAnswer): IdempotencyRecord<string> | undefined {
   const [digest, answer] = rows[0] ?? [];
   if (typeof digest !== "string") return undefined;
-  return { key, digest, answer: answer ?? tooLarge };
+  return { key, digest, answer: answer ?? tooLargeMarker };
 }
 
-function answerFrom(context: ServeContext): Outcome {
-  const { target, role } = getPlace(context);
+function buildAnswered(context: ServeContext): Outcome {
+  const { target, role } = getPlacedConnection(context);
   return { type: "answered", status: "I", servedBy: { target: target.name, role } };
 }
 
 function encodeAnswer(messages: Uint8Array): string {
-  return messages.length > maxRecordedBytes ? tooLarge : Buffer.from(messages).toString("base64");
+  return messages.length > maxRecordedBytes
+    ? tooLargeMarker
+    : Buffer.from(messages).toString("base64");
 }
 
 function decodeAnswer(text: string): readonly Uint8Array[] {
-  if (text !== tooLarge) return splitMessages(Buffer.from(text, "base64"));
+  if (text !== tooLargeMarker) return splitMessages(Buffer.from(text, "base64"));
   const message = "the write ran before; its answer was too large to keep";
   return [buildErrorResponse(keyMisusedState, message)];
 }
--- a/src/owner/filters/execute.ts
+++ b/src/owner/filters/execute.ts
@@ -1,6 +1,12 @@
 import type { Filter } from "../../filter/index.js";
 import type { ExchangeResult, Outcome } from "../../model/index.js";
-import { failUnknown, getPlace, refuse, type Place, type ServeContext } from "../context.js";
+import {
+  failUnknown,
+  getPlacedConnection,
+  refuse,
+  type PlacedConnection,
+  type ServeContext,
+} from "../context.js";
 
 /** When a caller whose connection to a target could not be used may come back, in milliseconds. */
 const brokenRetryMs = 100;
@@ -9,18 +15,18 @@
 export const executeFilter: Filter<ServeContext> = {
   name: "execute",
   async apply(context) {
-    const place = getPlace(context);
+    const place = getPlacedConnection(context);
     const result = await place.session.exchange(
       context.messages,
-      context.answer.take,
+      context.answer.receive,
       context.signal,
     );
-    return describeExchange(place, result);
+    return buildOutcome(place, result);
   },
 };
 
 /** Builds the outcome of an exchange. */
-export function describeExchange(place: Place, result: ExchangeResult): Outcome {
+export function buildOutcome(place: PlacedConnection, result: ExchangeResult): Outcome {
   switch (result.type) {
     case "ready":
       return {
--- a/src/owner/filters/place.ts
+++ b/src/owner/filters/place.ts
@@ -4,7 +4,7 @@
 import { ownerEvents } from "../../log/events/owner.js";
 import type { Logger } from "../../log/index.js";
 import { refuse, type ServeContext } from "../context.js";
-import { holdsMark } from "../scene.js";
+import { hasMark } from "../routing.js";
 import type { Slot, SlotResult } from "../../capacity/index.js";
 
 const noPrimaryRetryMs = 500;
@@ -14,15 +14,15 @@
 const patienceMs = 5;
 
 /** Between two looks at a group whose router said to wait, at the most, in milliseconds. */
-const longestWaitMs = 250;
+const maxWaitMs = 250;
 
 /** What placing asks of the group. */
 export interface PlacingGroup {
-  view(): GroupView;
+  getView(): GroupView;
   route(request: Request, patienceMs: number): ReadRoute;
   /** The target whose slot a write waits for, also while the group is between two primaries. */
   findWriteTarget(): string | undefined;
-  acquire(
+  acquireSlot(
     request: Request,
     candidates: readonly string[],
     signal: AbortSignal,
@@ -30,10 +30,10 @@
   /** Resolves at the group's next change, after `ms` at the latest. */
   waitForChange(ms: number, signal: AbortSignal): Promise<void>;
   /** Asks the primary for its position now. */
-  refresh(target: string): Promise<void>;
+  refreshMark(target: string): Promise<void>;
 }
 
-type Choice =
+type TargetChoice =
   | { readonly type: "candidates"; readonly targets: readonly string[]; readonly reason: string }
   | { readonly type: "wait"; readonly waitMs: number }
   | { readonly type: "refused"; readonly outcome: Outcome };
@@ -49,21 +49,21 @@
           case "refused":
             return choice.outcome;
           case "wait":
-            await group.waitForChange(Math.min(choice.waitMs, longestWaitMs), context.signal);
+            await group.waitForChange(Math.min(choice.waitMs, maxWaitMs), context.signal);
             continue;
           case "candidates": {
-            const placed = await group.acquire(context.request, choice.targets, context.signal);
+            const placed = await group.acquireSlot(context.request, choice.targets, context.signal);
             if (placed.type === "refused") {
               return refuse(placed.reason, placed.retryAfterMs, "no slot within the time allowed");
             }
             if (!(await canServe(group, context.request, placed.slot))) {
               placed.slot.release();
-              await group.waitForChange(longestWaitMs, context.signal);
+              await group.waitForChange(maxWaitMs, context.signal);
               continue;
             }
             const { target } = placed.slot;
             logPlacement(logger, context, target, choice.reason);
-            return runPlaced(context, placed.slot, (c) => next({ ...c, slotTarget: target }));
+            return runInSlot(context, placed.slot, (c) => next({ ...c, slotTarget: target }));
           }
         }
       }
@@ -73,7 +73,7 @@
 }
 
 /** Runs the rest of the chain in a slot and gives the slot back. */
-export async function runPlaced(
+export async function runInSlot(
   context: ServeContext,
   slot: Slot,
   next: (context: ServeContext) => Promise<Outcome>,
@@ -85,7 +85,7 @@
   return outcome;
 }
 
-function chooseTargets(group: PlacingGroup, request: Request): Choice {
+function chooseTargets(group: PlacingGroup, request: Request): TargetChoice {
   const route = resolveRoute(request.traits, request.action.route);
   if (request.traits.effect === "write" || route.type === "primary") {
     const target = group.findWriteTarget();
@@ -106,7 +106,7 @@
   }
 }
 
-function refuseWithoutPrimary(): Choice {
+function refuseWithoutPrimary(): TargetChoice {
   return {
     type: "refused",
     outcome: refuse("noPrimary", noPrimaryRetryMs, "the group has no primary now"),
@@ -120,18 +120,18 @@
  */
 async function canServe(group: PlacingGroup, request: Request, slot: Slot): Promise<boolean> {
   const { target } = slot;
-  if (request.traits.effect === "write") return group.view().primary?.target === target;
-  if (holdsMark(group.view(), target, request.mark)) return noteServing(group, request, target);
-  if (group.view().primary?.target !== target) return false;
-  await group.refresh(target);
-  const isHeld = holdsMark(group.view(), target, request.mark);
-  return isHeld && noteServing(group, request, target);
+  if (request.traits.effect === "write") return group.getView().primary?.target === target;
+  if (hasMark(group.getView(), target, request.mark)) return assertHasMark(group, request, target);
+  if (group.getView().primary?.target !== target) return false;
+  await group.refreshMark(target);
+  const isHeld = hasMark(group.getView(), target, request.mark);
+  return isHeld && assertHasMark(group, request, target);
 }
 
-function noteServing(group: PlacingGroup, request: Request, target: string): boolean {
+function assertHasMark(group: PlacingGroup, request: Request, target: string): boolean {
   assertInvariant(
     "readYourWrites",
-    holdsMark(group.view(), target, request.mark),
+    hasMark(group.getView(), target, request.mark),
     () => `${request.id} was given ${target}, which does not hold its mark`,
   );
   return true;
--- a/src/owner/filters/retry.ts
+++ b/src/owner/filters/retry.ts
@@ -26,11 +26,11 @@
       request,
       signal,
       run: (attempt) => {
-        answer.drop();
+        answer.discard();
         return next({ ...context, attempt });
       },
       isOurs: isWorthRetrying,
-      hasBegun: () => answer.hasPassed,
+      hasBegun: () => answer.hasForwarded,
       onRetry: ({ verdict, message }, delayMs) => {
         this.logger.write(ownerEvents.requestRetried, {
           request: request.id,
--- a/src/owner/gateway.ts
+++ b/src/owner/gateway.ts
@@ -17,7 +17,7 @@
 /** How long a group that this process no longer owns is kept without a conversation. */
 const idleCloseMs = 5000;
 
-interface Served {
+interface GroupEntry {
   readonly group: ServedGroup;
   conversations: number;
   idleSince: number;
@@ -28,7 +28,7 @@
  * that takes it for the owner asks: two owners at once cost connections and break nothing.
  */
 export class OwnerGateway implements GroupGateway, Disposable {
-  private readonly served = new Map<string, Served>();
+  private readonly served = new Map<string, GroupEntry>();
   private groups: ReadonlyMap<string, Group> = new Map();
   private owned: ReadonlySet<string> = new Set();
   private isDraining = false;
@@ -39,7 +39,7 @@
   setGroups(groups: ReadonlyMap<string, Group>, owned: ReadonlySet<string>): void {
     this.groups = groups;
     this.owned = owned;
-    for (const name of owned) this.findServed(name);
+    for (const name of owned) this.findOrOpen(name);
     for (const [name, served] of this.served) {
       const group = groups.get(name);
       if (group !== undefined) served.group.setGroup(group);
@@ -47,12 +47,12 @@
   }
 
   /** Hands on what leaves and closes groups that nobody uses. To be called about once a second. */
-  async tend(): Promise<void> {
-    for (const { group } of this.served.values()) group.switchFromLeaving();
-    await this.closeIdle();
+  async runMaintenance(): Promise<void> {
+    for (const { group } of this.served.values()) group.requestSwitchoverIfLeaving();
+    await this.closeIdleGroups();
   }
 
-  private async closeIdle(): Promise<void> {
+  private async closeIdleGroups(): Promise<void> {
     const now = this.ports.clock.now();
     for (const [name, served] of [...this.served]) {
       const isUsed = served.conversations > 0 || this.owned.has(name);
@@ -63,9 +63,9 @@
   }
 
   open(group: string): Conversation {
-    if (this.isDraining) return this.openRefused(group, "draining");
-    const served = this.findServed(group);
-    if (served === undefined) return this.openRefused(group, "noOwner");
+    if (this.isDraining) return this.createRefusingConversation(group, "draining");
+    const served = this.findOrOpen(group);
+    if (served === undefined) return this.createRefusingConversation(group, "noOwner");
     served.conversations += 1;
     return new OwnerConversation(served.group, () => {
       served.conversations -= 1;
@@ -74,11 +74,11 @@
   }
 
   /** The groups that are open now. */
-  list(): readonly ServedGroup[] {
+  listGroups(): readonly ServedGroup[] {
     return [...this.served.values()].map((s) => s.group);
   }
 
-  find(group: string): ServedGroup | undefined {
+  findGroup(group: string): ServedGroup | undefined {
     return this.served.get(group)?.group;
   }
 
@@ -98,12 +98,12 @@
     await Promise.all(all.map((s) => s.group.dispose()));
   }
 
-  private findServed(name: string): Served | undefined {
+  private findOrOpen(name: string): GroupEntry | undefined {
     const known = this.served.get(name);
     if (known !== undefined) return known;
     const group = this.groups.get(name);
     if (group === undefined) return undefined;
-    const served: Served = {
+    const served: GroupEntry = {
       group: new ServedGroup(group, this.ports),
       conversations: 0,
       idleSince: this.ports.clock.now(),
@@ -113,7 +113,7 @@
     return served;
   }
 
-  private openRefused(group: string, reason: NotRunReason): Conversation {
+  private createRefusingConversation(group: string, reason: NotRunReason): Conversation {
     const { logger } = this.ports;
     return {
       run(request): Promise<Outcome> {
--- a/src/owner/group.ts
+++ b/src/owner/group.ts
@@ -13,7 +13,7 @@
 } from "../model/index.js";
 import { routeRead, type ReadRoute } from "../policy/index.js";
 import { WatchConfirmer } from "./confirmer.js";
-import { createPgPool, type PgConnectionTaken, type PgPool } from "./connections.js";
+import { createPgPool, type PgAcquireResult, type PgPool } from "./connections.js";
 import { PrimaryExpectation } from "./expectation.js";
 import type { AttemptGroup } from "./filters/attempt.js";
 import type { ConnectingGroup } from "./filters/connect.js";
@@ -21,12 +21,12 @@
 import type { PlacingGroup } from "./filters/place.js";
 import { RetryFilter } from "./filters/retry.js";
 import type { OwnerPorts } from "./ports.js";
-import { findState, SceneKeeper } from "./scene.js";
+import { findTargetState, RoutingTracker } from "./routing.js";
 
 /** How soon a lost primary's slots are expected back, for those who wait for them. */
-const expectedGapMs = 1000;
+const expectedOutageMs = 1000;
 
-const lookAgainMs = 250;
+const primaryRecheckMs = 250;
 
 /** How long open transactions may keep the primary role on a leaving target, in milliseconds. */
 const transactionGraceMs = 2000;
@@ -38,13 +38,13 @@
   readonly watch: GroupWatch;
   readonly confirmer: WatchConfirmer;
   readonly retry: RetryFilter;
-  private readonly owned = new DisposableStore();
+  private readonly disposables = new DisposableStore();
   private readonly slots: SlotQueue;
   private readonly pools = new Map<string, PgPool>();
-  private readonly scene: SceneKeeper;
-  private readonly sizes = new Map<string, string>();
-  private readonly primaryBound = new Set<string>();
-  private readonly transactions = new Map<string, number>();
+  private readonly routing: RoutingTracker;
+  private readonly appliedSizes = new Map<string, string>();
+  private readonly waitingForPrimary = new Set<string>();
+  private readonly openTransactions = new Map<string, number>();
   private lastPrimary: string | undefined;
   private readonly expectation: PrimaryExpectation;
 
@@ -53,9 +53,9 @@
     readonly ports: OwnerPorts,
   ) {
     const { clock, random, logger, hooks } = ports;
-    this.slots = this.owned.add(new SlotQueue(clock));
-    this.scene = new SceneKeeper(group, findBackedAt);
-    this.watch = this.owned.add(
+    this.slots = this.disposables.add(new SlotQueue(clock));
+    this.routing = new RoutingTracker(group, findBackedAt);
+    this.watch = this.disposables.add(
       new GroupWatch({
         group,
         vm: ports.vm,
@@ -64,21 +64,21 @@
         clock,
         random,
         log: logger,
-        findHelpers: ports.findHelpers,
+        findHelpers: ports.listCheckerVms,
         onGap: (gapMs, split) => {
-          hooks.onGap(group.name, gapMs, split);
+          hooks.onFailover(group.name, gapMs, split);
         },
       }),
     );
     this.confirmer = new WatchConfirmer(this.watch, (signal) => this.waitForPrimary(signal));
     this.retry = new RetryFilter(clock, random, logger);
     for (const target of group.targets) this.addPool(target);
-    this.expectation = this.owned.add(
+    this.expectation = this.disposables.add(
       new PrimaryExpectation(clock, () => {
         this.observe(this.watch.view());
       }),
     );
-    this.owned.add(
+    this.disposables.add(
       this.watch.subscribe((view) => {
         this.observe(view);
       }),
@@ -90,7 +90,7 @@
   }
 
   start(): void {
-    this.expectation.open();
+    this.expectation.startOpening();
     this.ports.logger.write(ownerEvents.groupOpened, { group: this.name });
     this.observe(this.watch.view());
     this.watch.start();
@@ -100,23 +100,23 @@
   setGroup(group: Group): void {
     const stayed = this.group.targets.filter((t) => t.isLeaving !== true).map((t) => t.name);
     this.group = group;
-    this.scene.setGroup(group);
+    this.routing.setGroup(group);
     this.observe(this.watch.view());
     for (const { name, isLeaving } of group.targets) {
       if (isLeaving === true && stayed.includes(name)) this.pools.get(name)?.drain();
     }
-    this.switchFromLeaving();
+    this.requestSwitchoverIfLeaving();
   }
 
   /**
    * Moves the primary role off a target that is leaving, once its open transactions have ended or
    * had their time. To be called again while that lasts.
    */
-  switchFromLeaving(): void {
-    const { primary } = this.view();
+  requestSwitchoverIfLeaving(): void {
+    const { primary } = this.getView();
     if (primary === undefined || !this.isLeaving(primary.target) || this.watch.isSwitching) return;
-    const hasTime = this.expectation.measureGapMs() < transactionGraceMs;
-    const isBusy = (this.transactions.get(primary.target) ?? 0) > 0;
+    const hasTime = this.expectation.measureOutageMs() < transactionGraceMs;
+    const isBusy = (this.openTransactions.get(primary.target) ?? 0) > 0;
     if (!isBusy || !hasTime) this.watch.switchFrom(primary.target);
   }
 
@@ -125,17 +125,17 @@
   }
 
   /** Keeps count of the open transactions on a target. */
-  countTransaction(target: string, change: number): void {
-    this.transactions.set(target, (this.transactions.get(target) ?? 0) + change);
-    if (this.isLeaving(target)) this.switchFromLeaving();
+  adjustTransactionCount(target: string, change: number): void {
+    this.openTransactions.set(target, (this.openTransactions.get(target) ?? 0) + change);
+    if (this.isLeaving(target)) this.requestSwitchoverIfLeaving();
   }
 
   async dispose(): Promise<void> {
-    await this.owned.dispose();
+    await this.disposables.dispose();
     this.ports.logger.write(ownerEvents.groupClosed, { group: this.name });
   }
 
-  view(): GroupView {
+  getView(): GroupView {
     return this.watch.view();
   }
 
@@ -149,8 +149,8 @@
     };
     const queue = {
       countFree: (target: string) => this.slots.countFree(target),
-      measureWaitMs: (target: string) =>
-        this.slots.measureWaitMs({ ...question, candidates: [target] }),
+      estimateWaitMs: (target: string) =>
+        this.slots.estimateWaitMs({ ...question, candidates: [target] }),
     };
     const demand = {
       route: request.action.route,
@@ -158,14 +158,14 @@
       patienceMs,
       ...(request.mark === undefined ? {} : { mark: request.mark }),
     };
-    return routeRead(demand, this.scene.build(this.view(), queue, now));
+    return routeRead(demand, this.routing.buildReadScene(this.getView(), queue, now));
   }
 
   findWriteTarget(): string | undefined {
-    return this.view().primary?.target ?? this.lastPrimary;
+    return this.getView().primary?.target ?? this.lastPrimary;
   }
 
-  async acquire(
+  async acquireSlot(
     request: Request,
     candidates: readonly string[],
     signal: AbortSignal,
@@ -174,7 +174,7 @@
     const { clock, hooks } = this.ports;
     const startedAt = clock.now();
     const isBound = candidates.length === 1 && candidates[0] === this.findWriteTarget();
-    if (isBound) this.primaryBound.add(id);
+    if (isBound) this.waitingForPrimary.add(id);
     const wanted = {
       id,
       team: traits.team,
@@ -185,7 +185,7 @@
       maxQueueMs: action.maxQueueMs,
     };
     const result = await this.slots.acquire(wanted, signal);
-    this.primaryBound.delete(id);
+    this.waitingForPrimary.delete(id);
     hooks.onQueueWait(request, clock.now() - startedAt);
     return result;
   }
@@ -205,7 +205,7 @@
     });
   }
 
-  async refresh(target: string): Promise<void> {
+  async refreshMark(target: string): Promise<void> {
     await this.watch.readMark(target);
   }
 
@@ -214,19 +214,27 @@
   }
 
   async waitForPrimary(signal: AbortSignal): Promise<void> {
-    while (this.view().primary === undefined && this.expectation.isDue() && !signal.aborted) {
-      await this.waitForChange(lookAgainMs, signal);
+    while (
+      this.getView().primary === undefined &&
+      this.expectation.isPrimaryExpected() &&
+      !signal.aborted
+    ) {
+      await this.waitForChange(primaryRecheckMs, signal);
     }
   }
 
-  take(target: string, deadlineAt: number, signal: AbortSignal): Promise<PgConnectionTaken> {
+  acquireConnection(
+    target: string,
+    deadlineAt: number,
+    signal: AbortSignal,
+  ): Promise<PgAcquireResult> {
     const pool = this.pools.get(target);
     if (pool === undefined) throw new Error(`${target} is no target of ${this.name}`);
-    return pool.take(deadlineAt, signal);
+    return pool.acquire(deadlineAt, signal);
   }
 
-  describe(target: string): ReturnType<ConnectingGroup["describe"]> {
-    const { primary } = this.view();
+  describeTarget(target: string): ReturnType<ConnectingGroup["describeTarget"]> {
+    const { primary } = this.getView();
     const isPrimary = primary?.target === target;
     return {
       target: this.findTarget(target),
@@ -241,7 +249,7 @@
     });
   }
 
-  noteBroken(target: string): void {
+  reportConnectionFailure(target: string): void {
     this.watch.observeFailure(target);
   }
 
@@ -269,7 +277,7 @@
   private addPool(target: Target): void {
     const { connector, clock } = this.ports;
     const pool = createPgPool(target, this.group.name, connector, clock);
-    this.pools.set(target.name, this.owned.add(pool));
+    this.pools.set(target.name, this.disposables.add(pool));
   }
 
   private findTarget(name: string): Target {
@@ -279,45 +287,45 @@
   }
 
   private observe(view: GroupView): void {
-    this.scene.observe(view);
-    this.noteLoss(view);
+    this.routing.observe(view);
+    this.updateExpectation(view);
     const { primary } = view;
     if (primary !== undefined && primary.target !== this.lastPrimary) {
-      this.movePrimary(primary.target, view);
+      this.redirectWaitingWrites(primary.target, view);
     }
-    for (const target of this.group.targets) this.resize(target, view);
+    for (const target of this.group.targets) this.resizeSlots(target, view);
   }
 
   /**
    * Writes that waited for the old primary's slot wait for the new one's instead. The new one gets
    * its slots first: the queue refuses at once those that wait for a target without any.
    */
-  private movePrimary(name: string, view: GroupView): void {
+  private redirectWaitingWrites(name: string, view: GroupView): void {
     this.lastPrimary = name;
-    this.resize(this.findTarget(name), view);
-    for (const id of this.primaryBound) this.slots.retarget(id, [name]);
+    this.resizeSlots(this.findTarget(name), view);
+    for (const id of this.waitingForPrimary) this.slots.retarget(id, [name]);
   }
 
   /** A primary that serves nothing new, since it is silent or leaving, counts as lost. */
-  private noteLoss({ primary, targets }: GroupView): void {
+  private updateExpectation({ primary, targets }: GroupView): void {
     const seen = primary && targets[primary.target];
     const target = primary && this.findTarget(primary.target);
-    const isServing = target !== undefined && findState(target, seen) === "serving";
+    const isServing = target !== undefined && findTargetState(target, seen) === "serving";
     this.expectation.observe(isServing || this.lastPrimary === undefined);
   }
 
   /** Only changes reach the queue: views come with every position that a target reports. */
-  private resize(target: Target, view: GroupView): void {
-    const state = findState(target, view.targets[target.name]);
+  private resizeSlots(target: Target, view: GroupView): void {
+    const state = findTargetState(target, view.targets[target.name]);
     const isPrimary = view.primary?.target === target.name;
     const isAwaited = target.name === this.lastPrimary && (!isPrimary || state !== "serving");
     const isServing = state === "serving" && !isAwaited;
     const role = isPrimary || isAwaited ? "primary" : "replica";
     const slots = isServing ? target.slots : 0;
-    const isDue = isAwaited && this.expectation.isDue();
+    const isDue = isAwaited && this.expectation.isPrimaryExpected();
     const size = `${role} ${slots} ${String(isDue)}`;
-    if (this.sizes.get(target.name) === size) return;
-    this.sizes.set(target.name, size);
-    this.slots.resize(target.name, role, slots, isDue ? expectedGapMs : undefined);
+    if (this.appliedSizes.get(target.name) === size) return;
+    this.appliedSizes.set(target.name, size);
+    this.slots.resize(target.name, role, slots, isDue ? expectedOutageMs : undefined);
   }
 }
--- a/src/owner/hooks.ts
+++ b/src/owner/hooks.ts
@@ -5,12 +5,12 @@
 export interface OwnerHooks {
   readonly onOutcome: (request: Request, outcome: Outcome) => void;
   readonly onQueueWait: (request: Request, waitMs: number) => void;
-  readonly onGap: (group: string, gapMs: number, split: GapSplit) => void;
+  readonly onFailover: (group: string, gapMs: number, split: GapSplit) => void;
 }
 
 /** Counts nothing. */
-export const silentHooks: OwnerHooks = {
+export const noopHooks: OwnerHooks = {
   onOutcome: () => undefined,
   onQueueWait: () => undefined,
-  onGap: () => undefined,
+  onFailover: () => undefined,
 };
--- a/src/owner/index.ts
+++ b/src/owner/index.ts
@@ -1,4 +1,4 @@
 export { OwnerGateway } from "./gateway.js";
 export { ServedGroup } from "./group.js";
 export { type OwnerPorts } from "./ports.js";
-export { type OwnerHooks, silentHooks } from "./hooks.js";
+export { type OwnerHooks, noopHooks } from "./hooks.js";
--- a/src/owner/ports.ts
+++ b/src/owner/ports.ts
@@ -20,5 +20,5 @@
   readonly logger: Logger;
   readonly hooks: OwnerHooks;
   /** Other live VMs, the best first. */
-  readonly findHelpers: () => readonly Vm[];
+  readonly listCheckerVms: () => readonly Vm[];
 }
--- a/src/owner/scene.ts
+++ b/src/owner/routing.ts
@@ -17,24 +17,24 @@
 } from "../model/index.js";
 
 /** From this many missed probes on a target gets no new work. */
-const missedLimit = 2;
+const unreachableAfterMissed = 2;
 
 /** What the router asks of the group's queue. */
-export interface SceneQueue {
+export interface RoutingQueue {
   countFree(target: string): number;
   /** The wait for a slot of one target, in milliseconds. */
-  measureWaitMs(target: string): number;
+  estimateWaitMs(target: string): number;
 }
 
 /** Keeps what the router needs to know beyond the latest view: positions over time. */
-export class SceneKeeper {
+export class RoutingTracker {
   private history: PositionHistory = emptyHistory;
   private readonly progress = new Map<string, Progress>();
 
   constructor(
     private group: Group,
     /** The latest time at which the view's primary is known to have had a majority with it. */
-    private readonly findBackedAt: (
+    private readonly findMajorityConfirmedAt: (
       view: GroupView,
       targets: readonly string[],
     ) => number | undefined,
@@ -46,7 +46,7 @@
 
   /** Takes a new view into account. */
   observe(view: GroupView): void {
-    this.observePrimaryOf(view);
+    this.recordPrimary(view);
     for (const target of this.group.targets) {
       const seen = view.targets[target.name];
       if (seen === undefined || target.name === view.primary?.target) continue;
@@ -56,7 +56,7 @@
   }
 
   /** Builds what the router looks at. */
-  build(view: GroupView, queue: SceneQueue, now: number): ReadScene {
+  buildReadScene(view: GroupView, queue: RoutingQueue, now: number): ReadScene {
     const targets = this.group.targets.flatMap((target) => {
       const seen = view.targets[target.name];
       return seen === undefined ? [] : [this.buildTarget(target, seen, view, queue)];
@@ -68,9 +68,9 @@
    * A superseded primary goes on reporting an end of the log that is no longer the group's, and ages
    * told from it would be too small. A sighting counts only as of when a majority backed it.
    */
-  private observePrimaryOf(view: GroupView): void {
+  private recordPrimary(view: GroupView): void {
     const names = this.group.targets.map((t) => t.name);
-    const backedAt = this.findBackedAt(view, names);
+    const backedAt = this.findMajorityConfirmedAt(view, names);
     const seen = view.primary && view.targets[view.primary.target];
     if (seen === undefined || backedAt === undefined) return;
     const askedAt = Math.min(seen.askedAt, backedAt);
@@ -81,33 +81,33 @@
     target: Target,
     seen: TargetView,
     view: GroupView,
-    queue: SceneQueue,
+    queue: RoutingQueue,
   ): ReadTarget {
     const progress = this.progress.get(target.name);
     return {
       name: target.name,
       role: view.primary?.target === target.name ? "primary" : "replica",
-      state: findState(target, seen),
+      state: findTargetState(target, seen),
       status: seen.status,
       freeSlots: queue.countFree(target.name),
-      queueMs: queue.measureWaitMs(target.name),
+      queueMs: queue.estimateWaitMs(target.name),
       ...(progress === undefined ? {} : { progress }),
     };
   }
 }
 
 /** Whether a target takes new work. */
-export function findState(
+export function findTargetState(
   target: Target,
   seen: TargetView | undefined,
 ): "serving" | "leaving" | "unreachable" {
   if (target.isLeaving === true) return "leaving";
-  if (seen === undefined || seen.missedProbes >= missedLimit) return "unreachable";
+  if (seen === undefined || seen.missedProbes >= unreachableAfterMissed) return "unreachable";
   return "serving";
 }
 
 /** Whether a target's log, as last reported, holds what a session must see. */
-export function holdsMark(view: GroupView, target: string, mark: Mark | undefined): boolean {
+export function hasMark(view: GroupView, target: string, mark: Mark | undefined): boolean {
   if (mark === undefined) return true;
   const seen = view.targets[target];
   if (seen === undefined) return false;
--- a/src/owner/sql.ts
+++ b/src/owner/sql.ts
@@ -34,7 +34,7 @@
 }
 
 /** Quotes a text as an SQL literal. */
-export function formatLiteral(text: string): string {
+export function quoteLiteral(text: string): string {
   return `'${text.replaceAll("'", "''")}'`;
 }
 
--- a/src/proxy/gateway.ts
+++ b/src/proxy/gateway.ts
@@ -77,6 +77,6 @@
 
   /** Cut off from the group's primary, this process can serve nothing; the next VM may reach it. */
   private isCutOff(group: string): boolean {
-    return this.options.owner.find(group)?.watch.isCutOff === true;
+    return this.options.owner.findGroup(group)?.watch.isCutOff === true;
   }
 }
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -46,7 +46,7 @@
         random,
         logger,
         hooks: createMetricHooks(metrics),
-        findHelpers: () => membership.findHelpers(helperCount),
+        listCheckerVms: () => membership.findHelpers(helperCount),
       }),
     );
     this.directory = this.owned.add(
@@ -125,8 +125,8 @@
   }
 
   private tend(): void {
-    void this.owner.tend();
-    for (const served of this.owner.list()) {
+    void this.owner.runMaintenance();
+    for (const served of this.owner.listGroups()) {
       const counts = served.countConnections();
       for (const state of ["opening", "idle", "active", "suspect"] as const) {
         this.metrics.setConnections(served.name, state, counts.get(state) ?? 0);
--- a/src/proxy/hooks.ts
+++ b/src/proxy/hooks.ts
@@ -21,7 +21,7 @@
     onQueueWait(request, waitMs) {
       metrics.recordQueueWait(request.action.priority, waitMs / msPerSecond);
     },
-    onGap(group, gapMs, split) {
+    onFailover(group, gapMs, split) {
       metrics.recordFailover({
         group,
         gap: gapMs / msPerSecond,
--- a/src/proxy/proxy.ts
+++ b/src/proxy/proxy.ts
@@ -116,7 +116,7 @@
         ...vm.peer,
         status,
       })),
-      groups: this.groups.owner.list().map(describeGroup),
+      groups: this.groups.owner.listGroups().map(describeGroup),
     };
   }
 
--- a/src/proxy/report.ts
+++ b/src/proxy/report.ts
@@ -7,7 +7,7 @@
 
 /** Describes a group for operators, as its owner sees it. */
 export function describeGroup(served: ServedGroup): GroupReport {
-  const { primary } = served.view();
+  const { primary } = served.getView();
   return {
     group: served.name,
     queued: served.countQueued(),
@@ -17,7 +17,7 @@
 }
 
 function describeTarget(name: string, served: ServedGroup): GroupReport["targets"][number] {
-  const { primary, targets } = served.view();
+  const { primary, targets } = served.getView();
   const seen = targets[name];
   if (seen === undefined) return { target: name, role: "unknown", missedProbes: 0 };
   const end = primary && targets[primary.target]?.status.mark.offset;
--- a/test/admission/queue.test.ts
+++ b/test/admission/queue.test.ts
@@ -139,7 +139,7 @@
   harness.arrive("patient", { maxQueueMs: 500 });
   harness.arrive("hasty", { maxQueueMs: 100 });
   const lost = { type: "resize", at: 1, target: "p", role: "primary", slots: 0 } as const;
-  harness.apply({ ...lost, backInMs: 300 });
+  harness.apply({ ...lost, readyInMs: 300 });
   expect(harness.apply({ type: "tick", at: 2 })).toMatchObject([{ id: "hasty" }]);
   harness.apply(lost);
   expect(harness.apply({ type: "tick", at: 3 })).toMatchObject([
--- a/test/owner/group.ts
+++ b/test/owner/group.ts
@@ -11,7 +11,7 @@
   type Request,
   type ServeAction,
 } from "../../src/model/index.js";
-import { OwnerGateway, silentHooks } from "../../src/owner/index.js";
+import { OwnerGateway, noopHooks } from "../../src/owner/index.js";
 import { createSystemClock, createSystemRandom } from "../../src/system/index.js";
 import { PgTargetConnector, PgTargetControl } from "../../src/target/index.js";
 import { StandinTarget } from "../../standin/target/index.js";
@@ -59,8 +59,8 @@
       clock,
       random: createSystemRandom(),
       logger: silentLogger,
-      hooks: silentHooks,
-      findHelpers: () => [],
+      hooks: noopHooks,
+      listCheckerVms: () => [],
     });
     gateway.setGroups(new Map([[group.name, group]]), new Set([group.name]));
     return store.add(gateway);
@@ -79,7 +79,7 @@
 };
 
 /** What an answer was: its texts of tags and errors, its row count, and the outcome. */
-export interface Answer {
+export interface RunResult {
   readonly outcome: Outcome;
   readonly types: string;
   readonly text: string;
@@ -102,7 +102,7 @@
   effect: "read" | "write",
   sql: string,
   options: RunOptions = {},
-): Promise<Answer> {
+): Promise<RunResult> {
   const action = { ...serveAction, ...options.action };
   const { key, mark, transaction = false } = options;
   const request: Request = {
@@ -136,7 +136,7 @@
   effect: "read" | "write",
   sql: string,
   options: RunOptions = {},
-): Promise<Answer> {
+): Promise<RunResult> {
   const conversation = gateway.open("libro");
   const answer = await runSql(conversation, effect, sql, options);
   conversation.close();
--- a/test/owner/superseded.test.ts
+++ b/test/owner/superseded.test.ts
@@ -2,7 +2,11 @@
 import { silentLogger } from "../../src/log/index.js";
 import type { Outcome, Request, TargetSession } from "../../src/model/index.js";
 import { HeldAnswer } from "../../src/owner/answer.js";
-import { Placement, type Place, type ServeContext } from "../../src/owner/context.js";
+import {
+  LatestPlacement,
+  type PlacedConnection,
+  type ServeContext,
+} from "../../src/owner/context.js";
 import { createConfirmFilter } from "../../src/owner/filters/confirm.js";
 import { createConnectFilter } from "../../src/owner/filters/connect.js";
 import { serveAction } from "./group.js";
@@ -54,7 +58,7 @@
     signal: new AbortController().signal,
     attempt: 1,
     timeLeftMs: () => 5000,
-    placement: new Placement(),
+    placement: new LatestPlacement(),
     slotTarget: "t1",
   };
 }
@@ -67,14 +71,14 @@
   const connection = {
     session,
     noteProgress: () => undefined,
-    giveBack: () => void (given += 1),
+    release: () => void (given += 1),
     drop: () => undefined,
   };
   const connect = createConnectFilter(
     {
-      take: () => Promise.resolve({ type: "granted", connection }),
-      describe: () => ({ target, role: "replica", term: undefined }),
-      noteBroken: () => undefined,
+      acquireConnection: () => Promise.resolve({ type: "granted", connection }),
+      describeTarget: () => ({ target, role: "replica", term: undefined }),
+      reportConnectionFailure: () => undefined,
     },
     () => undefined,
   );
@@ -95,14 +99,14 @@
 test("a write that a superseded primary committed is not acknowledged", async () => {
   const passed: Uint8Array[] = [];
   const context = makeContext(passed);
-  const place: Place = { target, role: "replica", term: undefined, session };
+  const place: PlacedConnection = { target, role: "replica", term: undefined, session };
   const confirmer = {
     confirm: () => Promise.resolve({ type: "unconfirmed", reason: "no term" } as const),
   };
   const confirm = createConfirmFilter(confirmer, silentLogger);
   const outcome = await confirm.apply(context, async (inner) => {
-    inner.placement.note(place);
-    await inner.answer.take(committed);
+    inner.placement.record(place);
+    await inner.answer.receive(committed);
     return answered;
   });
   expect(outcome).toMatchObject({ type: "failed", verdict: { type: "mayHaveRun" } });
@@ -120,9 +124,9 @@
   };
   const confirm = createConfirmFilter(confirmer, silentLogger);
   const outcome = await confirm.apply(context, async (inner) => {
-    inner.placement.note({ target, role: "primary", term: undefined, session });
+    inner.placement.record({ target, role: "primary", term: undefined, session });
     for (const text of ["1\0\0\0\x04", "2\0\0\0\x04", "E\0\0\0\x0cC25006\0\0"]) {
-      await inner.answer.take(Buffer.from(text, "latin1"));
+      await inner.answer.receive(Buffer.from(text, "latin1"));
     }
     return answered;
   });
@@ -134,7 +138,7 @@
   const passed: Uint8Array[] = [];
   const answer = new HeldAnswer((message) => void passed.push(message), "outcome");
   for (const type of ["1", "2", "T", "D", "D"]) {
-    await answer.take(Buffer.from(`${type}\0\0\0\x04`, "latin1"));
+    await answer.receive(Buffer.from(`${type}\0\0\0\x04`, "latin1"));
   }
   expect(passed.map(([type]) => String.fromCharCode(type ?? 0)).join("")).toBe("12TDD");
 });
