--- a/src/capacity/pool.ts
+++ b/src/capacity/pool.ts
@@ -11,13 +11,13 @@
 import { Ticker } from "./ticker.js";
 import { Waiters } from "./waiters.js";
 
-/** Between two notes of progress on one connection, at the least, in milliseconds. */
+/** The shortest time between two progress events of one connection, in milliseconds. */
 const progressIntervalMs = 50;
 const refusedRetryMs = 100;
 
-/** What a pool needs of a connection. */
+/** The operations that a pool uses on a connection, whatever its protocol. */
 export interface PooledSession {
-  /** False once it was closed or broke. */
+  /** False once the connection was closed or broke. */
   readonly isUsable: boolean;
   close(): void;
 }
@@ -25,40 +25,43 @@
 /** How a pool reaches its target. */
 export interface PoolPorts<S extends PooledSession> {
   /**
-   * Opens a connection for a team, or for all where its name is empty. Rejects when none could be opened
-   * in time.
+   * Opens a connection for one team, or for all teams if the name is empty. Rejects if it is not open
+   * within `timeoutMs`.
    */
   open(timeoutMs: number, team: string): Promise<S>;
-  /** An empty exchange: a connection that something between the ends has forgotten stays silent. */
+  /**
+   * Runs an empty exchange and resolves to whether it was answered. A connection whose state was lost in
+   * the network between the two ends never answers.
+   */
   check(session: S, signal: AbortSignal): Promise<boolean>;
-  /** Whether the target refused a connection because it has too many. */
+  /** Whether the target refused a connection because its connection limit is reached. */
   isTooManyConnections(error: unknown): boolean;
 }
 
-/** What a pool may be told besides. */
+/** Options of a pool. Connection settings that are absent have their defaults. */
 export interface TargetPoolOptions {
   readonly settings: Partial<ConnectionSettings> & Pick<ConnectionSettings, "limit">;
-  /** Between two looks at the connections, in milliseconds. */
+  /** The interval at which timeouts and limits are checked, in milliseconds. */
   readonly tickMs?: number;
 }
 
-/** What came of asking for a connection. */
+/** The result of acquiring a connection. */
 export type AcquireResult<S extends PooledSession> =
   | { readonly type: "granted"; readonly connection: HeldConnection<S> }
   | { readonly type: "refused"; readonly reason: NotRunReason; readonly retryAfterMs: number };
 
-/** A connection held by one request or transaction. */
+/** A connection that one request or transaction holds until it calls `release` or `drop`. */
 export interface HeldConnection<S extends PooledSession> {
   readonly session: S;
-  /** Notes that bytes of an answer came, so that the connection does not count as silent. */
+  /** Records that bytes of an answer arrived, so that the connection does not count as silent. */
   noteProgress(): void;
-  /** Back to the pool: its last exchange ended idle and nothing is in flight. */
+  /** Returns the connection to the pool. Its last exchange has ended idle and nothing is in flight. */
   release(): void;
-  /** Closes it: an answer that is still on its way must reach nobody. */
+  /** Closes the connection, so that an answer that is still in flight reaches no other caller. */
   drop(): void;
 }
 
-/** The connections of this process to one target: the pure controller with its sockets. */
+/** This process's connections to one target. Binds the pure controller to sockets and a timer. */
 export class TargetPool<S extends PooledSession> implements Disposable {
   private pool: Pool;
   private readonly sessions = new Map<string, S>();
@@ -78,41 +81,44 @@
     }, tickMs);
   }
 
-  /** Waits for a connection until `deadlineAt`; with a team's name for one that serves this team alone. */
+  /**
+   * Waits for a connection until `deadlineAt`. If a team is given, the connection serves only this
+   * team.
+   */
   acquire(deadlineAt: number, signal: AbortSignal, team = ""): Promise<AcquireResult<S>> {
     const waiter = `w${this.nextWaiterNumber}`;
     this.nextWaiterNumber += 1;
-    const ask = () => {
+    const submit = () => {
       this.apply({ type: "ask", at: this.clock.now(), waiter, team, deadlineAt });
     };
     const giveUp = () => {
       this.refuse(waiter, "deadline");
       this.apply({ type: "giveUp", at: this.clock.now(), waiter });
     };
-    return this.waiters.wait(waiter, signal, ask, giveUp);
+    return this.waiters.wait(waiter, signal, submit, giveUp);
   }
 
-  /** Follows a change of this process's part of the target's connections. */
+  /** Applies new limits of the target's connections and of this process's share of them. */
   resize(limit: number, maxShare: number): void {
     this.apply({ type: "resize", at: this.clock.now(), limit, maxShare: maxShare });
   }
 
-  /** Notes that the target turned work away because all its slots were taken. */
+  /** Records that the target refused work because all its slots were in use. */
   noteSaturated(): void {
     this.apply({ type: "full", at: this.clock.now() });
   }
 
-  /** Stops giving out connections; those in use are closed as they come back. */
+  /** Stops granting connections. Those in use are closed when they are returned. */
   drain(): void {
     this.apply({ type: "drain", at: this.clock.now() });
   }
 
-  /** Whether a connection that serves a team is free. */
+  /** Whether an idle connection that serves the team exists. */
   hasIdle(team: string): boolean {
     return listConnections(this.pool, "idle").some((connection) => connection.team === team);
   }
 
-  /** The connections by state, for metrics. */
+  /** Counts the connections by state, for metrics. */
   countByState(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const { type } of Object.values(this.pool.connections)) {
@@ -135,7 +141,7 @@
     if (applied.type === "failed") return;
     this.pool = applied.state;
     for (const effect of applied.effects) this.execute(effect);
-    this.ticker.setRunning(!this.isQuiet());
+    this.ticker.setRunning(!this.isEmpty());
   }
 
   private execute(effect: ConnectionEffect): void {
@@ -239,7 +245,7 @@
     this.waiters.settle(waiter, { type: "refused", reason, retryAfterMs });
   }
 
-  private isQuiet(): boolean {
+  private isEmpty(): boolean {
     return Object.keys(this.pool.connections).length === 0 && this.waiters.size === 0;
   }
 }
--- a/src/capacity/slots.ts
+++ b/src/capacity/slots.ts
@@ -16,26 +16,32 @@
 import { Ticker } from "./ticker.js";
 import { Waiters } from "./waiters.js";
 
-/** When a request that gave up its place, or met an ending queue, may come back, in milliseconds. */
+/**
+ * The retry delay for a request that left the queue, or that the queue does not accept or serve any
+ * more, in milliseconds.
+ */
 const refusedRetryMs = 50;
 
-/** How long a statement whose caller gave up is taken to hold its slot on, in milliseconds. */
+/** How long a statement whose caller gave up is assumed to occupy its slot, in milliseconds. */
 const abandonedHoldMs = 1000;
 
-/** What came of asking for a slot. */
+/** The result of waiting for a slot. */
 export type SlotResult =
   | { readonly type: "started"; readonly slot: Slot }
   | { readonly type: "refused"; readonly reason: NotRunReason; readonly retryAfterMs: number };
 
-/** A slot of a target, held until the statement has left it. */
+/** A slot of a target, held until the statement has ended there. */
 export interface Slot {
   readonly target: string;
   release(): void;
-  /** The statement may go on at the target without its caller. */
+  /**
+   * Releases the slot after a delay, for a caller that gave up while its statement may still run at the
+   * target.
+   */
   abandon(): void;
 }
 
-/** The admission queue of one group: the pure controller with its timer and its waiters. */
+/** The admission queue of one group. Binds the pure controller to a timer and to the waiting requests. */
 export class SlotQueue implements Disposable {
   private admission: Admission = createAdmission();
   private readonly waiters = new Waiters<SlotResult>();
@@ -45,30 +51,33 @@
 
   constructor(private readonly clock: Clock) {}
 
-  /** Waits for a slot. An aborted signal gives up the place in the queue. */
+  /** Waits for a slot. Aborting the signal removes the request from the queue. */
   acquire(request: AdmissionRequest, signal: AbortSignal): Promise<SlotResult> {
-    const ask = () => {
+    const submit = () => {
       this.apply({ type: "arrive", at: this.clock.now(), request });
     };
     const giveUp = () => {
       this.giveUp(request.id);
     };
-    return this.waiters.wait(request.id, signal, ask, giveUp);
+    return this.waiters.wait(request.id, signal, submit, giveUp);
   }
 
-  /** Sets a target's slots; 0 while it takes no work, with the time when it is expected back. */
+  /**
+   * Sets a target's slots and role. A target that takes no work has 0 slots; `readyInMs` is then the time
+   * until it is expected to have some, and undefined if none are expected.
+   */
   resize(target: string, role: "primary" | "replica", slots: number, readyInMs?: number): void {
     const ready = readyInMs === undefined ? {} : { readyInMs };
     this.apply({ type: "resize", at: this.clock.now(), target, role, slots, ...ready });
   }
 
-  /** Lets other targets serve a request that still waits. */
+  /** Replaces the candidate targets of a request that is still waiting. */
   retarget(id: string, candidates: readonly string[]): void {
     if (!this.waiters.has(id)) return;
     this.apply({ type: "retarget", at: this.clock.now(), id, candidates });
   }
 
-  /** Refuses what waits for a target alone, so that it may be placed anew. */
+  /** Refuses the requests that wait for this target alone, so that their callers can place them again. */
   evict(target: string): void {
     for (const id of listWaitingOnlyFor(this.admission, target)) {
       this.refuse(id, "noPrimary", 0);
@@ -76,7 +85,7 @@
     }
   }
 
-  /** Requests that wait for a target alone. */
+  /** Counts the requests that wait for this target alone. */
   countWaitingOnlyFor(target: string): number {
     return listWaitingOnlyFor(this.admission, target).length;
   }
@@ -85,7 +94,7 @@
     return countFreeSlots(this.admission, target);
   }
 
-  /** The wait that the queue implies, in milliseconds. */
+  /** Estimates how long a request that arrives now would wait for a slot, in milliseconds. */
   estimateWaitMs(request: RequestProfile): number {
     return estimateWait(this.admission, request, this.clock.now()).waitMs;
   }
@@ -128,19 +137,19 @@
 
   private createSlot(id: string, target: string): Slot {
     let isHeld = true;
-    const end = (ending: () => void) => {
-      if (isHeld) ending();
+    const endOnce = (end: () => void) => {
+      if (isHeld) end();
       isHeld = false;
     };
     return {
       target,
       release: () => {
-        end(() => {
+        endOnce(() => {
           this.finish(id);
         });
       },
       abandon: () => {
-        end(() => {
+        endOnce(() => {
           this.apply({ type: "cancel", at: this.clock.now(), id });
           setTimeout(() => {
             this.finish(id);
--- a/src/capacity/ticker.ts
+++ b/src/capacity/ticker.ts
@@ -1,12 +1,12 @@
 import type { Disposable } from "../model/index.js";
 
-/** Between two ticks of a queue or a pool unless it says otherwise, in milliseconds. */
+/** The default interval between two ticks, in milliseconds. */
 const defaultTickMs = 50;
 
 /**
- * A timer that runs only while it is needed: thousands of idle groups must cost nothing. All of one pace
- * tick at the same moments: a process with connections to 18 targets woke 42 times a second while each was
- * looked at by itself, 18 times now, counted over 10 s without work.
+ * A timer that runs only while it is needed, so that thousands of idle groups cost nothing. Tickers of
+ * the same interval tick at the same moments. This reduces the wake-ups of an idle process: with
+ * connections to 18 targets, from 42 to 18 per second.
  */
 export class Ticker implements Disposable {
   private timer: NodeJS.Timeout | undefined;
@@ -16,8 +16,8 @@
     private readonly intervalMs = defaultTickMs,
   ) {}
 
-  setRunning(isNeeded: boolean): void {
-    if (!isNeeded) this.dispose();
+  setRunning(isRunning: boolean): void {
+    if (!isRunning) this.dispose();
     else if (this.timer === undefined) this.scheduleTick();
   }
 
@@ -28,7 +28,7 @@
 
   private scheduleTick(): void {
     const sinceLast = performance.now() % this.intervalMs;
-    // Rounded up: a timer that fired before the moment would fire again at it.
+    // Rounded up, since a timer that fired before the moment of the tick would fire again at it.
     this.timer = setTimeout(
       () => {
         this.scheduleTick();
--- a/src/capacity/waiters.ts
+++ b/src/capacity/waiters.ts
@@ -1,4 +1,4 @@
-/** Requests that wait for a controller to decide about them, by id. Each is settled once. */
+/** Requests that wait for a controller's decision, by id. Each is settled once. */
 export class Waiters<R> {
   private readonly waiting = new Map<string, (result: R) => void>();
 
@@ -15,22 +15,22 @@
   }
 
   /**
-   * Waits until `settle` is called for the id. `ask` puts the question to the controller, which may
-   * answer at once; `onAbort` runs when the signal aborts before the answer.
+   * Waits until `settle` is called for the id. `submit` hands the request to the controller,
+   * which may decide immediately. `onAbort` runs if the signal aborts before the decision.
    */
-  wait(id: string, signal: AbortSignal, ask: () => void, onAbort: () => void): Promise<R> {
+  wait(id: string, signal: AbortSignal, submit: () => void, onAbort: () => void): Promise<R> {
     return new Promise((resolve) => {
       this.waiting.set(id, (result) => {
         signal.removeEventListener("abort", onAbort);
         resolve(result);
       });
       signal.addEventListener("abort", onAbort, { once: true });
-      ask();
+      submit();
       if (signal.aborted && this.has(id)) onAbort();
     });
   }
 
-  /** Hands the result to whoever waits; false when nobody does any more. */
+  /** Resolves the wait for the id. Returns false if the id is not waiting. */
   settle(id: string, result: R): boolean {
     const resolve = this.waiting.get(id);
     this.waiting.delete(id);
