--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -14,7 +14,7 @@
     put: "  return context.answer.tags.length > 1000;",
     also: {
       file: "src/owner/filters/attempt.ts",
-      find: "  return group.watchTerm(term, give);",
+      find: "  return group.watchTerm(term, abort);",
       put: "  return undefined;",
     },
     tests: "test/owner/failover",
--- a/src/owner/answer.ts
+++ b/src/owner/answer.ts
@@ -6,12 +6,12 @@
 const sqlStateField = "C".charCodeAt(0);
 
 /**
- * What comes before rows and outcome: ParseComplete, BindComplete, CloseComplete, NoData,
- * ParameterDescription, RowDescription.
+ * The types of the messages that precede rows and outcome: ParseComplete, BindComplete, CloseComplete,
+ * NoData, ParameterDescription, RowDescription.
  */
 const preludeTypes: ReadonlySet<string> = new Set(["1", "2", "3", "n", "t", "T"]);
 
-/** The most that a held answer may take before its request is given up, in bytes. */
+/** The most bytes of one answer that are held; the request fails if the answer exceeds them. */
 export const maxHeldBytes = 16 * 1024 * 1024;
 
 /** Reads the tag of a `CommandComplete`, such as `INSERT 0 1`; `undefined` for other messages. */
@@ -34,23 +34,24 @@
 }
 
 function readText(message: Uint8Array, start: number): { text: string; end: number } {
-  const zero = message.indexOf(0, start);
-  const end = zero < 0 ? message.length : zero;
+  const terminator = message.indexOf(0, start);
+  const end = terminator < 0 ? message.length : terminator;
   return { text: Buffer.from(message.subarray(start, end)).toString("utf8"), end };
 }
 
-/** Thrown into an exchange whose held answer grew past `maxHeldBytes`. */
+/** Thrown into an exchange when the held part of its answer exceeds `maxHeldBytes`. */
 export class HeldAnswerTooLargeError extends Error {
   override readonly name = "HeldAnswerTooLargeError";
 }
 
-/** What of an answer is held back: nothing, everything from its first outcome on, or all of it. */
+/** Which part of an answer is held: nothing, everything from its first outcome on, or all of it. */
 export type HoldMode = "none" | "outcome" | "all";
 
 /**
- * Hands an answer's rows on up to its first outcome (a `CommandComplete` or an `ErrorResponse`) and
- * holds the rest. A caller that saw the outcome of a write takes it for acknowledged; were the primary
- * superseded by then, the write could be lost after all. Rows before it acknowledge nothing.
+ * Forwards an answer's rows up to its first outcome (a `CommandComplete` or an `ErrorResponse`) and
+ * holds the rest until `release`. A caller that has received the outcome of a write considers the write
+ * acknowledged; if the primary has been superseded by then, the write may still be lost. Rows before the
+ * outcome acknowledge nothing.
  */
 export class HeldAnswer {
   private readonly held: Uint8Array[] = [];
@@ -64,22 +65,22 @@
     private readonly holdMode: HoldMode,
   ) {}
 
-  /** Whether the caller may have seen a part of the answer. */
+  /** Whether the caller may have received a part of the answer. */
   get hasForwarded(): boolean {
     return this.forwardedCount > 0;
   }
 
-  /** The tags of the commands that completed. */
+  /** The tags of the completed commands. */
   get tags(): readonly string[] {
     return this.tagList;
   }
 
-  /** The SQLSTATE of the target's error, if it answered with one. */
+  /** The SQLSTATE of the target's error; undefined if it reported none. */
   get sqlState(): string | undefined {
     return this.errorState;
   }
 
-  /** What is held now: whole messages, one behind the other. */
+  /** The held messages, concatenated. */
   get heldMessages(): Uint8Array {
     return Buffer.concat(this.held);
   }
@@ -95,13 +96,13 @@
     return this.held.length > 0 ? this.releaseWith(message) : this.forward(message);
   };
 
-  /** Hands on what was held. */
+  /** Forwards the held messages. */
   async release(): Promise<void> {
     for (const message of this.held.splice(0)) await this.forward(message);
     this.heldBytes = 0;
   }
 
-  /** Drops what was held; the caller hears of a verdict instead. */
+  /** Discards the held messages, tags and error; the caller receives a verdict instead. */
   discard(): void {
     this.held.length = 0;
     this.heldBytes = 0;
@@ -110,8 +111,9 @@
   }
 
   /**
-   * Once ParseComplete had passed, a prepared write that a superseded primary refuses could not be
-   * tried again: the caller would see it twice, and so saw the target's bare error instead.
+   * Holds the prelude until rows or an outcome follow. If ParseComplete was forwarded at once, a prepared
+   * write that a superseded primary refuses could not be retried, since the caller would receive
+   * ParseComplete twice; it would get the target's bare error instead.
    */
   private isPrelude(message: Uint8Array): boolean {
     if (this.holdMode === "none" || this.hasForwarded) return false;
@@ -146,9 +148,9 @@
   }
 }
 
-/** Splits a run of whole messages into its messages. */
-export function splitMessages(run: Uint8Array): readonly Uint8Array[] {
-  const view = Buffer.from(run.buffer, run.byteOffset, run.byteLength);
+/** Splits concatenated whole messages. The results share the memory of `bytes`. */
+export function splitMessages(bytes: Uint8Array): readonly Uint8Array[] {
+  const view = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const messages: Uint8Array[] = [];
   for (let at = 0; at + headerBytes <= view.length;) {
     const end = at + 1 + view.readInt32BE(at + 1);
@@ -158,9 +160,9 @@
   return messages;
 }
 
-/** The message types of a run, such as `PBDES`: the form in which a statement was sent. */
-export function listMessageTypes(run: Uint8Array): string {
-  return splitMessages(run)
+/** Lists the types of concatenated messages, such as `PBDES`: the form in which a statement was sent. */
+export function listMessageTypes(bytes: Uint8Array): string {
+  return splitMessages(bytes)
     .map((message) => String.fromCharCode(message[0] ?? 0))
     .join("");
 }
--- a/src/owner/confirmer.ts
+++ b/src/owner/confirmer.ts
@@ -3,10 +3,10 @@
 import type { PlacedConnection, ServeContext } from "./context.js";
 import type { ConfirmationResult, Confirmer } from "./filters/confirm.js";
 
-/** How often the primary is asked for the position of a commit before it counts as unconfirmed. */
-const readAttempts = 3;
+/** How often the primary is asked for its log position before a commit counts as unconfirmed. */
+const maxReadAttempts = 3;
 
-/** Confirms writes through the group's watch. */
+/** Confirms writes through the group's watch, which reads log positions and collects confirmations. */
 export class WatchConfirmer implements Confirmer {
   constructor(
     private readonly watch: GroupWatch,
@@ -17,8 +17,9 @@
     context: ServeContext,
     { target, term }: PlacedConnection,
   ): Promise<ConfirmationResult> {
-    if (term === undefined) return { type: "unconfirmed", reason: "the term was not known" };
-    for (let attempt = 0; attempt < readAttempts && !context.signal.aborted; attempt += 1) {
+    if (term === undefined)
+      return { type: "unconfirmed", reason: "the term of the primary is unknown" };
+    for (let attempt = 0; attempt < maxReadAttempts && !context.signal.aborted; attempt += 1) {
       const mode = context.request.action.acknowledgement;
       const reading = await this.watch.readMark(target.name, mode);
       if (reading.type === "unreachable") continue;
@@ -27,10 +28,13 @@
       }
       return this.confirmMark(context, reading.mark, reading.askedAt);
     }
-    return { type: "unconfirmed", reason: "the primary did not tell its position" };
+    return { type: "unconfirmed", reason: "the primary did not report its log position" };
   }
 
-  /** A mark at or beyond every write acknowledged so far, as a majority vouches for it. */
+  /**
+   * Finds a mark at or beyond every write acknowledged so far, confirmed by a majority. Undefined without
+   * a primary, or if it could not be confirmed.
+   */
   async findFloor(signal: AbortSignal): Promise<Mark | undefined> {
     await this.waitForPrimary(signal);
     const { primary } = this.watch.view();
@@ -55,7 +59,7 @@
       case "superseded":
         return { type: "unconfirmed", reason: "the primary was superseded" };
       case "timedOut":
-        return { type: "unconfirmed", reason: "no majority confirmed it in time" };
+        return { type: "unconfirmed", reason: "no majority confirmed the write in time" };
     }
   }
 }
--- a/src/owner/connections.ts
+++ b/src/owner/connections.ts
@@ -13,7 +13,7 @@
 /** The connections to one PostgreSQL target. */
 export type PgPool = TargetPool<TargetSession>;
 
-/** What came of asking for a PostgreSQL connection. */
+/** The result of acquiring a PostgreSQL connection. */
 export type PgAcquireResult = AcquireResult<TargetSession>;
 
 /** A PostgreSQL connection held by one request or transaction. */
--- a/src/owner/context.ts
+++ b/src/owner/context.ts
@@ -8,59 +8,59 @@
 } from "../model/index.js";
 import type { HeldAnswer } from "./answer.js";
 
-/** Where a request runs: a target in its role, and the connection that carries it. */
+/** The connection that a request runs on, with its target and the target's role. */
 export interface PlacedConnection {
   readonly target: Target;
   readonly role: "primary" | "replica";
-  /** The term in which the owner took the target for the primary when the request was placed. */
+  /** The term whose primary the owner considered the target to be when it placed the request. */
   readonly term: Term | undefined;
   readonly session: TargetSession;
 }
 
-/** Notes where a try of a request was placed, for the filters outside of the placing ones. */
+/** Records where a request was placed, for the filters outside the placing ones in the chain. */
 export class LatestPlacement {
   private latest: PlacedConnection | undefined;
 
-  /** The latest place; a retry may have found another than the try before. */
+  /** The latest connection; a retry may be placed on another target than the attempt before. */
   get current(): PlacedConnection | undefined {
     return this.latest;
   }
 
-  record(place: PlacedConnection): void {
-    this.latest = place;
+  record(placed: PlacedConnection): void {
+    this.latest = placed;
   }
 }
 
-/** A request on its way through the owner's filters. */
+/** A request and its state while it passes through the owner's filters. */
 export interface ServeContext {
   readonly request: Request;
   readonly messages: Uint8Array;
   readonly answer: HeldAnswer;
-  /** Aborts at the request's deadline, or when its caller goes away. */
+  /** Aborts at the request's deadline, or when its caller disconnects. */
   readonly signal: AbortSignal;
-  /** Counts the tries at the owner, from 1. */
+  /** The number of the attempt at the owner, from 1. */
   readonly attempt: number;
-  /** Milliseconds until the request's deadline. */
+  /** Returns the milliseconds until the request's deadline. */
   readonly timeLeftMs: () => number;
   readonly placement: LatestPlacement;
-  /** The target whose slot the request holds. */
+  /** The target whose slot the request holds; undefined before it has one. */
   readonly slotTarget?: string;
+  /** Undefined before the request has a connection. */
   readonly placedConnection?: PlacedConnection;
 }
 
-/** The place of a request that was given one; filters after the routing rely on it. */
+/** Returns the connection of a request that was placed. Throws if it has none yet. */
 export function getPlacedConnection(context: ServeContext): PlacedConnection {
-  if (context.placedConnection === undefined)
-    throw new Error("the request was not given a target yet");
+  if (context.placedConnection === undefined) throw new Error("the request has no connection yet");
   return context.placedConnection;
 }
 
-/** Builds the outcome of a request that has not run and will not. */
+/** Builds the outcome of a request that has not run and will not run. */
 export function refuse(reason: NotRunReason, retryAfterMs: number, message: string): Outcome {
   return { type: "failed", verdict: { type: "notRun", reason, retryAfterMs }, message };
 }
 
-/** Builds the outcome of a request of which nobody can tell whether it ran. */
+/** Builds the outcome of a request of which it is unknown whether it ran. */
 export function failUnknown(reason: string): Outcome {
   return { type: "failed", verdict: { type: "mayHaveRun", reason }, message: reason };
 }
--- a/src/owner/conversation.ts
+++ b/src/owner/conversation.ts
@@ -23,30 +23,30 @@
 
 const refusedRetryMs = 100;
 
-/** The connection that an open transaction stays on. */
+/** The connection that an open transaction is pinned to. */
 interface PinnedConnection {
-  readonly place: PlacedConnection;
+  readonly placed: PlacedConnection;
   readonly connection: PgConnection;
 }
 
-/** One caller's exchange with a group that this process serves. */
+/** One caller's conversation with a group that this process serves. */
 export class OwnerConversation implements Conversation {
   private readonly serveUnpinned: Next<ServeContext>;
   private readonly servePinned: Next<ServeContext>;
   private pinned: PinnedConnection | undefined;
-  /** The target on which the group counts this conversation's transaction. */
+  /** The target for which the group counts this conversation's open transaction. */
   private countedTarget: string | undefined;
   private isRunning = false;
   private isClosed = false;
 
   constructor(
     private readonly group: ServedGroup,
-    /** Hears once that the conversation has ended. */
+    /** Called once, when the conversation has ended. */
     private readonly onEnd: () => void,
   ) {
     const { logger } = group.ports;
-    const pin = (place: PlacedConnection, connection: PgConnection) => {
-      this.pinned = { place, connection };
+    const pin = (placed: PlacedConnection, connection: PgConnection) => {
+      this.pinned = { placed, connection };
     };
     const attempt = createAttemptFilter(group);
     const confirm = createConfirmFilter(group.confirmer, logger);
@@ -74,20 +74,20 @@
     assertInvariant(
       "oneTransactionPerConnection",
       !this.isRunning,
-      () => `${request.id} came while another batch of its conversation ran`,
+      () => `${request.id} started while another batch of its conversation was running`,
     );
     this.isRunning = true;
     const deadline = startDeadline(request.deadlineAt - this.group.ports.clock.now(), signal);
     try {
       const answer = new HeldAnswer(sink, chooseHoldMode(request));
       const placement = new LatestPlacement();
-      const { signal: inTime } = deadline;
+      const { signal: deadlineSignal } = deadline;
       const timeLeftMs = () => request.deadlineAt - this.group.ports.clock.now();
       const context = {
         request,
         messages,
         answer,
-        signal: inTime,
+        signal: deadlineSignal,
         attempt: 1,
         timeLeftMs,
         placement,
@@ -98,7 +98,7 @@
     } finally {
       deadline.dispose();
       this.isRunning = false;
-      this.updateTransactionCount(this.pinned?.place.target.name);
+      this.updateTransactionCount(this.pinned?.placed.target.name);
       if (this.hasEnded()) this.end();
     }
   }
@@ -112,11 +112,11 @@
   private serve(context: ServeContext): Promise<Outcome> {
     const { pinned } = this;
     if (pinned === undefined) return this.serveUnpinned(context);
-    context.placement.record(pinned.place);
+    context.placement.record(pinned.placed);
     return this.servePinned(context);
   }
 
-  /** A statement of an open transaction waits for a slot as any other, on its own target. */
+  /** A statement of an open transaction waits for a slot like any other, but only of its own target. */
   private createPinnedFilter(attempt: Filter<ServeContext>): Filter<ServeContext> {
     const execute = composeFilters([attempt, executeFilter]);
     return {
@@ -124,23 +124,27 @@
       apply: async (context) => {
         const { pinned } = this;
         if (pinned === undefined) throw new Error("no transaction is open");
-        const { target } = pinned.place;
-        // A leaving target has no slots for new work; what it has begun goes on to its end.
+        const { target } = pinned.placed;
+        // A leaving target has no slots for new work, but its open transactions run to their end.
         if (this.group.isLeaving(target.name)) {
           return this.settlePinned(
-            await execute({ ...context, placedConnection: pinned.place }),
+            await execute({ ...context, placedConnection: pinned.placed }),
             pinned,
           );
         }
-        const placed = await this.group.acquireSlot(context.request, [target.name], context.signal);
-        if (placed.type === "refused") {
-          const { reason, retryAfterMs } = placed;
+        const acquired = await this.group.acquireSlot(
+          context.request,
+          [target.name],
+          context.signal,
+        );
+        if (acquired.type === "refused") {
+          const { reason, retryAfterMs } = acquired;
           const refused = refuse(reason, retryAfterMs, "the transaction was rolled back");
           return this.settlePinned(refused, pinned);
         }
         const outcome = await runInSlot(
-          { ...context, placedConnection: pinned.place },
-          placed.slot,
+          { ...context, placedConnection: pinned.placed },
+          acquired.slot,
           execute,
         );
         if (!pinned.connection.session.isUsable) this.group.reportConnectionFailure(target.name);
@@ -149,15 +153,18 @@
     };
   }
 
-  private settlePinned(outcome: Outcome, { place, connection }: PinnedConnection): Outcome {
+  private settlePinned(outcome: Outcome, { placed, connection }: PinnedConnection): Outcome {
     this.pinned = undefined;
-    settleConnection(outcome, place, connection, (again, held) => {
-      this.pinned = { place: again, connection: held };
+    settleConnection(outcome, placed, connection, (keptPlacement, keptConnection) => {
+      this.pinned = { placed: keptPlacement, connection: keptConnection };
     });
     return outcome;
   }
 
-  /** A transaction counts as open until its commit is confirmed: the role must not move before. */
+  /**
+   * Counts the open transaction for its target. It counts as open until its commit is confirmed, since the
+   * primary role must not move before.
+   */
   private updateTransactionCount(target: string | undefined): void {
     if (target === this.countedTarget) return;
     const before = this.countedTarget;
@@ -170,7 +177,7 @@
     return this.isClosed;
   }
 
-  /** An open transaction is rolled back by closing its connection. */
+  /** Ends the conversation. Closing the connection of an open transaction rolls it back. */
   private end(): void {
     this.isClosed = true;
     this.pinned?.connection.drop();
@@ -194,8 +201,8 @@
 }
 
 /**
- * A keyed write's whole answer is held, since it is kept for repeats; any other write's is held from
- * its outcome on, until the write is confirmed.
+ * Chooses which part of the answer is held. The whole answer of a keyed write is, since it is recorded for
+ * repeats; that of any other write is held from its outcome on, until the write is confirmed.
  */
 function chooseHoldMode({ traits, idempotency }: Request): HoldMode {
   if (traits.effect === "read") return "none";
--- a/src/owner/expectation.ts
+++ b/src/owner/expectation.ts
@@ -1,15 +1,15 @@
 import type { Clock, Disposable } from "../model/index.js";
 
-/** How long a group's first requests wait for its targets' first answers, in milliseconds. */
+/** How long a group's first requests wait for the first answers of its targets, in milliseconds. */
 const openingWaitMs = 1000;
 
 /**
- * How long a lost primary's successor is waited for, in milliseconds. Past it something stands in
- * the way of a failover, such as a lost majority, and whoever waited on would only learn so late.
+ * How long requests wait for the successor of a lost primary, in milliseconds. After this time something
+ * prevents a failover, such as a lost majority, and a longer wait would only delay the refusal.
  */
 const maxOutageMs = 3000;
 
-/** Whether a group that has no serving primary is likely to have one soon. */
+/** Tracks whether a group without a serving primary is likely to have one soon. */
 export class PrimaryExpectation implements Disposable {
   private openedAt = -Infinity;
   private lostAt: number | undefined;
@@ -17,16 +17,16 @@
 
   constructor(
     private readonly clock: Clock,
-    /** Is called when a gap has lasted too long, since no view may come to tell. */
+    /** Called when an outage exceeds `maxOutageMs`, since no new view may arrive at that time. */
     private readonly onOverdue: () => void,
   ) {}
 
-  /** The group was opened: its targets are about to answer for the first time. */
+  /** Records that the group was opened, so that its targets are about to answer for the first time. */
   startOpening(): void {
     this.openedAt = this.clock.now();
   }
 
-  /** Notes whether the group has a serving primary now. */
+  /** Records whether the group has a serving primary now. */
   observe(isServing: boolean): void {
     if (isServing) {
       this.lostAt = undefined;
@@ -38,13 +38,13 @@
     this.timer = setTimeout(this.onOverdue, maxOutageMs).unref();
   }
 
-  /** Whether a primary is expected soon: the group has just been opened, or lost its primary. */
+  /** Whether a primary is expected soon: the group was opened or lost its primary only recently. */
   isPrimaryExpected(): boolean {
     const isOpening = this.clock.now() - this.openedAt < openingWaitMs;
     return isOpening || (this.lostAt !== undefined && this.measureOutageMs() < maxOutageMs);
   }
 
-  /** How long the primary has not served, in milliseconds; 0 while it does. */
+  /** Returns the time since the group has had no serving primary, in milliseconds; 0 while it has one. */
   measureOutageMs(): number {
     return this.lostAt === undefined ? 0 : this.clock.now() - this.lostAt;
   }
--- a/src/owner/filters/confirm.ts
+++ b/src/owner/filters/confirm.ts
@@ -4,28 +4,28 @@
 import type { Logger } from "../../log/index.js";
 import { failUnknown, refuse, type PlacedConnection, type ServeContext } from "../context.js";
 
-/** SQLSTATEs with which a target that is no longer primary refuses a write. */
-const refusedByReplica: ReadonlySet<string> = new Set(["25006", "57P01", "57P02", "57P03"]);
+/** SQLSTATEs with which a target that is no longer the primary refuses a write. */
+const replicaRefusalStates: ReadonlySet<string> = new Set(["25006", "57P01", "57P02", "57P03"]);
 
-/** When a write that met a superseded primary may be tried again, in milliseconds. */
+/** The retry delay of a write that a superseded primary refused, in milliseconds. */
 const supersededRetryMs = 200;
 
-/** What became of a committed write's confirmation. */
+/** The result of confirming a committed write, with the write's mark or the reason of the failure. */
 export type ConfirmationResult =
   | { readonly type: "confirmed"; readonly mark: Mark }
   | { readonly type: "unconfirmed"; readonly reason: string };
 
 /** Confirms the writes of one group. */
 export interface Confirmer {
-  confirm(context: ServeContext, place: PlacedConnection): Promise<ConfirmationResult>;
+  confirm(context: ServeContext, placed: PlacedConnection): Promise<ConfirmationResult>;
 }
 
 /**
- * Holds a write's outcome until the group has confirmed it. A primary on the minority side of a
- * partition commits happily and believes in itself; a caller that heard so would lose its write to
- * the new primary. The confirmation needs a majority that was fenced by nobody after the commit.
- * It stands outside the placing filters: a slot held while replicas catch up would bound a group's
- * writes by their lag.
+ * Holds a write's outcome until the group has confirmed the write. A primary on the minority side of a
+ * partition still commits and considers itself the primary; a caller that received this outcome would
+ * lose its write to the new primary. The confirmation requires a majority of targets that, after the
+ * commit, were not fenced by another owner. The filter is outside the placing filters: if a slot was held
+ * while replicas catch up, their lag would limit the group's writes.
  */
 export function createConfirmFilter(confirmer: Confirmer, logger: Logger): Filter<ServeContext> {
   return {
@@ -36,16 +36,16 @@
         context.answer.discard();
         return outcome;
       }
-      if (isSuperseded(context)) {
+      if (isRefusedByReplica(context)) {
         context.answer.discard();
-        return refuse("superseded", supersededRetryMs, "the target is no longer primary");
+        return refuse("superseded", supersededRetryMs, "the target is no longer the primary");
       }
-      const place = context.placement.current;
-      if (place === undefined || !needsConfirmation(context, outcome)) {
+      const placed = context.placement.current;
+      if (placed === undefined || !needsConfirmation(context, outcome)) {
         await context.answer.release();
         return outcome;
       }
-      return confirmWrite(confirmer, logger, { context, outcome, place });
+      return confirmWrite(confirmer, logger, { context, outcome, placed });
     },
   };
 }
@@ -55,23 +55,23 @@
 interface Committed {
   readonly context: ServeContext;
   readonly outcome: Answered;
-  readonly place: PlacedConnection;
+  readonly placed: PlacedConnection;
 }
 
 async function confirmWrite(
   confirmer: Confirmer,
   logger: Logger,
-  { context, outcome, place }: Committed,
+  { context, outcome, placed }: Committed,
 ): Promise<Outcome> {
-  const { target, term } = place;
-  const confirmed = await confirmer.confirm(context, place);
+  const { target, term } = placed;
+  const confirmed = await confirmer.confirm(context, placed);
   const fields = { request: context.request.id, target: target.name };
   switch (confirmed.type) {
     case "confirmed":
       assertInvariant(
         "noSupersededAcknowledgement",
         term !== undefined && compareTerms(confirmed.mark.term, term) === 0,
-        () => `${context.request.id} was confirmed in another term than it was placed in`,
+        () => `${context.request.id} was confirmed in a term other than that of its placement`,
       );
       logger.write(ownerEvents.writeConfirmed, { ...fields, mark: confirmed.mark });
       await context.answer.release();
@@ -83,17 +83,20 @@
   }
 }
 
-/** Only a refusal with nothing done before it and outside a transaction is sure not to have run. */
-function isSuperseded(context: ServeContext): boolean {
+/**
+ * Whether a target that is no longer the primary refused the write. Only a refusal outside a transaction,
+ * with nothing completed or forwarded before it, proves that the write has not run.
+ */
+function isRefusedByReplica(context: ServeContext): boolean {
   const { answer, request } = context;
   if (request.traits.effect === "read" || request.traits.transaction) return false;
   if (answer.hasForwarded || answer.tags.length > 0) return false;
-  return answer.sqlState !== undefined && refusedByReplica.has(answer.sqlState);
+  return answer.sqlState !== undefined && replicaRefusalStates.has(answer.sqlState);
 }
 
 /**
- * A write is confirmed whatever role its target has by now: what a superseded primary committed
- * would be acknowledged otherwise, and lost when it follows its successor.
+ * A write needs confirmation whatever role its target has now. Otherwise a commit of a superseded primary
+ * would be acknowledged, and lost when this target follows its successor.
  */
 function needsConfirmation(context: ServeContext, outcome: Answered): boolean {
   const { traits } = context.request;
--- a/src/owner/filters/connect.ts
+++ b/src/owner/filters/connect.ts
@@ -3,10 +3,10 @@
 import { refuse, type PlacedConnection, type ServeContext } from "../context.js";
 import type { PgConnection, PgAcquireResult } from "../connections.js";
 
-/** When a write whose primary was superseded meanwhile may be tried again, in milliseconds. */
+/** The retry delay of a write whose primary was superseded while it waited, in milliseconds. */
 const supersededRetryMs = 200;
 
-/** What connecting asks of the group. */
+/** The part of a group that the connect filter uses. */
 export interface ConnectingGroup {
   acquireConnection(
     target: string,
@@ -18,17 +18,17 @@
     readonly role: "primary" | "replica";
     readonly term: Term | undefined;
   };
-  /** A connection broke: a hint for the failure detector. */
+  /** Reports a broken connection to the failure detector. */
   reportConnectionFailure(target: string): void;
 }
 
-/** Keeps a place for the next batch of an open transaction. */
-export type PinConnection = (place: PlacedConnection, connection: PgConnection) => void;
+/** Keeps a connection for the next batch of its open transaction. */
+export type PinConnection = (placed: PlacedConnection, connection: PgConnection) => void;
 
 /**
- * Takes a connection for the request. It goes back to the pool only after an exchange that ended
- * idle; with a transaction open it stays with its conversation, and after a failure it is closed, so
- * that a late answer or a half-done transaction can never meet the next caller.
+ * Acquires a connection for the request. It returns to the pool only after an exchange that ended idle.
+ * With an open transaction it stays with its conversation, and after a failure it is closed, so that a
+ * late answer or an unfinished transaction never reaches the next caller.
  */
 export function createConnectFilter(
   group: ConnectingGroup,
@@ -39,50 +39,55 @@
     async apply(context, next) {
       const name = context.slotTarget;
       if (name === undefined) throw new Error("the request holds no slot yet");
-      const taken = await group.acquireConnection(name, context.request.deadlineAt, context.signal);
-      if (taken.type === "refused") {
-        return refuse(taken.reason, taken.retryAfterMs, `no connection to ${name}`);
+      const acquired = await group.acquireConnection(
+        name,
+        context.request.deadlineAt,
+        context.signal,
+      );
+      if (acquired.type === "refused") {
+        return refuse(acquired.reason, acquired.retryAfterMs, `no connection to ${name}`);
       }
-      const { connection } = taken;
-      const place: PlacedConnection = {
+      const { connection } = acquired;
+      const placed: PlacedConnection = {
         ...group.describeTarget(name),
-        session: observeProgress(connection),
+        session: trackProgress(connection),
       };
-      if (!canRun(context, place)) {
+      if (!canRun(context, placed)) {
         connection.release();
-        return refuse("superseded", supersededRetryMs, `${name} is primary no more`);
+        return refuse("superseded", supersededRetryMs, `${name} is no longer the primary`);
       }
-      context.placement.record(place);
-      const outcome = await next({ ...context, placedConnection: place });
+      context.placement.record(placed);
+      const outcome = await next({ ...context, placedConnection: placed });
       if (!connection.session.isUsable) group.reportConnectionFailure(name);
-      settleConnection(outcome, place, connection, pin);
+      settleConnection(outcome, placed, connection, pin);
       return outcome;
     },
   };
 }
 
 /**
- * While a write waited for its connection the primary may have changed. The old one, back from a
- * freeze and not fenced yet, would commit what the new one's log lacks: the write would be lost.
- * Nothing was sent yet, so the refusal is true, and the next try looks for the primary afresh.
+ * The primary may have changed while a write waited for its connection. The old one, resumed after a
+ * freeze and not fenced yet, would commit a write that the new one's log lacks, and the write would be
+ * lost. Nothing was sent yet, so the refusal as not run is true, and the next attempt looks up the primary
+ * again.
  */
 function canRun({ request }: ServeContext, { role }: PlacedConnection): boolean {
   return role === "primary" || request.traits.effect === "read";
 }
 
-/** Gives a connection back, keeps it for its open transaction, or closes it. */
+/** Returns a connection to the pool, pins it for its open transaction, or closes it. */
 export function settleConnection(
   outcome: Outcome,
-  place: PlacedConnection,
+  placed: PlacedConnection,
   connection: PgConnection,
   pin: PinConnection,
 ): void {
   if (outcome.type === "failed") connection.drop();
   else if (outcome.status === "I") connection.release();
-  else pin(place, connection);
+  else pin(placed, connection);
 }
 
-function observeProgress(connection: PgConnection): TargetSession {
+function trackProgress(connection: PgConnection): TargetSession {
   const { session } = connection;
   return {
     target: session.target,
--- a/src/owner/filters/deduplicate.ts
+++ b/src/owner/filters/deduplicate.ts
@@ -15,22 +15,22 @@
 const maxTries = 4;
 const retryAfterMs = 50;
 
-/** The largest answer that is kept for repeats, in bytes; a repeat of a larger one gets an error. */
+/** The largest answer that is recorded for repeats, in bytes; a repeat of a larger one gets an error. */
 export const maxRecordedBytes = 256 * 1024;
 
-/** Written in place of an answer that was too large to keep. */
+/** Recorded instead of an answer that is larger than `maxRecordedBytes`. */
 const tooLargeMarker = "too large";
 
-/** What one round of a keyed write came to. */
+/** The result of one try of a keyed write: its outcome, or what to do before the next try. */
 type TryResult =
   | { readonly type: "done"; readonly outcome: Outcome }
   | { readonly type: "again" }
   | { readonly type: "createTable" };
 
 /**
- * Runs a keyed write in one transaction with the record of its key and answer. Were the record
- * written apart, a proxy that died between the two would leave a write without its record, and the
- * caller's repeat would run it twice. In one transaction there are both or neither.
+ * Runs a keyed write in one transaction with the record of its key and answer. If the record was written
+ * separately, a proxy that failed between the two would leave a write without its record, and the
+ * caller's repeat would run it a second time. In one transaction either both are committed or neither.
  */
 export function createDeduplicateFilter(logger: Logger): Filter<ServeContext> {
   return {
@@ -40,13 +40,17 @@
       if (idempotency === undefined || traits.effect === "read" || traits.transaction) {
         return next(context);
       }
-      for (let round = 0; round < maxTries; round += 1) {
-        const came = await tryOnce(context, idempotency, logger);
-        if (came.type === "done") return came.outcome;
+      for (let tries = 0; tries < maxTries; tries += 1) {
+        const result = await tryOnce(context, idempotency, logger);
+        if (result.type === "done") return result.outcome;
         context.answer.discard();
-        if (came.type === "createTable") await createTable(context);
+        if (result.type === "createTable") await createTable(context);
       }
-      return refuse("overloaded", retryAfterMs, "another request holds the same key; try again");
+      return refuse(
+        "overloaded",
+        retryAfterMs,
+        "another request with the same idempotency key is in progress; try again",
+      );
     },
   };
 }
@@ -71,7 +75,10 @@
   return runWrite(context, id);
 }
 
-/** A transaction whose `COMMIT` was never sent can't commit: the target rolls it back. */
+/**
+ * Builds the refusal for a connection that broke; undefined if it did not. The target rolls back a
+ * transaction whose `COMMIT` was never sent, so the write has not run.
+ */
 function findBrokenResult(answer: SqlAnswer): TryResult | undefined {
   if (answer.result.type !== "broken") return undefined;
   const reason = `rolled back: ${answer.result.reason}`;
@@ -85,7 +92,7 @@
   if (broken !== undefined) return broken;
   if (sqlState === undefinedTable) return { type: "createTable" };
   if (sqlState === serializationFailure) return { type: "again" };
-  const message = `the key could not be recorded (SQLSTATE ${sqlState})`;
+  const message = `the idempotency key could not be recorded (SQLSTATE ${sqlState})`;
   return { type: "done", outcome: refuse("superseded", retryAfterMs, message) };
 }
 
@@ -95,45 +102,50 @@
 }
 
 async function runWrite(context: ServeContext, id: string): Promise<TryResult> {
-  const place = getPlacedConnection(context);
+  const placed = getPlacedConnection(context);
   const { answer, signal } = context;
-  const ran = await place.session.exchange(context.messages, answer.receive, signal);
-  if (ran.type === "broken") return findBrokenResult({ result: ran, ...emptyAnswer }) ?? tryAgain;
+  const exchanged = await placed.session.exchange(context.messages, answer.receive, signal);
+  if (exchanged.type === "broken")
+    return findBrokenResult({ result: exchanged, ...emptyAnswer }) ?? tryAgain;
   if (answer.sqlState !== undefined) return rollBackFailed(context, answer.sqlState);
   const recorded = encodeAnswer(answer.heldMessages);
   const text = `UPDATE ${table} SET outcome = ${quoteLiteral(recorded)} WHERE key = ${id}`;
-  const kept = await executeSql(place.session, text, signal);
-  const broken = findBrokenResult(kept);
+  const updated = await executeSql(placed.session, text, signal);
+  const broken = findBrokenResult(updated);
   if (broken !== undefined) return broken;
-  if (kept.sqlState !== undefined) return rollBack(context, kept.sqlState);
-  // Without its record the write would commit, and a repeat under its key would run it again.
-  const isKept = kept.tags.includes("UPDATE 1");
-  assertInvariant("atMostOnce", isKept, () => `${context.request.id} has no record of its key`);
-  return isKept ? commit(context) : rollBack(context, serializationFailure);
+  if (updated.sqlState !== undefined) return rollBack(context, updated.sqlState);
+  // If the write committed without its record, a repeat with the same key would run it again.
+  const isRecorded = updated.tags.includes("UPDATE 1");
+  assertInvariant(
+    "atMostOnce",
+    isRecorded,
+    () => `${context.request.id} has no record of its idempotency key`,
+  );
+  return isRecorded ? commit(context) : rollBack(context, serializationFailure);
 }
 
 const emptyAnswer = { tags: [], rows: [], sqlState: undefined } as const;
 const tryAgain: TryResult = { type: "again" };
 
 async function commit(context: ServeContext): Promise<TryResult> {
-  const place = getPlacedConnection(context);
-  const done = await executeSql(place.session, "COMMIT", context.signal);
-  if (done.result.type === "broken") {
-    const { sent, reason } = done.result;
+  const placed = getPlacedConnection(context);
+  const committed = await executeSql(placed.session, "COMMIT", context.signal);
+  if (committed.result.type === "broken") {
+    const { sent, reason } = committed.result;
     const outcome = sent
-      ? failUnknown(`lost while committing: ${reason}`)
+      ? failUnknown(`connection lost during COMMIT: ${reason}`)
       : refuse("noConnection", retryAfterMs, `rolled back: ${reason}`);
     return { type: "done", outcome };
   }
-  if (done.sqlState === serializationFailure) return tryAgain;
-  if (done.sqlState !== undefined || done.tags.includes("ROLLBACK")) {
-    const message = `the commit was refused (SQLSTATE ${done.sqlState ?? "none"})`;
+  if (committed.sqlState === serializationFailure) return tryAgain;
+  if (committed.sqlState !== undefined || committed.tags.includes("ROLLBACK")) {
+    const message = `the commit was refused (SQLSTATE ${committed.sqlState ?? "none"})`;
     return { type: "done", outcome: refuse("superseded", retryAfterMs, message) };
   }
   return { type: "done", outcome: buildAnswered(context) };
 }
 
-/** The statement itself failed: the caller gets the target's error, and nothing is recorded. */
+/** Ends a write whose statement failed: the caller gets the target's error, and nothing is recorded. */
 async function rollBackFailed(context: ServeContext, sqlState: string): Promise<TryResult> {
   const answer = await executeSql(getPlacedConnection(context).session, "ROLLBACK", context.signal);
   const broken = findBrokenResult(answer);
@@ -164,7 +176,7 @@
       return tryAgain;
     case "conflict": {
       logger.write(ownerEvents.keyMisused, fields);
-      const message = "this idempotency key belongs to another statement; nothing ran";
+      const message = "this idempotency key was used with another statement; nothing ran";
       await context.answer.receive(buildErrorResponse(keyMisusedState, message));
       return { type: "done", outcome: buildAnswered(context) };
     }
@@ -194,6 +206,6 @@
 
 function decodeAnswer(text: string): readonly Uint8Array[] {
   if (text !== tooLargeMarker) return splitMessages(Buffer.from(text, "base64"));
-  const message = "the write ran before; its answer was too large to keep";
+  const message = "the write has already run; its answer was too large to record";
   return [buildErrorResponse(keyMisusedState, message)];
 }
--- a/src/owner/filters/execute.ts
+++ b/src/owner/filters/execute.ts
@@ -8,34 +8,34 @@
   type ServeContext,
 } from "../context.js";
 
-/** When a caller whose connection to a target could not be used may come back, in milliseconds. */
+/** The retry delay after a connection broke before anything was sent on it, in milliseconds. */
 const brokenRetryMs = 100;
 
-/** Runs the batch on the place's connection. It is the chain's last filter. */
+/** Sends the batch on the request's connection. It is the last filter of the chain. */
 export const executeFilter: Filter<ServeContext> = {
   name: "execute",
   async apply(context) {
-    const place = getPlacedConnection(context);
-    const result = await place.session.exchange(
+    const placed = getPlacedConnection(context);
+    const result = await placed.session.exchange(
       context.messages,
       context.answer.receive,
       context.signal,
     );
-    return buildOutcome(place, result);
+    return buildOutcome(placed, result);
   },
 };
 
-/** Builds the outcome of an exchange. */
-export function buildOutcome(place: PlacedConnection, result: ExchangeResult): Outcome {
+/** Builds the outcome of an exchange. A request that was sent on a connection that broke may have run. */
+export function buildOutcome(placed: PlacedConnection, result: ExchangeResult): Outcome {
   switch (result.type) {
     case "ready":
       return {
         type: "answered",
         status: result.status,
-        servedBy: { target: place.target.name, role: place.role },
+        servedBy: { target: placed.target.name, role: placed.role },
       };
     case "broken":
-      if (result.sent) return failUnknown(`${place.target.name}: ${result.reason}`);
-      return refuse("noConnection", brokenRetryMs, `${place.target.name}: ${result.reason}`);
+      if (result.sent) return failUnknown(`${placed.target.name}: ${result.reason}`);
+      return refuse("noConnection", brokenRetryMs, `${placed.target.name}: ${result.reason}`);
   }
 }
--- a/src/owner/filters/floor.ts
+++ b/src/owner/filters/floor.ts
@@ -4,14 +4,14 @@
 
 const noPrimaryRetryMs = 500;
 
-/** Finds a mark with no acknowledged write of the group beyond it; nothing without a primary. */
+/** Finds a mark at or beyond all acknowledged writes of the group; undefined without a primary. */
 export type FindFloor = (signal: AbortSignal) => Promise<Mark | undefined>;
 
 /**
- * Gives a session without a mark the group's latest position. A caller that reconnects through the
- * balancer without its token may have written a moment ago on another connection; a replica that
- * lags would show it a world without its own write. From then on the session has a mark of its own.
- * A rule that states an age has accepted older data for sessions that show no token.
+ * Gives a session without a mark the group's latest position as its mark. A caller that reconnects through
+ * the load balancer without its token may have written a moment ago on another connection, and a lagging
+ * replica would not show it this write. From then on the session has a mark of its own. A rule that states
+ * a maximum age accepts older data for sessions without a token, so its reads get no mark.
  */
 export function createFloorFilter(findFloor: FindFloor): Filter<ServeContext> {
   return {
--- a/src/owner/filters/place.ts
+++ b/src/owner/filters/place.ts
@@ -10,17 +10,17 @@
 const noPrimaryRetryMs = 500;
 const deadlineRetryMs = 100;
 
-/** A read prefers a replica that is expected to hold its mark within this time, in milliseconds. */
+/** A read prefers a replica that is expected to reach its mark within this time, in milliseconds. */
 const patienceMs = 5;
 
-/** Between two looks at a group whose router said to wait, at the most, in milliseconds. */
+/** The longest wait before a request without a usable target is routed again, in milliseconds. */
 const maxWaitMs = 250;
 
-/** What placing asks of the group. */
+/** The part of a group that the place filter uses. */
 export interface PlacingGroup {
   getView(): GroupView;
   route(request: Request, patienceMs: number): ReadRoute;
-  /** The target whose slot a write waits for, also while the group is between two primaries. */
+  /** Finds the target whose slot a write waits for. Between two primaries it is the previous one. */
   findWriteTarget(): string | undefined;
   acquireSlot(
     request: Request,
@@ -29,7 +29,7 @@
   ): Promise<SlotResult>;
   /** Resolves at the group's next change, after `ms` at the latest. */
   waitForChange(ms: number, signal: AbortSignal): Promise<void>;
-  /** Asks the primary for its position now. */
+  /** Asks the primary for its current log position. */
   refreshMark(target: string): Promise<void>;
 }
 
@@ -38,7 +38,7 @@
   | { readonly type: "wait"; readonly waitMs: number }
   | { readonly type: "refused"; readonly outcome: Outcome };
 
-/** Gives a request its target and a slot there, and holds the slot while the rest of the chain runs. */
+/** Assigns a request a target and a slot there, which it holds while the rest of the chain runs. */
 export function createPlaceFilter(group: PlacingGroup, logger: Logger): Filter<ServeContext> {
   return {
     name: "place",
@@ -52,27 +52,31 @@
             await group.waitForChange(Math.min(choice.waitMs, maxWaitMs), context.signal);
             continue;
           case "candidates": {
-            const placed = await group.acquireSlot(context.request, choice.targets, context.signal);
-            if (placed.type === "refused") {
-              return refuse(placed.reason, placed.retryAfterMs, "no slot within the time allowed");
+            const acquired = await group.acquireSlot(
+              context.request,
+              choice.targets,
+              context.signal,
+            );
+            if (acquired.type === "refused") {
+              return refuse(acquired.reason, acquired.retryAfterMs, "no slot was granted in time");
             }
-            if (!(await canServe(group, context.request, placed.slot))) {
-              placed.slot.release();
+            if (!(await canServe(group, context.request, acquired.slot))) {
+              acquired.slot.release();
               await group.waitForChange(maxWaitMs, context.signal);
               continue;
             }
-            const { target } = placed.slot;
+            const { target } = acquired.slot;
             logPlacement(logger, context, target, choice.reason);
-            return runInSlot(context, placed.slot, (c) => next({ ...c, slotTarget: target }));
+            return runInSlot(context, acquired.slot, (c) => next({ ...c, slotTarget: target }));
           }
         }
       }
-      return refuse("deadline", deadlineRetryMs, "no target could serve it in time");
+      return refuse("deadline", deadlineRetryMs, "no target could serve the request in time");
     },
   };
 }
 
-/** Runs the rest of the chain in a slot and gives the slot back. */
+/** Runs the rest of the chain in a slot, then releases it, or abandons it if the statement may still run. */
 export async function runInSlot(
   context: ServeContext,
   slot: Slot,
@@ -109,14 +113,14 @@
 function refuseWithoutPrimary(): TargetChoice {
   return {
     type: "refused",
-    outcome: refuse("noPrimary", noPrimaryRetryMs, "the group has no primary now"),
+    outcome: refuse("noPrimary", noPrimaryRetryMs, "the group has no primary"),
   };
 }
 
 /**
- * Looks again once the slot is there. While a request waited, the primary may have changed, or the
- * target's log may have been cut back at a change of primary: a read would miss the session's own
- * write. What is seen now holds for the statement, since the log only grows within a term.
+ * Checks the target again after the slot was granted. While the request waited, the primary may have
+ * changed, or the target's log may have been truncated by a change of primary, and a read would miss the
+ * session's own write. The result holds for the whole statement, since the log only grows within a term.
  */
 async function canServe(group: PlacingGroup, request: Request, slot: Slot): Promise<boolean> {
   const { target } = slot;
@@ -132,7 +136,7 @@
   assertInvariant(
     "readYourWrites",
     hasMark(group.getView(), target, request.mark),
-    () => `${request.id} was given ${target}, which does not hold its mark`,
+    () => `${request.id} was placed on ${target}, whose log does not contain its mark`,
   );
   return true;
 }
--- a/src/owner/filters/retry.ts
+++ b/src/owner/filters/retry.ts
@@ -4,7 +4,7 @@
 import type { Logger } from "../../log/index.js";
 import type { ServeContext } from "../context.js";
 
-/** Tries again what failed behind the owner. One per group, since the budget of retries is. */
+/** Retries requests that failed behind the owner. There is one per group, as the retry budget is per group. */
 export class RetryFilter implements Filter<ServeContext> {
   readonly name = "retry";
   private readonly retrier: Retrier;
@@ -43,7 +43,10 @@
   }
 }
 
-/** A group's queue waits out a change of primary; who is refused for want of one hears it at once. */
+/**
+ * A request that was refused since there is no primary is not retried: it has already waited in the group's
+ * queue for a change of primary, and its caller is told immediately.
+ */
 function isWorthRetrying(verdict: Verdict): boolean {
   return verdict.type !== "notRun" || verdict.reason !== "noPrimary";
 }
--- a/src/owner/gateway.ts
+++ b/src/owner/gateway.ts
@@ -12,10 +12,10 @@
 import { ServedGroup } from "./group.js";
 import type { OwnerPorts } from "./ports.js";
 
-const unknownRetryMs = 1000;
+const refusalRetryMs = 1000;
 
-/** How long a group that this process no longer owns is kept without a conversation. */
-const idleCloseMs = 5000;
+/** How long a group that this process does not own stays open without conversations, in milliseconds. */
+const idleGroupTimeoutMs = 5000;
 
 interface GroupEntry {
   readonly group: ServedGroup;
@@ -24,8 +24,9 @@
 }
 
 /**
- * The groups that this process serves. A group is opened when this process owns it, or when a peer
- * that takes it for the owner asks: two owners at once cost connections and break nothing.
+ * The groups that this process serves. A group is opened when this process owns it, or when a peer that
+ * considers this process the owner sends a request. Two owners at the same time use more connections but
+ * break no guarantee.
  */
 export class OwnerGateway implements GroupGateway, Disposable {
   private readonly served = new Map<string, GroupEntry>();
@@ -35,7 +36,7 @@
 
   constructor(private readonly ports: OwnerPorts) {}
 
-  /** Takes the platform's groups, and which of them this process owns. */
+  /** Applies the platform's list of groups and the names of those that this process owns. */
   setGroups(groups: ReadonlyMap<string, Group>, owned: ReadonlySet<string>): void {
     this.groups = groups;
     this.owned = owned;
@@ -46,7 +47,10 @@
     }
   }
 
-  /** Hands on what leaves and closes groups that nobody uses. To be called about once a second. */
+  /**
+   * Moves the primary role off leaving targets and closes groups that nobody uses. Must be called about
+   * once a second.
+   */
   async runMaintenance(): Promise<void> {
     for (const { group } of this.served.values()) group.requestSwitchoverIfLeaving();
     await this.closeIdleGroups();
@@ -56,7 +60,7 @@
     const now = this.ports.clock.now();
     for (const [name, served] of [...this.served]) {
       const isUsed = served.conversations > 0 || this.owned.has(name);
-      if (isUsed || now - served.idleSince < idleCloseMs) continue;
+      if (isUsed || now - served.idleSince < idleGroupTimeoutMs) continue;
       this.served.delete(name);
       await served.group.dispose();
     }
@@ -73,7 +77,7 @@
     });
   }
 
-  /** The groups that are open now. */
+  /** Lists the groups that are open now. */
   listGroups(): readonly ServedGroup[] {
     return [...this.served.values()].map((s) => s.group);
   }
@@ -82,12 +86,12 @@
     return this.served.get(group)?.group;
   }
 
-  /** The conversations that have not ended. */
+  /** Counts the conversations that have not ended. */
   countConversations(): number {
     return [...this.served.values()].reduce((sum, s) => sum + s.conversations, 0);
   }
 
-  /** No new conversations; those that are open go on to their end. */
+  /** Refuses new conversations. Open ones continue to their end. */
   drain(): void {
     this.isDraining = true;
   }
@@ -119,7 +123,7 @@
       run(request): Promise<Outcome> {
         logger.write(ownerEvents.conversationRefused, { request: request.id, group, reason });
         return Promise.resolve(
-          refuse(reason, unknownRetryMs, `this proxy does not serve ${group}`),
+          refuse(reason, refusalRetryMs, `this proxy does not serve ${group}`),
         );
       },
       close: () => undefined,
--- a/src/owner/group.ts
+++ b/src/owner/group.ts
@@ -23,7 +23,7 @@
 import type { OwnerPorts } from "./ports.js";
 import { findTargetState, RoutingTracker } from "./routing.js";
 
-/** How soon a lost primary's slots are expected back, for those who wait for them. */
+/** The time in which a lost primary is expected to have a successor, in milliseconds. */
 const expectedOutageMs = 1000;
 
 const primaryRecheckMs = 250;
@@ -31,7 +31,7 @@
 /** How long open transactions may keep the primary role on a leaving target, in milliseconds. */
 const transactionGraceMs = 2000;
 
-/** One group served by this process: its watch, its queue and its connections. */
+/** One group that this process serves, with its watch, its admission queue and its connections. */
 export class ServedGroup
   implements OpeningGroup, PlacingGroup, ConnectingGroup, AttemptGroup, Disposable
 {
@@ -65,8 +65,8 @@
         random,
         log: logger,
         findHelpers: ports.listCheckerVms,
-        onGap: (gapMs, split) => {
-          hooks.onFailover(group.name, gapMs, split);
+        onGap: (gapMs, phases) => {
+          hooks.onFailover(group.name, gapMs, phases);
         },
       }),
     );
@@ -96,35 +96,37 @@
     this.watch.start();
   }
 
-  /** Takes the platform's latest word about the group: which targets are leaving. */
+  /** Applies the platform's latest list of the group's targets, with those that are leaving. */
   setGroup(group: Group): void {
-    const stayed = this.group.targets.filter((t) => t.isLeaving !== true).map((t) => t.name);
+    const notLeavingBefore = this.group.targets
+      .filter((t) => t.isLeaving !== true)
+      .map((t) => t.name);
     this.group = group;
     this.routing.setGroup(group);
     this.observe(this.watch.view());
     for (const { name, isLeaving } of group.targets) {
-      if (isLeaving === true && stayed.includes(name)) this.pools.get(name)?.drain();
+      if (isLeaving === true && notLeavingBefore.includes(name)) this.pools.get(name)?.drain();
     }
     this.requestSwitchoverIfLeaving();
   }
 
   /**
-   * Moves the primary role off a target that is leaving, once its open transactions have ended or
-   * had their time. To be called again while that lasts.
+   * Requests a switchover from a leaving primary once its open transactions have ended or their grace
+   * period is over. Must be called repeatedly until then.
    */
   requestSwitchoverIfLeaving(): void {
     const { primary } = this.getView();
     if (primary === undefined || !this.isLeaving(primary.target) || this.watch.isSwitching) return;
-    const hasTime = this.expectation.measureOutageMs() < transactionGraceMs;
+    const isInGracePeriod = this.expectation.measureOutageMs() < transactionGraceMs;
     const isBusy = (this.openTransactions.get(primary.target) ?? 0) > 0;
-    if (!isBusy || !hasTime) this.watch.switchFrom(primary.target);
+    if (!isBusy || !isInGracePeriod) this.watch.switchFrom(primary.target);
   }
 
   isLeaving(target: string): boolean {
     return this.findTarget(target).isLeaving === true;
   }
 
-  /** Keeps count of the open transactions on a target. */
+  /** Adds `change` to the count of open transactions on a target. */
   adjustTransactionCount(target: string, change: number): void {
     this.openTransactions.set(target, (this.openTransactions.get(target) ?? 0) + change);
     if (this.isLeaving(target)) this.requestSwitchoverIfLeaving();
@@ -142,7 +144,7 @@
   route(request: Request, patienceMs: number): ReadRoute {
     const { clock } = this.ports;
     const now = clock.now();
-    const question = {
+    const profile = {
       team: request.traits.team,
       plan: request.traits.plan,
       priority: request.action.priority,
@@ -150,7 +152,7 @@
     const queue = {
       countFree: (target: string) => this.slots.countFree(target),
       estimateWaitMs: (target: string) =>
-        this.slots.estimateWaitMs({ ...question, candidates: [target] }),
+        this.slots.estimateWaitMs({ ...profile, candidates: [target] }),
     };
     const demand = {
       route: request.action.route,
@@ -173,9 +175,9 @@
     const { traits, action, id, deadlineAt } = request;
     const { clock, hooks } = this.ports;
     const startedAt = clock.now();
-    const isBound = candidates.length === 1 && candidates[0] === this.findWriteTarget();
-    if (isBound) this.waitingForPrimary.add(id);
-    const wanted = {
+    const isForPrimary = candidates.length === 1 && candidates[0] === this.findWriteTarget();
+    if (isForPrimary) this.waitingForPrimary.add(id);
+    const admissionRequest = {
       id,
       team: traits.team,
       plan: traits.plan,
@@ -184,7 +186,7 @@
       deadlineAt,
       maxQueueMs: action.maxQueueMs,
     };
-    const result = await this.slots.acquire(wanted, signal);
+    const result = await this.slots.acquire(admissionRequest, signal);
     this.waitingForPrimary.delete(id);
     hooks.onQueueWait(request, clock.now() - startedAt);
     return result;
@@ -229,7 +231,7 @@
     signal: AbortSignal,
   ): Promise<PgAcquireResult> {
     const pool = this.pools.get(target);
-    if (pool === undefined) throw new Error(`${target} is no target of ${this.name}`);
+    if (pool === undefined) throw new Error(`${target} is not a target of group ${this.name}`);
     return pool.acquire(deadlineAt, signal);
   }
 
@@ -253,7 +255,7 @@
     this.watch.observeFailure(target);
   }
 
-  /** Requests that wait for a slot. */
+  /** Counts the requests that wait for a slot. */
   countQueued(): number {
     const { waiting } = this.slots.summarise();
     return Object.values(waiting).reduce((sum, count) => sum + count, 0);
@@ -263,7 +265,7 @@
     return this.group.targets.map((t) => t.name);
   }
 
-  /** The connections by state over all targets, for metrics. */
+  /** Counts the connections of all targets by state, for metrics. */
   countConnections(): ReadonlyMap<string, number> {
     const counts = new Map<string, number>();
     for (const pool of this.pools.values()) {
@@ -282,7 +284,7 @@
 
   private findTarget(name: string): Target {
     const target = this.group.targets.find((t) => t.name === name);
-    if (target === undefined) throw new Error(`${name} is no target of ${this.name}`);
+    if (target === undefined) throw new Error(`${name} is not a target of group ${this.name}`);
     return target;
   }
 
@@ -297,8 +299,8 @@
   }
 
   /**
-   * Writes that waited for the old primary's slot wait for the new one's instead. The new one gets
-   * its slots first: the queue refuses at once those that wait for a target without any.
+   * Makes writes that wait for a slot of the previous primary wait for one of the new primary. The new
+   * primary's slots are set first, since the queue immediately refuses requests for a target without slots.
    */
   private redirectWaitingWrites(name: string, view: GroupView): void {
     this.lastPrimary = name;
@@ -306,7 +308,7 @@
     for (const id of this.waitingForPrimary) this.slots.retarget(id, [name]);
   }
 
-  /** A primary that serves nothing new, since it is silent or leaving, counts as lost. */
+  /** A primary that takes no new work, since it is unreachable or leaving, counts as lost. */
   private updateExpectation({ primary, targets }: GroupView): void {
     const seen = primary && targets[primary.target];
     const target = primary && this.findTarget(primary.target);
@@ -314,7 +316,7 @@
     this.expectation.observe(isServing || this.lastPrimary === undefined);
   }
 
-  /** Only changes reach the queue: views come with every position that a target reports. */
+  /** Passes only changes to the queue, since a view arrives with every log position that a target reports. */
   private resizeSlots(target: Target, view: GroupView): void {
     const state = findTargetState(target, view.targets[target.name]);
     const isPrimary = view.primary?.target === target.name;
--- a/src/owner/ports.ts
+++ b/src/owner/ports.ts
@@ -9,7 +9,7 @@
 } from "../model/index.js";
 import type { OwnerHooks } from "./hooks.js";
 
-/** What an owner needs of the world. */
+/** The dependencies of a groups' owner. `vm` is the name of this process's VM. */
 export interface OwnerPorts {
   readonly vm: string;
   readonly connector: TargetConnector;
@@ -19,6 +19,6 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly hooks: OwnerHooks;
-  /** Other live VMs, the best first. */
+  /** Lists other live VMs that can check a target, in order of preference. */
   readonly listCheckerVms: () => readonly Vm[];
 }
--- a/src/owner/routing.ts
+++ b/src/owner/routing.ts
@@ -16,24 +16,24 @@
   type TargetView,
 } from "../model/index.js";
 
-/** From this many missed probes on a target gets no new work. */
+/** A target that has missed this many probes gets no new work. */
 const unreachableAfterMissed = 2;
 
-/** What the router asks of the group's queue. */
+/** The part of a group's queue that routing uses. */
 export interface RoutingQueue {
   countFree(target: string): number;
-  /** The wait for a slot of one target, in milliseconds. */
+  /** Estimates the wait for a slot of one target, in milliseconds. */
   estimateWaitMs(target: string): number;
 }
 
-/** Keeps what the router needs to know beyond the latest view: positions over time. */
+/** Tracks what the router needs besides the latest view: log positions over time. */
 export class RoutingTracker {
   private history: PositionHistory = emptyHistory;
   private readonly progress = new Map<string, Progress>();
 
   constructor(
     private group: Group,
-    /** The latest time at which the view's primary is known to have had a majority with it. */
+    /** Finds the latest time at which a majority is known to have followed the view's primary. */
     private readonly findMajorityConfirmedAt: (
       view: GroupView,
       targets: readonly string[],
@@ -44,7 +44,7 @@
     this.group = group;
   }
 
-  /** Takes a new view into account. */
+  /** Records the positions of a new view. */
   observe(view: GroupView): void {
     this.recordPrimary(view);
     for (const target of this.group.targets) {
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Builds what the router looks at. */
+  /** Builds the router's input. */
   buildReadScene(view: GroupView, queue: RoutingQueue, now: number): ReadScene {
     const targets = this.group.targets.flatMap((target) => {
       const seen = view.targets[target.name];
@@ -65,15 +65,16 @@
   }
 
   /**
-   * A superseded primary goes on reporting an end of the log that is no longer the group's, and ages
-   * told from it would be too small. A sighting counts only as of when a majority backed it.
+   * A superseded primary still reports an end of its log, which is no longer the group's, and ages computed
+   * from it would be too small. A report therefore counts only as of the latest time at which a majority
+   * confirmed the primary.
    */
   private recordPrimary(view: GroupView): void {
     const names = this.group.targets.map((t) => t.name);
-    const backedAt = this.findMajorityConfirmedAt(view, names);
+    const confirmedAt = this.findMajorityConfirmedAt(view, names);
     const seen = view.primary && view.targets[view.primary.target];
-    if (seen === undefined || backedAt === undefined) return;
-    const askedAt = Math.min(seen.askedAt, backedAt);
+    if (seen === undefined || confirmedAt === undefined) return;
+    const askedAt = Math.min(seen.askedAt, confirmedAt);
     this.history = observePrimary(this.history, { ...seen, askedAt });
   }
 
@@ -96,7 +97,7 @@
   }
 }
 
-/** Whether a target takes new work. */
+/** Determines whether a target takes new work, and why not. */
 export function findTargetState(
   target: Target,
   seen: TargetView | undefined,
@@ -106,7 +107,7 @@
   return "serving";
 }
 
-/** Whether a target's log, as last reported, holds what a session must see. */
+/** Whether a target's log, as last reported, contains the writes that a session must see. */
 export function hasMark(view: GroupView, target: string, mark: Mark | undefined): boolean {
   if (mark === undefined) return true;
   const seen = view.targets[target];
--- a/src/owner/sql.ts
+++ b/src/owner/sql.ts
@@ -6,7 +6,7 @@
 const fieldCountAt = 5;
 const fieldsAt = 7;
 
-/** What one of the owner's own statements gave. Rows hold text values. */
+/** The result of one of the owner's own statements. Rows hold text values, null for an SQL NULL. */
 export interface SqlAnswer {
   readonly result: ExchangeResult;
   readonly tags: readonly string[];
