--- a/test/owner/failover.test.ts
+++ b/test/owner/failover.test.ts
@@ -10,7 +10,9 @@
 
 afterEach(() => group.dispose());
 
-const patient = { action: { deadlineMs: 10_000, maxQueueMs: 10_000, retry: { attempts: 10 } } };
+const patientOptions = {
+  action: { deadlineMs: 10_000, maxQueueMs: 10_000, retry: { attempts: 10 } },
+};
 
 function getPrimary() {
   const [primary] = group.targets;
@@ -25,37 +27,37 @@
   return read.text;
 }
 
-// The primary dies with an acknowledged write in its log. The next write meets a dead connection;
-// its key lets the owner try it again. The owner fences the other two, promotes the one that holds
-// the first write, and both are read, since the first was acknowledged by a majority.
-test("an acknowledged write survives its primary, and writes go on", async () => {
+// The primary fails with an acknowledged write in its log. The next write's connection is broken, and its
+// idempotency key lets the owner retry it. The owner fences the other two targets and promotes the one
+// that holds the first write. Both writes are read, since a majority had acknowledged the first.
+test("an acknowledged write survives the loss of its primary, and writes continue", async () => {
   await runOnce(group.gateway, "write", "INSERT INTO cello VALUES (1, 'Rossi')");
   await getPrimary().kill();
   const next = await runOnce(group.gateway, "write", "INSERT INTO cello VALUES (2, 'Verdi')", {
-    ...patient,
+    ...patientOptions,
     key: "k2",
   });
   expect(next.outcome).toMatchObject({ type: "answered", servedBy: { role: "primary" } });
   expect(await countCellos()).toContain("2");
 });
 
-// The answer to the commit is lost and the connection breaks: nobody can tell whether it ran.
-// The key's record is in the write's own transaction, so the owner asks again itself
-// and the caller gets its one answer.
-test("a keyed write whose commit was answered by silence still lands once", async () => {
+// The answer to the commit is lost and the connection breaks, so it is unknown whether the write ran. The
+// record of its key is in the write's own transaction: the owner retries the write itself, and the caller
+// receives one answer.
+test("a keyed write whose commit got no answer runs once", async () => {
   getPrimary().faults.loseCommitAnswers(1, "break");
   const sql = "INSERT INTO cello VALUES (1, 'Rossi') RETURNING id";
-  const written = await runOnce(group.gateway, "write", sql, { ...patient, key: "k1" });
+  const written = await runOnce(group.gateway, "write", sql, { ...patientOptions, key: "k1" });
   expect(written.types).toBe("TDC");
   expect(await countCellos()).toContain("1");
 });
 
-// The same without a key: the statement may have run, and a second try could run it twice.
-// The caller hears just that, and the statement has run once or not at all.
-test("a write without a key whose answer was lost is not tried again", async () => {
+// Without a key a retry could run the statement twice. The caller is told that it may have run, and it has
+// run once or not at all.
+test("a write without a key whose answer was lost is not retried", async () => {
   getPrimary().faults.loseCommitAnswers(1, "break");
   const sql = "INSERT INTO cello VALUES (1, 'Rossi')";
-  const written = await runOnce(group.gateway, "write", sql, patient);
+  const written = await runOnce(group.gateway, "write", sql, patientOptions);
   expect(written.outcome).toMatchObject({ type: "failed", verdict: { type: "mayHaveRun" } });
   const ran = getPrimary()
     .statements.list()
@@ -63,8 +65,9 @@
   expect(ran).toHaveLength(1);
 });
 
-// Another owner, cut off from this one, has fenced and promoted; this owner's view is old and its
-// primary still believes that it leads. The write commits nowhere or is not acknowledged here.
+// Another owner, partitioned from this one, has fenced a majority and promoted another target. This owner's
+// view is stale and the old primary still considers itself the primary. A write there must not be
+// acknowledged, whether it commits or not.
 test("a superseded primary's write is not acknowledged", async () => {
   const [old, second, third] = group.targets;
   if (old === undefined || second === undefined || third === undefined) throw new Error("targets");
@@ -85,10 +88,10 @@
   expect(ended.types).not.toContain("C");
 });
 
-// Two of three targets are gone: no majority can be fenced, so no failover can succeed.
-// For a while a write waits, since most gaps are short; past that each is refused at once
-// with the time to come back, long before its deadline, and nothing of it ran.
-test("without a majority writes are refused at once, not held until their deadline", async () => {
+// Two of three targets have failed: no majority can be fenced, so no failover can succeed. At first a write
+// waits, since most failovers are short. After that each write is refused immediately with a retry delay,
+// long before its deadline, and has not run.
+test("without a majority writes are refused immediately, not held until their deadline", async () => {
   const [first, second] = group.targets;
   await first?.kill();
   await second?.kill();
--- a/test/owner/group.ts
+++ b/test/owner/group.ts
@@ -16,11 +16,11 @@
 import { PgTargetConnector, PgTargetControl } from "../../src/target/index.js";
 import { StandinTarget } from "../../standin/target/index.js";
 
-const absent = { type: "unreachable", reason: "no peers in this test" } as const;
+const unreachable = { type: "unreachable", reason: "no peers in this test" } as const;
 const noPeers: PeerClient = {
   probe: () => Promise.resolve({ type: "silent", reason: "no peers" }),
   probeThrough: () => Promise.resolve({ type: "silent", reason: "no peers" }),
-  checkTarget: () => Promise.resolve(absent),
+  checkTarget: () => Promise.resolve(unreachable),
   fetchConfiguration: () => Promise.resolve({ type: "absent" }),
   pushConfiguration: () => Promise.resolve({ type: "absent" }),
 };
@@ -30,7 +30,7 @@
   readonly targets: readonly StandinTarget[];
   readonly group: Group;
   readonly gateway: OwnerGateway;
-  /** Another owner of the same group, as two that disagree about the live VMs. */
+  /** Adds another owner of the same group, as if two VMs disagreed about which VMs are live. */
   addOwner(vm: string): OwnerGateway;
   dispose(): Promise<void>;
 }
@@ -78,7 +78,7 @@
   acknowledgement: "replicated",
 };
 
-/** What an answer was: its texts of tags and errors, its row count, and the outcome. */
+/** The outcome of a statement, the types of the messages of its answer, and their bytes as Latin-1. */
 export interface RunResult {
   readonly outcome: Outcome;
   readonly types: string;
@@ -96,7 +96,7 @@
   readonly action?: Partial<ServeAction>;
 }
 
-/** Runs one statement as a caller's simple query. */
+/** Runs one statement as a simple query in an open conversation. */
 export async function runSql(
   conversation: Conversation,
   effect: "read" | "write",
--- a/test/owner/leaving.test.ts
+++ b/test/owner/leaving.test.ts
@@ -10,10 +10,10 @@
 
 afterEach(() => group.dispose());
 
-function tellLeaving(name: string): void {
+function setLeaving(name: string): void {
   const targets = group.group.targets.map((t) => ({ ...t, isLeaving: t.name === name }));
-  const told = new Map([[group.group.name, { ...group.group, targets }]]);
-  group.gateway.setGroups(told, new Set([group.group.name]));
+  const groups = new Map([[group.group.name, { ...group.group, targets }]]);
+  group.gateway.setGroups(groups, new Set([group.group.name]));
 }
 
 async function countReads(name: string): Promise<number> {
@@ -22,17 +22,17 @@
   return target?.statements.list("SELECT id").length ?? 0;
 }
 
-// The platform takes a replica's VM away. Reads that went to it would be cut off when it ends;
-// once the owner has heard of it, every read goes to the others.
+// The platform removes a replica's VM. Reads that still run on it at its end would be aborted. Once the owner
+// has been told, every read goes to the other targets.
 test("a replica that is leaving gets no new reads", async () => {
-  tellLeaving("t2");
+  setLeaving("t2");
   expect(await countReads("t2")).toBe(0);
 });
 
-// The platform takes the primary's VM away. The owner moves the primary role to a replica that holds
-// all it has, and writes go on there; the caller notices a short wait at the most.
-test("a primary that is leaving hands its role on", async () => {
-  tellLeaving("t1");
+// The platform removes the primary's VM. The owner moves the primary role to a replica whose log has all of
+// the primary's writes, and writes continue there; a caller notices a short wait at most.
+test("the primary role moves off a target that is leaving", async () => {
+  setLeaving("t1");
   const patient = { action: { retry: { attempts: 10 } } };
   const sql = "INSERT INTO cello VALUES (1, 'Rossi')";
   const written = await runOnce(group.gateway, "write", sql, { ...patient, key: "k1" });
@@ -40,14 +40,14 @@
   expect(written.outcome).not.toMatchObject({ servedBy: { target: "t1" } });
 });
 
-// A transaction is open on the primary when the platform takes its VM away. The role waits a moment
-// for it: the caller commits as if nothing were, and only then do writes move on.
+// A transaction is open on the primary when the platform removes its VM. The switchover waits a short time
+// for it: the caller commits without an error, and only then do writes move to the new primary.
 test("an open transaction on a leaving primary commits before the role moves", async () => {
   const conversation = group.gateway.open("libro");
   const options = { transaction: true };
   await runSql(conversation, "write", "BEGIN", options);
   await runSql(conversation, "write", "INSERT INTO cello VALUES (2, 'Verdi')", options);
-  tellLeaving("t1");
+  setLeaving("t1");
   await runSql(conversation, "write", "INSERT INTO cello VALUES (3, 'Verdi')", options);
   const ended = await runSql(conversation, "write", "COMMIT", options);
   conversation.close();
--- a/test/owner/reelected.test.ts
+++ b/test/owner/reelected.test.ts
@@ -10,10 +10,11 @@
 
 afterEach(() => group.dispose());
 
-// Writes stall, for good. A rival fences all three and goes away; the owner elects the same primary
-// anew. The replicas followed it in the old term; they copy nothing in the new one before they are
-// told to. Were they still to say that they follow it, nobody would tell them.
-test("replicas copy again when the same primary is elected in a new term", async () => {
+// Guards against writes that stall forever. Another owner fences all three targets and disappears, and this
+// owner elects the same primary in a new term. The replicas followed it in the old term and replicate
+// nothing in the new one until they are told to. If they still reported that they follow it, nobody would
+// tell them.
+test("replicas resume replication when the same primary is elected in a new term", async () => {
   const term = { round: 9, vm: "rival" };
   for (const { member } of group.targets) member.fence(term);
   const written = await runOnce(group.gateway, "write", "INSERT INTO cello VALUES (1, 'Rossi')", {
--- a/test/owner/serve.test.ts
+++ b/test/owner/serve.test.ts
@@ -16,7 +16,7 @@
 
 afterEach(() => group.dispose());
 
-test("a session reads its own write, from a replica once that holds it", async () => {
+test("a session reads its own write, from a replica once it has the write", async () => {
   const written = await runOnce(group.gateway, "write", "INSERT INTO cello VALUES (1, 'Rossi')");
   expect(written.outcome).toMatchObject({ type: "answered", servedBy: { role: "primary" } });
   const mark = written.outcome.type === "answered" ? written.outcome.mark : undefined;
@@ -28,7 +28,7 @@
   expect(read.outcome).toMatchObject({ servedBy: { role: "replica" } });
 });
 
-test("a session without a mark is floored at the latest acknowledged write", async () => {
+test("a session without a mark reads at least the latest acknowledged write", async () => {
   await runOnce(group.gateway, "write", "INSERT INTO cello VALUES (2, 'Verdi')", {
     action: { acknowledgement: "witnessed" },
   });
@@ -37,10 +37,10 @@
   expect(read.outcome).toMatchObject({ type: "answered", mark: { offset: expect.any(Number) } });
 });
 
-// A caller lost the answer to its reservation and sends it again under the same key.
-// The first run committed with its record, so the repeat finds the record and runs nothing;
-// the caller gets the first answer, and the family has one cello.
-test("a repeat under the same key gets the first answer and does not run", async () => {
+// A caller lost the answer to its write and repeats the write with the same key. The first run committed with
+// its record, so the repeat finds the record and runs nothing: the caller receives the first answer, and
+// there is one row.
+test("a repeat with the same key gets the first answer and does not run", async () => {
   const sql = "INSERT INTO cello VALUES (3, 'Bianchi') RETURNING id";
   const first = await runOnce(group.gateway, "write", sql, { key: "k1" });
   const again = await runOnce(group.gateway, "write", sql, { key: "k1" });
@@ -52,9 +52,9 @@
   expect(count.text).toContain("1");
 });
 
-// Two counters send the same reservation under one key at the same time.
-// Both open a transaction; one commits its record, the other meets it and must not run as well.
-test("two runs of one key at once land once", async () => {
+// Two callers send the same write with one key at the same time. Both open a transaction; one commits its
+// record, and the other finds it and must not run as well.
+test("two concurrent writes with one key run once", async () => {
   const sql = "INSERT INTO cello VALUES (4, 'Neri') RETURNING id";
   const both = await Promise.all([
     runOnce(group.gateway, "write", sql, { key: "k2" }),
@@ -63,7 +63,7 @@
   expect(both.map((a) => a.types)).toEqual(["TDC", "TDC"]);
 });
 
-test("an interactive transaction stays on one connection and commits whole", async () => {
+test("an interactive transaction stays on one connection and commits as a whole", async () => {
   const conversation = group.gateway.open("libro");
   const options = { transaction: true };
   const begun = await runSql(conversation, "write", "BEGIN", options);
@@ -78,7 +78,7 @@
   expect(seen.text).toContain("Gallo");
 });
 
-test("a transaction that its caller leaves open is rolled back", async () => {
+test("a transaction that is open when its caller disconnects is rolled back", async () => {
   const conversation = group.gateway.open("libro");
   await runSql(conversation, "write", "BEGIN", { transaction: true });
   await runSql(conversation, "write", "INSERT INTO cello VALUES (6, 'Riva')", {
@@ -89,9 +89,10 @@
   expect(read.types).toBe("TC");
 });
 
-// One caller has a transaction open while others write. Were its connection given to the next one,
-// that write would be part of the transaction and go with its rollback, though it was answered.
-test("writes of other callers are no part of an open transaction", async () => {
+// One caller has a transaction open while others write. If its connection was given to another caller, that
+// caller's write would become part of the transaction and be lost with its rollback, although it was
+// acknowledged.
+test("writes of other callers are not part of an open transaction", async () => {
   const conversation = group.gateway.open("libro");
   await runSql(conversation, "write", "BEGIN", { transaction: true });
   for (let id = 10; id < 14; id += 1) {
--- a/test/owner/superseded.test.ts
+++ b/test/owner/superseded.test.ts
@@ -34,7 +34,7 @@
 
 const committed = Buffer.from("C\0\0\0\x0fINSERT 0 1\0", "latin1");
 
-function makeContext(passed: Uint8Array[]): ServeContext {
+function makeContext(forwarded: Uint8Array[]): ServeContext {
   const traits = {
     group: "libro",
     team: "ferrante",
@@ -54,7 +54,7 @@
   return {
     request,
     messages: new Uint8Array(),
-    answer: new HeldAnswer((message) => void passed.push(message), "outcome"),
+    answer: new HeldAnswer((message) => void forwarded.push(message), "outcome"),
     signal: new AbortController().signal,
     attempt: 1,
     timeLeftMs: () => 5000,
@@ -63,15 +63,15 @@
   };
 }
 
-// A write has its slot at the primary and waits for a connection, since the primary is frozen.
-// The group fails over meanwhile; the old primary comes back, not fenced yet, and the connection is
-// there. It would commit what its successor's log lacks; the caller is refused, and nothing is sent.
+// A write has its slot at the primary and waits for a connection, since the primary is frozen. Meanwhile the
+// group fails over. The old primary resumes, not fenced yet, and the connection opens. It would commit a
+// write that its successor's log lacks, so the caller is refused and nothing is sent.
 test("a write whose primary changed while it waited for a connection is not sent", async () => {
-  let given = 0;
+  let releasedCount = 0;
   const connection = {
     session,
     noteProgress: () => undefined,
-    release: () => void (given += 1),
+    release: () => void (releasedCount += 1),
     drop: () => undefined,
   };
   const connect = createConnectFilter(
@@ -91,34 +91,34 @@
     type: "failed",
     verdict: { type: "notRun", reason: "superseded" },
   });
-  expect({ runs, given }).toEqual({ runs: 0, given: 1 });
+  expect({ runs, releasedCount }).toEqual({ runs: 0, releasedCount: 1 });
 });
 
-// The same write was sent all the same and committed by a target that the owner takes for a replica.
-// No term vouches for it, so the caller must not hear of success: it may have run.
+// A write was sent and committed by a target that the owner considers a replica. No term confirms it, so it
+// must not be reported as a success, but as one that may have run.
 test("a write that a superseded primary committed is not acknowledged", async () => {
-  const passed: Uint8Array[] = [];
-  const context = makeContext(passed);
-  const place: PlacedConnection = { target, role: "replica", term: undefined, session };
+  const forwarded: Uint8Array[] = [];
+  const context = makeContext(forwarded);
+  const placed: PlacedConnection = { target, role: "replica", term: undefined, session };
   const confirmer = {
     confirm: () => Promise.resolve({ type: "unconfirmed", reason: "no term" } as const),
   };
   const confirm = createConfirmFilter(confirmer, silentLogger);
   const outcome = await confirm.apply(context, async (inner) => {
-    inner.placement.record(place);
+    inner.placement.record(placed);
     await inner.answer.receive(committed);
     return answered;
   });
   expect(outcome).toMatchObject({ type: "failed", verdict: { type: "mayHaveRun" } });
-  expect(passed).toEqual([]);
+  expect(forwarded).toEqual([]);
 });
 
-// A prepared write meets a superseded primary: ParseComplete and BindComplete come, then its refusal.
-// Nothing of that concerns the caller yet. It hears that the write has not run, so that the owner's
-// next try may run it at the new primary, and not the target's bare error.
+// A superseded primary answers a prepared write with ParseComplete, BindComplete and its refusal. None of
+// them may reach the caller yet. The outcome is that the write has not run, instead of the target's bare
+// error, so that the owner can retry it at the new primary.
 test("a prepared write that a superseded primary refuses has not run", async () => {
-  const passed: Uint8Array[] = [];
-  const context = makeContext(passed);
+  const forwarded: Uint8Array[] = [];
+  const context = makeContext(forwarded);
   const confirmer = {
     confirm: () => Promise.resolve({ type: "unconfirmed", reason: "no term" } as const),
   };
@@ -131,14 +131,14 @@
     return answered;
   });
   expect(outcome).toMatchObject({ verdict: { type: "notRun", reason: "superseded" } });
-  expect(passed).toEqual([]);
+  expect(forwarded).toEqual([]);
 });
 
-test("rows pass after what comes before them, in order", async () => {
-  const passed: Uint8Array[] = [];
-  const answer = new HeldAnswer((message) => void passed.push(message), "outcome");
+test("rows and the messages before them are forwarded in order", async () => {
+  const forwarded: Uint8Array[] = [];
+  const answer = new HeldAnswer((message) => void forwarded.push(message), "outcome");
   for (const type of ["1", "2", "T", "D", "D"]) {
     await answer.receive(Buffer.from(`${type}\0\0\0\x04`, "latin1"));
   }
-  expect(passed.map(([type]) => String.fromCharCode(type ?? 0)).join("")).toBe("12TDD");
+  expect(forwarded.map(([type]) => String.fromCharCode(type ?? 0)).join("")).toBe("12TDD");
 });
