--- a/src/feed/feed.ts
+++ b/src/feed/feed.ts
@@ -13,7 +13,7 @@
   /** Absent where the configuration keeps no teams. */
   readonly roster?: TeamRoster;
   /** Teams and routes of which something was left out, and the field for which; to be logged. */
-  readonly faults?: readonly RefusedEntry[];
+  readonly invalidEntries?: readonly InvalidEntry[];
 }
 
 /** A target that has registered itself, and the group that it belongs to. */
@@ -23,7 +23,7 @@
 }
 
 /** An entry among the targets that names none: whoever wrote it does not write as targets do. */
-export interface RefusedEntry {
+export interface InvalidEntry {
   readonly name: string;
   /** The first field that no target would write so, by the platform's name for it. */
   readonly field: string;
@@ -32,7 +32,7 @@
 /** The platform's list of targets. */
 export interface TargetListing {
   readonly targets: readonly ListedTarget[];
-  readonly refused: readonly RefusedEntry[];
+  readonly invalidEntries: readonly InvalidEntry[];
 }
 
 /** What the store keeps of a group's targets beside the entries that they write themselves. */
@@ -48,7 +48,7 @@
   readRoutes(): Promise<StoreRead<RouteTable>>;
   readTargets(): Promise<StoreRead<TargetListing>>;
   /** What was last known of the groups' targets, as a proxy wrote it down. */
-  readRecords(): Promise<StoreRead<readonly GroupRecord[]>>;
+  readGroupRecords(): Promise<StoreRead<readonly GroupRecord[]>>;
   /** Writes a group's record if it still has the version that was read. */
-  writeRecord(record: GroupRecord): Promise<StoreWrite>;
+  writeGroupRecord(record: GroupRecord): Promise<StoreWrite>;
 }
--- a/src/feed/index.ts
+++ b/src/feed/index.ts
@@ -2,7 +2,7 @@
   type GroupRecord,
   type ListedTarget,
   type PlatformFeed,
-  type RefusedEntry,
+  type InvalidEntry,
   type RouteTable,
   type TargetListing,
 } from "./feed.js";
@@ -10,11 +10,16 @@
   applyRoutes,
   applyTargets,
   type FeedState,
-  firstFeedState,
-  isAwaitingReturn,
-  listStrangers,
-  makeScene,
-  noteStoreAnswer,
+  initialFeedState,
+  isInGracePeriod,
+  listTargetsOfUnknownGroups,
+  buildServingConfig,
+  recordStoreAnswer,
 } from "./state.js";
-export { decodeRecord, encodeRecord, findRecordChanges, recallTargets } from "./record.js";
+export {
+  decodeGroupTargets,
+  encodeGroupTargets,
+  findOutdatedRecords,
+  restoreMissingTargets,
+} from "./group-record.js";
 export { decodeSnapshot, encodeSnapshot } from "./snapshot.js";
--- a/src/node/confirmer.ts
+++ b/src/node/confirmer.ts
@@ -5,7 +5,7 @@
   type LeadershipKeeper,
 } from "../leadership/index.js";
 import type { Clock } from "../model/index.js";
-import type { Members } from "./members.js";
+import type { ProxyRegistry } from "./proxy-registry.js";
 
 /** Peers are asked once the store's last word is older than this, in milliseconds: one look has failed. */
 const askPeersAfterMs = 500;
@@ -16,8 +16,8 @@
 export interface PeerConfirmerPorts {
   readonly vm: string;
   readonly peers: Pick<DirectPeerClient, "share">;
-  readonly keeper: LeadershipKeeper;
-  readonly members: Members;
+  readonly tracker: LeadershipKeeper;
+  readonly registry: ProxyRegistry;
   readonly clock: Pick<Clock, "now">;
 }
 
@@ -26,17 +26,17 @@
   constructor(private readonly ports: PeerConfirmerPorts) {}
 
   /** Asks all at once, unless what is known was confirmed just now; gives what they answered. */
-  async ask(): Promise<readonly LeadershipAnswer[]> {
-    const { vm, keeper, clock, peers, members } = this.ports;
+  async askPeers(): Promise<readonly LeadershipAnswer[]> {
+    const { vm, tracker, clock, peers, registry } = this.ports;
     const askedAt = clock.now();
-    const { confirmedAt } = keeper;
+    const { confirmedAt } = tracker;
     if (confirmedAt !== undefined && askedAt - confirmedAt < askPeersAfterMs) return [];
-    const others = members.list().filter((proxy) => proxy.vm !== vm);
+    const others = registry.list().filter((proxy) => proxy.vm !== vm);
     const answers = (
-      await Promise.all(others.map((proxy) => peers.share(proxy, keeper.word, peerTimeoutMs)))
+      await Promise.all(others.map((proxy) => peers.share(proxy, tracker.word, peerTimeoutMs)))
     ).filter((answer) => answer !== undefined);
-    for (const answer of answers) keeper.adopt(answer);
-    if (members.isMemberBefore(askedAt)) this.confirmBy(answers, askedAt);
+    for (const answer of answers) tracker.adopt(answer);
+    if (registry.wasRegisteredBefore(askedAt)) this.applyAnswers(answers, askedAt);
     return answers;
   }
 
@@ -44,22 +44,22 @@
    * A peer that reaches the store passes its confirmation on, with its age. Where none does, the
    * store is away for all, nobody can begin a change, and a majority that knows of none confirms.
    */
-  private confirmBy(answers: readonly LeadershipAnswer[], askedAt: number): void {
-    const { keeper, members } = this.ports;
-    const { version } = keeper.leadership;
+  private applyAnswers(answers: readonly LeadershipAnswer[], askedAt: number): void {
+    const { tracker, registry } = this.ports;
+    const { version } = tracker.leadership;
     const listing = answers.filter((answer) => answer.listsAsker);
     for (const { confirmedAgoMs, storeAgoMs, leadership } of listing) {
       if (leadership.version < version) continue;
-      if (storeAgoMs !== undefined) keeper.noteStoreAnswer(askedAt - storeAgoMs);
+      if (storeAgoMs !== undefined) tracker.noteStoreAnswer(askedAt - storeAgoMs);
       if (confirmedAgoMs === undefined) continue;
       const at = askedAt - confirmedAgoMs;
-      if (members.isMemberBefore(at)) keeper.confirm(at);
+      if (registry.wasRegisteredBefore(at)) tracker.confirm(at);
     }
-    if (!members.isWhole) return;
+    if (!registry.isListingComplete) return;
     const words = listing.map((answer) => ({ version: answer.leadership.version }));
-    const storeAskedAt = keeper.storeAnswerAskedAt;
-    if (isConfirmedByPeers(version, words, members.list().length, storeAskedAt, askedAt)) {
-      keeper.confirm(askedAt);
+    const storeAskedAt = tracker.storeAnswerAskedAt;
+    if (isConfirmedByPeers(version, words, registry.list().length, storeAskedAt, askedAt)) {
+      tracker.confirm(askedAt);
     }
   }
 }
--- a/src/node/forwarding.ts
+++ b/src/node/forwarding.ts
@@ -26,21 +26,21 @@
   readonly findGroup: (group: string) => AnnouncedGroup | undefined;
   readonly findLeader: (group: string) => PrimaryState;
   /** A statement was taken by nobody that this node knows of. */
-  readonly onNobody: () => void;
+  readonly onNoneAccepted: () => void;
 }
 
 /** A node's part in forwarding statements: to gateways, and as one for other nodes. */
 export class Forwarding implements Disposable {
   private readonly owned = new DisposableStore();
-  private readonly links: GatewayLinks;
+  private readonly connections: GatewayLinks;
   private readonly router: GatewayRouter;
   private server: GatewayServer | undefined;
 
   constructor(private readonly ports: ForwardingPorts) {
     const { settings, clock, logger, listProxies, findGroup, findLeader, isListed } = ports;
-    const { onNobody } = ports;
+    const { onNoneAccepted } = ports;
     const { vm, dataCentre } = settings;
-    this.links = this.owned.add(new GatewayLinks({ clock, logger }));
+    this.connections = this.owned.add(new GatewayLinks({ clock, logger }));
     this.router = new GatewayRouter({
       vm,
       dataCentre,
@@ -48,19 +48,19 @@
       findGroup,
       findLeader,
       isListed,
-      onNobody,
+      onNobody: onNoneAccepted,
       isPassedOver: (name) =>
-        name === vm ? this.findRefusal() !== undefined : this.links.isPassedOver(name),
+        name === vm ? this.findRefusal() !== undefined : this.connections.isPassedOver(name),
     });
   }
 
   /** Whether other nodes can run this one's statements. */
-  get isOn(): boolean {
+  get isEnabled(): boolean {
     return this.ports.settings.gateway !== undefined;
   }
 
   createRunner(): WorkRunner {
-    return this.isOn ? new RoutedRunner(this.router, this.links) : directRunner;
+    return this.isEnabled ? new RoutedRunner(this.router, this.connections) : directRunner;
   }
 
   /** Begins to take other nodes' statements. */
@@ -79,30 +79,30 @@
   }
 
   /** Statements and transactions that are under way for other nodes. */
-  countBusy(): number {
+  countActive(): number {
     return this.server?.countBusy() ?? 0;
   }
 
   /** Rolls back other nodes' open transactions, which have had their time. */
-  endTransactions(): void {
+  rollBackTransactions(): void {
     this.server?.endTransactions();
   }
 
   /** What this node holds of the connections to a group's targets in one data centre. */
-  findHolding(group: string, dataCentre: string): ShareRule {
-    if (this.isOn) return this.router.findHolding(group, dataCentre);
+  findShareRule(group: string, dataCentre: string): ShareRule {
+    if (this.isEnabled) return this.router.findHolding(group, dataCentre);
     return { type: "equal", proxies: Math.max(1, this.ports.listProxies().length) };
   }
 
   /** The proxies that hold a group's connections. */
-  listHolders(group: string): readonly Proxy[] {
-    return this.isOn ? this.router.listHolders(group) : this.ports.listProxies();
+  listGroupProxies(group: string): readonly Proxy[] {
+    return this.isEnabled ? this.router.listHolders(group) : this.ports.listProxies();
   }
 
   /** The groups whose primaries this node looks after. */
   listOwnGroups(): readonly string[] {
     const groups = this.ports.listGroups();
-    return this.isOn ? groups.filter((group) => this.router.isGateway(group)) : groups;
+    return this.isEnabled ? groups.filter((group) => this.router.isGateway(group)) : groups;
   }
 
   dispose(): Promise<void> {
--- a/src/node/index.ts
+++ b/src/node/index.ts
@@ -1,3 +1,3 @@
 export { Node, type NodeOptions } from "./node.js";
-export { type NodeAdapter, type NodeStore, type StoreBeat } from "./ports.js";
+export { type NodeAdapter, type NodeStore, type StoreStatus } from "./ports.js";
 export { type NodeSettings } from "./settings.js";
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -23,8 +23,8 @@
 import { StoreFollower } from "./follower.js";
 import { Forwarding } from "./forwarding.js";
 import type { NodeAdapter } from "./ports.js";
-import { TargetQuestioner } from "./questioner.js";
-import { ProxyWatch } from "./watch.js";
+import { TargetStatusClient } from "./target-status.js";
+import { ProxyLivenessMonitor } from "./proxy-liveness.js";
 import { planDrain, type DrainPlan } from "./drain.js";
 import { NodeRates } from "./rates.js";
 import type { NodeSettings } from "./settings.js";
@@ -48,76 +48,76 @@
  * one and the peers have failed then. The balancer takes two answers more to heed it, while callers are
  * refused here; before, it was told only after the permission had lapsed.
  */
-const unpermittedMs = 1300;
+const maxUnconfirmedMs = 1300;
 /**
  * Without a word from anybody for this long a node that forwards statements tells the balancer so, in
  * milliseconds: two questions and a look at the store have failed then.
  */
-const unheardMs = 2500;
+const maxSilenceMs = 2500;
 /** The balancer asks once a second and believes two answers; only then do callers come elsewhere. */
-const passedByMs = 2300;
+const balancerReactionMs = 2300;
 
 /** One node that serves callers by direct connections to targets. */
 export class Node {
   private readonly owned = new DisposableStore();
   private readonly metrics: Metrics;
-  private readonly keeper: LeadershipKeeper;
-  private readonly questioner: TargetQuestioner;
+  private readonly tracker: LeadershipKeeper;
+  private readonly targetStatus: TargetStatusClient;
   private readonly changer: PrimaryChanger;
   private readonly follower: StoreFollower;
   private readonly directPorts: DirectPorts;
   private readonly groups: GroupDirectory;
   private readonly callers: CallerRegistry;
   private readonly forwarding: Forwarding;
-  private readonly watch: ProxyWatch;
+  private readonly proxyLiveness: ProxyLivenessMonitor;
   private readonly rates: NodeRates;
   private readonly server: LineServer;
   private readonly drainer: DrainKeeper;
   private readonly drainPlan: DrainPlan;
   private wasReady = false;
-  private askedForGatewaysAt = -Infinity;
+  private gatewayRefreshAt = -Infinity;
   private readonly probing = new Set<string>();
-  private moveTimer: NodeJS.Timeout | undefined;
-  private missTimer: NodeJS.Timeout | undefined;
+  private idleCloseTimer: NodeJS.Timeout | undefined;
+  private primaryCheckTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: NodeOptions) {
     const { settings, adapter, clock, random, logger } = options;
     this.metrics = createMetrics({ process: true });
     this.drainPlan = planDrain(settings.graceMs);
-    this.keeper = new LeadershipKeeper({
+    this.tracker = new LeadershipKeeper({
       clock,
       logger,
       stalls: new StallDetector({ steady: () => clock.now(), wall: options.wallClock }),
       listTargets: (group) => this.listTargets(group),
-      onStall: () => this.noteStall(),
-      onMiss: () => this.lookSoon(),
+      onStall: () => this.handleStall(),
+      onMiss: () => this.schedulePrimaryCheck(),
       onSuperseded: (group, target) => this.groups.find(group)?.evict(target),
       onSilence: (group, target, since) => void this.probe(group, target, since),
     });
-    this.questioner = new TargetQuestioner({
+    this.targetStatus = new TargetStatusClient({
       adapter,
       clock,
       logger,
       listTargets: (group) => this.listTargets(group),
-      hasReached: (group, target, since) => this.keeper.hasReached(group, target, since),
+      hasReached: (group, target, since) => this.tracker.hasReached(group, target, since),
     });
     const peers = new DirectPeerClient(settings.vm, logger);
     this.follower = new StoreFollower({
       settings,
       store: this.owned.add(adapter.store),
       peers,
-      keeper: this.keeper,
+      tracker: this.tracker,
       clock,
       random,
       logger,
-      onScene: (scene) => this.noteScene(scene),
-      onLook: () => this.noteLook(),
+      onServingConfig: (scene) => this.applyServingConfig(scene),
+      onPoll: () => this.handlePoll(),
     });
-    this.watch = new ProxyWatch({
+    this.proxyLiveness = new ProxyLivenessMonitor({
       vm: settings.vm,
       dataCentre: settings.dataCentre,
       peers,
-      keeper: this.keeper,
+      tracker: this.tracker,
       clock,
       logger,
       markMissed: (proxy) => adapter.store.markMissed(proxy),
@@ -127,27 +127,27 @@
         settings,
         clock,
         logger,
-        listProxies: () => this.follower.members.list(),
-        isListed: () => this.follower.members.isRegistered(),
+        listProxies: () => this.follower.registry.list(),
+        isListed: () => this.follower.registry.isRegistered(),
         isLeaving: () => this.drainer.isLeaving(),
-        isPermitted: () => this.keeper.isPermitted,
-        listGroups: () => [...this.follower.scene.groups.keys()],
-        findGroup: (group) => this.follower.scene.groups.get(group),
-        findLeader: (group) => this.keeper.findLeader(group),
-        onNobody: () => this.askForGateways(),
+        isPermitted: () => this.tracker.isPermitted,
+        listGroups: () => [...this.follower.servingConfig.groups.keys()],
+        findGroup: (group) => this.follower.servingConfig.groups.get(group),
+        findLeader: (group) => this.tracker.findLeader(group),
+        onNoneAccepted: () => this.refreshGateways(),
       }),
     );
     this.rates = this.owned.add(
       new NodeRates({
         settings,
         peers,
-        keeper: this.keeper,
-        members: () => this.follower.members,
-        findLookedAt: () => this.follower.known?.askedAt,
+        tracker: this.tracker,
+        getRegistry: () => this.follower.registry,
+        findPolledAt: () => this.follower.lastPoll?.requestedAt,
         clock,
         random,
         logger,
-        scene: () => this.follower.scene,
+        getServingConfig: () => this.follower.servingConfig,
       }),
     );
     this.changer = new PrimaryChanger(
@@ -159,19 +159,19 @@
           write: (document, version) => adapter.store.writeLeadership(document, version),
         },
         peers,
-        askTarget: (question, timeoutMs) => this.questioner.ask(question, timeoutMs),
+        askTarget: (question, timeoutMs) => this.targetStatus.ask(question, timeoutMs),
         promote: adapter.promote,
         clock,
         random,
         logger,
-        listProxies: () => this.follower.members.list(),
-        refreshProxies: () => this.follower.members.refresh(),
+        listProxies: () => this.follower.registry.list(),
+        refreshProxies: () => this.follower.registry.refresh(),
         markMissed: (proxy) => adapter.store.markMissed(proxy),
-        listHolders: (group) => this.forwarding.listHolders(group),
+        listHolders: (group) => this.forwarding.listGroupProxies(group),
         listTargets: (group) => this.listTargets(group),
         listGroups: () => this.forwarding.listOwnGroups(),
       },
-      this.keeper,
+      this.tracker,
     );
     this.directPorts = this.createDirectPorts();
     this.groups = this.owned.add(new GroupDirectory(this.directPorts));
@@ -185,7 +185,7 @@
       new LineServer({
         address: settings.callers,
         maxLineBytes: adapter.maxLineBytes,
-        findLineTimeoutMs: () => this.follower.scene.lineTimeoutMs,
+        findLineTimeoutMs: () => this.follower.servingConfig.lineTimeoutMs,
         accept: (connection) => this.callers.accept(connection),
       }),
     );
@@ -218,9 +218,9 @@
   async drain(): Promise<void> {
     const { clock } = this.options;
     const ended = this.drainer.drain();
-    await Promise.race([ended, clock.sleep(this.drainPlan.transactionMs)]);
+    await Promise.race([ended, clock.sleep(this.drainPlan.rollBackAfterMs)]);
     this.callers.endTransactions();
-    this.forwarding.endTransactions();
+    this.forwarding.rollBackTransactions();
     await ended;
     this.rates.stop();
     await this.follower.leave();
@@ -243,23 +243,23 @@
     return {
       dialer: adapter.dialer,
       dataCentre: this.options.settings.dataCentre,
-      primaries: this.keeper,
+      primaries: this.tracker,
       clock,
       random,
       logger,
-      getServingConfig: () => this.follower.scene,
-      findShareRule: (group, dataCentre) => this.forwarding.findHolding(group, dataCentre),
-      rates: this.rates.gate,
+      getServingConfig: () => this.follower.servingConfig,
+      findShareRule: (group, dataCentre) => this.forwarding.findShareRule(group, dataCentre),
+      rates: this.rates.limiter,
       onStatement: (sample) => this.recordStatement(sample),
     };
   }
 
-  private noteLook(): void {
-    const { members, isReading } = this.follower;
-    this.rates.look();
-    if (!members.isRegistered()) return;
+  private handlePoll(): void {
+    const { registry, isPollingStore } = this.follower;
+    this.rates.refresh();
+    if (!registry.isRegistered()) return;
     this.changer.look();
-    if (this.forwarding.isOn) this.watch.look(members.list(), isReading);
+    if (this.forwarding.isEnabled) this.proxyLiveness.checkProxies(registry.list(), isPollingStore);
   }
 
   private recordStatement({ outcome, effect, role, group, ms }: StatementSample): void {
@@ -287,27 +287,27 @@
     const { peers } = this.options.settings;
     if (peers === undefined) return;
     const server = new DirectPeerServer(peers, {
-      takeWord: (from, word) => this.takeWord(from, word),
-      askTarget: (question) => this.questioner.ask(question, peerAskMs),
-      encodeScene: () => this.follower.encodeScene(),
-      giveTokens: (team, wanted) => this.rates.give(team, wanted),
+      takeWord: (from, word) => this.applyUpdate(from, word),
+      askTarget: (question) => this.targetStatus.ask(question, peerQuestionTimeoutMs),
+      encodeScene: () => this.follower.encodeServingConfig(),
+      giveTokens: (team, wanted) => this.rates.grantTokens(team, wanted),
     });
     await this.owned.add(server).listen();
   }
 
-  private takeWord(from: string, word: LeadershipWord): LeadershipAnswer {
-    this.keeper.adopt(word);
-    this.watch.hear(from);
+  private applyUpdate(from: string, update: LeadershipWord): LeadershipAnswer {
+    this.tracker.adopt(update);
+    this.proxyLiveness.recordContact(from);
     const { clock, settings } = this.options;
     const findAge = (at: number | undefined) => (at === undefined ? undefined : clock.now() - at);
     return {
-      ...this.keeper.word,
+      ...this.tracker.word,
       vm: settings.vm,
-      listsAsker: this.follower.members.has(from),
-      confirmedAgoMs: findAge(this.keeper.confirmedAt),
-      storeAgoMs: findAge(this.keeper.storeAnswerAskedAt),
-      storeRevision: this.follower.known?.revision,
-      lookedAgoMs: findAge(this.follower.known?.askedAt),
+      listsAsker: this.follower.registry.hasListed(from),
+      confirmedAgoMs: findAge(this.tracker.confirmedAt),
+      storeAgoMs: findAge(this.tracker.storeAnswerAskedAt),
+      storeRevision: this.follower.lastPoll?.revision,
+      lookedAgoMs: findAge(this.follower.lastPoll?.requestedAt),
     };
   }
 
@@ -315,17 +315,17 @@
   private isReady(): boolean {
     const { clock, logger } = this.options;
     const now = clock.now();
-    const { confirmedAt } = this.keeper;
-    const { heardAt, members, isUnlisted } = this.follower;
-    const isPermitted = confirmedAt !== undefined && now - confirmedAt < unpermittedMs;
+    const { confirmedAt } = this.tracker;
+    const { heardAt, registry, isUnlisted } = this.follower;
+    const isPermitted = confirmedAt !== undefined && now - confirmedAt < maxUnconfirmedMs;
     // Nobody could run a statement for it: callers that came now would all be refused.
-    const hasOthers = members.list().some(({ isMissed }) => isMissed !== true);
-    const isInTouch = hasOthers && heardAt !== undefined && now - heardAt < unheardMs;
-    const isReady = this.follower.isInformed && (isUnlisted ? isInTouch : isPermitted);
+    const hasOthers = registry.list().some(({ isMissed }) => isMissed !== true);
+    const isInTouch = hasOthers && heardAt !== undefined && now - heardAt < maxSilenceMs;
+    const isReady = this.follower.isInitialised && (isUnlisted ? isInTouch : isPermitted);
     if (isReady !== this.wasReady) {
       this.wasReady = isReady;
       logger.write(nodeEvents.readinessChanged, { isReady });
-      this.planMove(isReady);
+      this.scheduleIdleClose(isReady);
     }
     return isReady;
   }
@@ -334,32 +334,32 @@
    * Closes idle sessions once the balancer passes this node by: they come back through another one,
    * and would otherwise be refused here for as long as the node is cut off.
    */
-  private planMove(isReady: boolean): void {
-    clearTimeout(this.moveTimer);
+  private scheduleIdleClose(isReady: boolean): void {
+    clearTimeout(this.idleCloseTimer);
     if (isReady) return;
-    this.moveTimer = setTimeout(() => this.callers.closeIdleNow(), passedByMs).unref();
+    this.idleCloseTimer = setTimeout(() => this.callers.closeIdleNow(), balancerReactionMs).unref();
   }
 
-  private noteScene(scene: ServingConfig): void {
+  private applyServingConfig(scene: ServingConfig): void {
     this.groups.update(scene);
-    this.rates.look();
+    this.rates.refresh();
     this.callers.endRevoked();
     this.metrics.setRevision(scene.revision);
   }
 
   /** Looks at the primaries once a miss is old enough to count, whenever the next look is due. */
-  private lookSoon(): void {
-    this.missTimer ??= setTimeout(() => {
-      this.missTimer = undefined;
+  private schedulePrimaryCheck(): void {
+    this.primaryCheckTimer ??= setTimeout(() => {
+      this.primaryCheckTimer = undefined;
       this.changer.look();
-    }, missLookMs).unref();
+    }, primaryCheckDelayMs).unref();
   }
 
   /** Asks at once who holds connections: a node that forwards hears of that by its own pace otherwise. */
-  private askForGateways(): void {
+  private refreshGateways(): void {
     const now = this.options.clock.now();
-    if (!this.follower.isUnlisted || now - this.askedForGatewaysAt < askForGatewaysMs) return;
-    this.askedForGatewaysAt = now;
+    if (!this.follower.isUnlisted || now - this.gatewayRefreshAt < gatewayRefreshIntervalMs) return;
+    this.gatewayRefreshAt = now;
     this.follower.wake();
   }
 
@@ -367,32 +367,32 @@
   private async probe(group: string, target: string, since: number): Promise<void> {
     if (this.probing.has(group)) return;
     this.probing.add(group);
-    const isReached = await this.questioner.probe(group, target);
+    const isReached = await this.targetStatus.probe(group, target);
     this.probing.delete(group);
-    this.keeper.noteProbe(group, target, since, isReached);
+    this.tracker.noteProbe(group, target, since, isReached);
     if (!isReached) this.changer.look();
   }
 
-  private noteStall(): void {
+  private handleStall(): void {
     this.groups.forgetMarks();
-    this.rates.noteStall();
+    this.rates.handleStall();
     this.follower.wake();
   }
 
   private listTargets(group: string) {
-    return this.follower.scene.groups.get(group)?.targets ?? [];
+    return this.follower.servingConfig.groups.get(group)?.targets ?? [];
   }
 
   private countInFlight(): number {
     return (
-      this.callers.countBusy() + this.forwarding.countBusy() + (this.changer.isWorking ? 1 : 0)
+      this.callers.countBusy() + this.forwarding.countActive() + (this.changer.isWorking ? 1 : 0)
     );
   }
 }
 
 /** Between two such questions, in milliseconds: a whole gateway's callers may be refused at once. */
-const askForGatewaysMs = 200;
+const gatewayRefreshIntervalMs = 200;
 /** A little longer than a primary must have been missing to be suspected. */
-const missLookMs = 270;
+const primaryCheckDelayMs = 270;
 /** A peer's question about a target: as long as this process would wait for its own. */
-const peerAskMs = 200;
+const peerQuestionTimeoutMs = 200;
--- a/src/node/ports.ts
+++ b/src/node/ports.ts
@@ -11,7 +11,7 @@
 import type { NodeSettings } from "./settings.js";
 
 /** The leadership with the revision of the whole store, in one read. */
-export interface StoreBeat {
+export interface StoreStatus {
   readonly leadership: VersionedLeadership | undefined;
   /** Grows with any change in the store: while it stays, nothing need be read again. */
   readonly revision: number;
@@ -19,7 +19,7 @@
 
 /** The platform's store as a node uses it. No call rejects. */
 export interface NodeStore extends PlatformFeed, Disposable {
-  readBeat(): Promise<StoreRead<StoreBeat>>;
+  readStatus(): Promise<StoreRead<StoreStatus>>;
   readLeadership(): Promise<StoreRead<VersionedLeadership>>;
   writeLeadership(document: LeadershipDocument, version: number): Promise<StoreWrite>;
   listProxies(): Promise<StoreRead<readonly Proxy[]>>;
--- a/src/node/watch.ts
+++ b/src/node/proxy-liveness.ts
@@ -7,30 +7,30 @@
  * A listed proxy asks its data centre's reader each 0.4 s. One that has not for this long, in milliseconds,
  * is asked whether it lives: four of its questions are missing.
  */
-const silentMs = 2000;
+const silenceThresholdMs = 2000;
 /** One that runs answers within this, busy or not, in milliseconds. */
-const probeMs = 300;
-const probeTries = 2;
+const probeTimeoutMs = 300;
+const maxProbeAttempts = 2;
 
 /** The listed proxies of a data centre that its reader has not heard of for too long. */
-export function listSilent(
+export function listSilentProxies(
   proxies: readonly Proxy[],
   own: { readonly vm: string; readonly dataCentre: string; readonly since: number },
-  heardAt: ReadonlyMap<string, number>,
+  lastContactAt: ReadonlyMap<string, number>,
   now: number,
 ): readonly Proxy[] {
   return proxies.filter(({ vm, dataCentre, isMissed }) => {
     if (vm === own.vm || dataCentre !== own.dataCentre || isMissed === true) return false;
-    return now - Math.max(own.since, heardAt.get(vm) ?? -Infinity) > silentMs;
+    return now - Math.max(own.since, lastContactAt.get(vm) ?? -Infinity) > silenceThresholdMs;
   });
 }
 
 /** What the watch over a data centre's listed proxies needs. */
-export interface WatchPorts {
+export interface ProxyLivenessPorts {
   readonly vm: string;
   readonly dataCentre: string;
   readonly peers: Pick<LeadershipPeers, "share">;
-  readonly keeper: Pick<LeadershipKeeper, "word">;
+  readonly tracker: Pick<LeadershipKeeper, "word">;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly markMissed: (proxy: Proxy) => Promise<void>;
@@ -42,41 +42,46 @@
  * keeps a place from one that lives, and each change of primary waits for it. Done by whoever reads the
  * store for its data centre, whom the others ask all the time. A mark on one that lives costs it its place.
  */
-export class ProxyWatch {
-  private readonly heardAt = new Map<string, number>();
+export class ProxyLivenessMonitor {
+  private readonly lastContactAt = new Map<string, number>();
   private readonly probing = new Set<string>();
-  private readingSince: number | undefined;
+  private pollingSince: number | undefined;
 
-  constructor(private readonly ports: WatchPorts) {}
+  constructor(private readonly ports: ProxyLivenessPorts) {}
 
   /** Notes a question of another proxy. */
-  hear(vm: string): void {
-    this.heardAt.set(vm, this.ports.clock.now());
+  recordContact(vm: string): void {
+    this.lastContactAt.set(vm, this.ports.clock.now());
   }
 
   /**
-   * Looks at the proxies that are listed now; probes begin in the background. `isReading` says that this
+   * Looks at the proxies that are listed now; probes begin in the background. `isPollingStore` says that this
    * process looks at the store itself, and the others of its data centre ask it.
    */
-  look(proxies: readonly Proxy[], isReading: boolean): void {
+  checkProxies(proxies: readonly Proxy[], isPollingStore: boolean): void {
     const { vm, dataCentre, clock } = this.ports;
     const now = clock.now();
-    this.readingSince = isReading ? (this.readingSince ?? now) : undefined;
-    const since = this.readingSince;
+    this.pollingSince = isPollingStore ? (this.pollingSince ?? now) : undefined;
+    const since = this.pollingSince;
     if (since === undefined) return;
-    for (const proxy of listSilent(proxies, { vm, dataCentre, since }, this.heardAt, now)) {
+    for (const proxy of listSilentProxies(
+      proxies,
+      { vm, dataCentre, since },
+      this.lastContactAt,
+      now,
+    )) {
       void this.probe(proxy);
     }
   }
 
   private async probe(proxy: Proxy): Promise<void> {
-    const { peers, keeper, logger, markMissed } = this.ports;
+    const { peers, tracker, logger, markMissed } = this.ports;
     if (this.probing.has(proxy.vm)) return;
     this.probing.add(proxy.vm);
     try {
-      for (let tries = 0; tries < probeTries; tries += 1) {
-        if ((await peers.share(proxy, keeper.word, probeMs)) === undefined) continue;
-        this.hear(proxy.vm);
+      for (let tries = 0; tries < maxProbeAttempts; tries += 1) {
+        if ((await peers.share(proxy, tracker.word, probeTimeoutMs)) === undefined) continue;
+        this.recordContact(proxy.vm);
         return;
       }
       logger.write(nodeEvents.proxySilent, { vm: proxy.vm });
--- a/src/node/members.ts
+++ b/src/node/proxy-registry.ts
@@ -9,23 +9,23 @@
  * An entry that was marked for so long is removed, in milliseconds: several times the longest permission
  * (1.6 s) and the looks of a proxy that lives (0.7 s), so that a slow store does not take one out.
  */
-const missedMs = 10_000;
+const removeMissedAfterMs = 10_000;
 /**
  * Proxies that see a free place take it at drawn times up to this, in milliseconds; one with several times
  * `leastPower` several times sooner. A listing and a write take 8 ms together, so that of 20 one comes too
  * many at times, which costs no more than its being told of changes of primary.
  */
-const registerSpreadMs = 1000;
+const maxRegisterDelayMs = 1000;
 /**
  * The same where nobody is listed in the data centre, as at a first start. Processes that have just been
  * started take some 80 ms for a listing alone: drawn over less, half as many again register before they see one another.
  */
-const firstRegisterSpreadMs = 4000;
+const maxFirstRegisterDelayMs = 4000;
 /** In cores; what one has that does not say. */
-const leastPower = 0.3;
+const minPower = 0.3;
 
 /** What the list of proxies needs of the world. */
-export interface MembersPorts {
+export interface ProxyRegistryPorts {
   readonly settings: NodeSettings;
   readonly store: Pick<NodeStore, "listProxies" | "register" | "deregister" | "removeMissed">;
   readonly clock: Clock;
@@ -34,19 +34,19 @@
 }
 
 /** The proxies that are registered in the store, and this one's place among them. */
-export class Members {
+export class ProxyRegistry {
   private proxies: readonly Proxy[] = [];
   /** Listings that were read whole since this proxy was in the store. */
-  private listingsAsMember = 0;
+  private listingsSinceRegistered = 0;
   /** Whether this process has tried to put itself into the store. */
   private hasTriedToRegister = false;
   /** Since when it certainly is there; absent while it may not be. */
-  private memberSince: number | undefined;
-  private missedSince = new Map<string, number>();
+  private registeredSince: number | undefined;
+  private missedMarkSeenAt = new Map<string, number>();
   /** When this proxy may take a place that it has seen free; absent while there is none. */
-  private registerDueAt: number | undefined;
+  private registrationDueAt: number | undefined;
 
-  constructor(private readonly ports: MembersPorts) {}
+  constructor(private readonly ports: ProxyRegistryPorts) {}
 
   /** All registered proxies by name, this one included. */
   list(): readonly Proxy[] {
@@ -54,31 +54,31 @@
   }
 
   /** Takes in a listing of the store. */
-  take(proxies: readonly Proxy[]): void {
+  applyListing(proxies: readonly Proxy[]): void {
     this.proxies = [...proxies].sort((a, b) => (a.vm < b.vm ? -1 : 1));
-    this.noteMissed();
+    this.trackMissedMarks();
     this.ports.logger.write(nodeEvents.proxiesListed, { proxies: proxies.length });
     if (!this.isRegistered()) {
-      this.listingsAsMember = 0;
-      this.memberSince = undefined;
+      this.listingsSinceRegistered = 0;
+      this.registeredSince = undefined;
       return;
     }
-    this.listingsAsMember += 1;
+    this.listingsSinceRegistered += 1;
     // An entry that an earlier process on this VM left has been there all the while.
-    this.memberSince ??= this.hasTriedToRegister ? this.ports.clock.now() : -Infinity;
+    this.registeredSince ??= this.hasTriedToRegister ? this.ports.clock.now() : -Infinity;
   }
 
   /** Takes in what a peer lists, at a start while the store is away. It is no listing of the store's. */
-  copy(proxies: readonly Proxy[]): void {
+  applyPeerListing(proxies: readonly Proxy[]): void {
     this.proxies = proxies;
-    if (this.isRegistered() && !this.hasTriedToRegister) this.memberSince = -Infinity;
+    if (this.isRegistered() && !this.hasTriedToRegister) this.registeredSince = -Infinity;
   }
 
   /** Reads anew which proxies there are; false when the store does not say. */
   async refresh(): Promise<boolean> {
     const read = await this.ports.store.listProxies();
     if (read.type !== "found") return false;
-    this.take(read.value);
+    this.applyListing(read.value);
     return true;
   }
 
@@ -91,16 +91,17 @@
     if (settings.peers === undefined || this.isRegistered()) return false;
     // It forwards its statements to nobody.
     if (settings.gateway === undefined) return true;
-    if (this.countNear() >= quota) {
-      this.registerDueAt = undefined;
+    if (this.countOthersInDataCentre() >= quota) {
+      this.registrationDueAt = undefined;
       return false;
     }
     // It was listed before.
     if (this.hasOwnEntry()) return true;
-    const spread = this.countNear() === 0 ? firstRegisterSpreadMs : registerSpreadMs;
-    const share = leastPower / Math.max(leastPower, settings.power);
-    this.registerDueAt ??= clock.now() + spread * share * random.draw();
-    return clock.now() >= this.registerDueAt;
+    const spread =
+      this.countOthersInDataCentre() === 0 ? maxFirstRegisterDelayMs : maxRegisterDelayMs;
+    const share = minPower / Math.max(minPower, settings.power);
+    this.registrationDueAt ??= clock.now() + spread * share * random.draw();
+    return clock.now() >= this.registrationDueAt;
   }
 
   /** A proxy that is not listed would not be waited for by a change of primary. */
@@ -112,7 +113,7 @@
     const own = { vm, address, dataCentre, power, ...place };
     this.hasTriedToRegister = true;
     if (!(await store.register(own))) return;
-    this.memberSince = this.ports.clock.now();
+    this.registeredSince = this.ports.clock.now();
     this.proxies = [...this.proxies.filter((p) => p.vm !== own.vm), own];
     logger.write(nodeEvents.registered, { vm: own.vm });
   }
@@ -133,18 +134,18 @@
    */
   async removeMissed(): Promise<void> {
     const { clock, store, logger } = this.ports;
-    if (!this.isFirst()) return;
+    if (!this.isCoordinator()) return;
     for (const proxy of this.proxies) {
-      const since = this.missedSince.get(formatEntry(proxy));
-      if (since === undefined || clock.now() - since < missedMs) continue;
-      this.missedSince.delete(formatEntry(proxy));
+      const since = this.missedMarkSeenAt.get(formatEntry(proxy));
+      if (since === undefined || clock.now() - since < removeMissedAfterMs) continue;
+      this.missedMarkSeenAt.delete(formatEntry(proxy));
       logger.write(nodeEvents.missedRemoved, { vm: proxy.vm });
       await store.removeMissed(proxy);
     }
   }
 
   /** Whether this proxy does what one has to do for all: the first that nobody has missed. */
-  isFirst(): boolean {
+  isCoordinator(): boolean {
     const first = this.proxies.find((proxy) => proxy.isMissed !== true);
     return first?.vm === this.ports.settings.vm;
   }
@@ -162,14 +163,14 @@
   }
 
   /** The other proxies of this data centre that are listed, and that nobody has missed. */
-  private countNear(): number {
+  private countOthersInDataCentre(): number {
     const { vm, dataCentre } = this.ports.settings;
     const near = this.proxies.filter((proxy) => proxy.dataCentre === dataCentre);
     return near.filter((proxy) => proxy.vm !== vm && proxy.isMissed !== true).length;
   }
 
   /** Whether a proxy is listed, and nobody has missed it. */
-  has(vm: string): boolean {
+  hasListed(vm: string): boolean {
     return this.proxies.some((proxy) => proxy.vm === vm && proxy.isMissed !== true);
   }
 
@@ -179,24 +180,26 @@
    * this one was listed may know nothing of the change, though nobody waits for this proxy; it would use
    * the old primary for as long as its permission lasts.
    */
-  isMemberBefore(askedAt: number): boolean {
-    return this.memberSince !== undefined && this.memberSince < askedAt;
+  wasRegisteredBefore(askedAt: number): boolean {
+    return this.registeredSince !== undefined && this.registeredSince < askedAt;
   }
 
   /**
    * Whether the list can tell a majority. All start at once: a listing from before this proxy was in the
    * store may lack those that came with it, and a few of them would look like a majority.
    */
-  get isWhole(): boolean {
-    return this.listingsAsMember > 0;
+  get isListingComplete(): boolean {
+    return this.listingsSinceRegistered > 0;
   }
 
   /** Notes since when the entries that are marked have been seen so, unchanged. */
-  private noteMissed(): void {
+  private trackMissedMarks(): void {
     const now = this.ports.clock.now();
     const missed = this.proxies.filter((proxy) => proxy.isMissed === true).map(formatEntry);
-    const entries = missed.map((entry) => [entry, this.missedSince.get(entry) ?? now] as const);
-    this.missedSince = new Map(entries);
+    const entries = missed.map(
+      (entry) => [entry, this.missedMarkSeenAt.get(entry) ?? now] as const,
+    );
+    this.missedMarkSeenAt = new Map(entries);
   }
 }
 
--- a/src/node/reader.ts
+++ b/src/node/reader.ts
@@ -11,16 +11,16 @@
  * What the reader had of the store longer ago than this, in milliseconds, is no look: it looks each 0.7 s
  * with a tenth of jitter, so that one of its own has failed or hangs.
  */
-const oldestLookMs = 900;
+const maxPollAgeMs = 900;
 /** A reader that did not do is passed over for this long: several times what a restart takes. */
-const passOverMs = 3000;
+const avoidMs = 3000;
 
 /** What a reader has told of its last look at the store. */
-export interface ReaderLook {
+export interface PollResult {
   readonly reader: Proxy;
   readonly answer: LeadershipAnswer;
   /** When the store was asked, on this proxy's clock. */
-  readonly lookedAt: number;
+  readonly polledAt: number;
   /** When the reader was confirmed; absent while it is not. */
   readonly confirmedAt: number | undefined;
   readonly revision: number;
@@ -34,10 +34,10 @@
 export function chooseReader(
   dataCentre: string,
   proxies: readonly Proxy[],
-  isPassedOver: (vm: string) => boolean,
+  isAvoided: (vm: string) => boolean,
 ): Proxy | undefined {
   const near = proxies.filter((p) => p.dataCentre === dataCentre && p.isMissed !== true);
-  const fit = near.filter(({ vm }) => !isPassedOver(vm));
+  const fit = near.filter(({ vm }) => !isAvoided(vm));
   return fit.reduce<Proxy | undefined>(
     (first, proxy) => (first === undefined || proxy.vm < first.vm ? proxy : first),
     undefined,
@@ -52,9 +52,9 @@
   vm: string,
   dataCentre: string,
   proxies: readonly Proxy[],
-  isPassedOver: (vm: string) => boolean,
+  isAvoided: (vm: string) => boolean,
 ): Proxy | undefined {
-  const fit = proxies.filter((p) => p.vm !== vm && p.isMissed !== true && !isPassedOver(p.vm));
+  const fit = proxies.filter((p) => p.vm !== vm && p.isMissed !== true && !isAvoided(p.vm));
   const near = fit.filter((proxy) => proxy.dataCentre === dataCentre);
   const pool = near.length > 0 ? near : fit;
   const scored = pool.map((proxy) => ({ proxy, score: hashPair(vm, proxy.vm) }));
@@ -63,13 +63,13 @@
 
 /** What came of asking a listed proxy. */
 export type UpstreamAnswer =
-  | { readonly type: "look"; readonly look: ReaderLook }
+  | { readonly type: "look"; readonly look: PollResult }
   /** It lives, and has not reached the store lately itself. */
   | { readonly type: "old"; readonly answer: LeadershipAnswer }
   | { readonly type: "silent" };
 
 /** What a question to the reader needs. */
-export interface ReaderPorts {
+export interface ReaderClientPorts {
   readonly vm: string;
   readonly dataCentre: string;
   readonly peers: Pick<DirectPeerClient, "share">;
@@ -82,48 +82,51 @@
  * is not listed counts as none, so that the store is asked at once.
  */
 export class ReaderClient {
-  private readonly passedOverUntil = new Map<string, number>();
+  private readonly avoidedUntil = new Map<string, number>();
 
-  constructor(private readonly ports: ReaderPorts) {}
+  constructor(private readonly ports: ReaderClientPorts) {}
 
   /** The reader's last look; nothing where this proxy has to look for itself. */
-  async ask(proxies: readonly Proxy[], word: LeadershipWord): Promise<ReaderLook | undefined> {
+  async askReader(
+    proxies: readonly Proxy[],
+    update: LeadershipWord,
+  ): Promise<PollResult | undefined> {
     const { vm, dataCentre, peers, clock } = this.ports;
     const askedAt = clock.now();
-    const isPassedOver = (name: string) => (this.passedOverUntil.get(name) ?? 0) > askedAt;
+    const isPassedOver = (name: string) => (this.avoidedUntil.get(name) ?? 0) > askedAt;
     const reader = chooseReader(dataCentre, proxies, isPassedOver);
     if (reader === undefined || reader.vm === vm) return undefined;
-    const answer = await peers.share(reader, word, readerTimeoutMs);
+    const answer = await peers.share(reader, update, readerTimeoutMs);
     const isUsable = answer?.listsAsker === true;
-    const look = isUsable ? readLook(reader, answer, askedAt) : undefined;
-    if (look === undefined) this.passedOverUntil.set(reader.vm, askedAt + passOverMs);
+    const look = isUsable ? toPollResult(reader, answer, askedAt) : undefined;
+    if (look === undefined) this.avoidedUntil.set(reader.vm, askedAt + avoidMs);
     return look;
   }
 
   /** Asks a listed proxy on behalf of this one, which is not listed. */
-  async askUpstream(proxies: readonly Proxy[], word: LeadershipWord): Promise<UpstreamAnswer> {
+  async askUpstream(proxies: readonly Proxy[], update: LeadershipWord): Promise<UpstreamAnswer> {
     const { vm, dataCentre, peers, clock } = this.ports;
     const askedAt = clock.now();
-    const isPassedOver = (name: string) => (this.passedOverUntil.get(name) ?? 0) > askedAt;
+    const isPassedOver = (name: string) => (this.avoidedUntil.get(name) ?? 0) > askedAt;
     const upstream = chooseUpstream(vm, dataCentre, proxies, isPassedOver);
     if (upstream === undefined) return { type: "silent" };
-    const answer = await peers.share(upstream, word, upstreamTimeoutMs);
-    const look = answer === undefined ? undefined : readLook(upstream, answer, askedAt);
+    const answer = await peers.share(upstream, update, upstreamTimeoutMs);
+    const look = answer === undefined ? undefined : toPollResult(upstream, answer, askedAt);
     if (look !== undefined) return { type: "look", look };
     if (answer !== undefined) return { type: "old", answer };
-    this.passedOverUntil.set(upstream.vm, askedAt + passOverMs);
+    this.avoidedUntil.set(upstream.vm, askedAt + avoidMs);
     return { type: "silent" };
   }
 }
 
-function readLook(
+function toPollResult(
   reader: Proxy,
   answer: LeadershipAnswer,
   askedAt: number,
-): ReaderLook | undefined {
+): PollResult | undefined {
   const { lookedAgoMs, storeRevision: revision, confirmedAgoMs } = answer;
   if (lookedAgoMs === undefined || revision === undefined) return undefined;
-  if (lookedAgoMs > oldestLookMs) return undefined;
+  if (lookedAgoMs > maxPollAgeMs) return undefined;
   const confirmedAt = confirmedAgoMs === undefined ? undefined : askedAt - confirmedAgoMs;
-  return { reader, answer, lookedAt: askedAt - lookedAgoMs, confirmedAt, revision };
+  return { reader, answer, polledAt: askedAt - lookedAgoMs, confirmedAt, revision };
 }
--- a/src/node/recorder.ts
+++ b/src/node/recorder.ts
@@ -1,5 +1,5 @@
 import {
-  findRecordChanges,
+  findOutdatedRecords,
   type FeedState,
   type GroupRecord,
   type PlatformFeed,
@@ -9,7 +9,7 @@
 
 /** What a recorder needs. */
 export interface RecorderPorts {
-  readonly store: Pick<PlatformFeed, "readRecords" | "writeRecord">;
+  readonly store: Pick<PlatformFeed, "readGroupRecords" | "writeGroupRecord">;
   readonly logger: Logger;
 }
 
@@ -21,20 +21,20 @@
   private records: readonly GroupRecord[] | undefined;
   private isWriting = false;
   /** The targets as they were when this was asked last, and those that the records say. */
-  private seen: FeedState["targets"] | undefined;
-  private recorded: FeedState["targets"] | undefined;
+  private previousTargets: FeedState["targets"] | undefined;
+  private recordedTargets: FeedState["targets"] | undefined;
 
   constructor(private readonly ports: RecorderPorts) {}
 
   /** The records as they were last read or written; absent before they were. */
-  get known(): readonly GroupRecord[] | undefined {
+  get knownRecords(): readonly GroupRecord[] | undefined {
     return this.records;
   }
 
   /** Reads the records unless they are known. */
   async load(): Promise<void> {
     if (this.records !== undefined) return;
-    const read = await this.ports.store.readRecords();
+    const read = await this.ports.store.readGroupRecords();
     if (read.type !== "unavailable") this.records = read.type === "found" ? read.value : [];
   }
 
@@ -44,20 +44,20 @@
    */
   async update(state: FeedState): Promise<void> {
     const { targets } = state;
-    const isSettled = targets === this.seen;
-    this.seen = targets;
-    if (!isSettled || targets === this.recorded || this.isWriting) return;
+    const isSettled = targets === this.previousTargets;
+    this.previousTargets = targets;
+    if (!isSettled || targets === this.recordedTargets || this.isWriting) return;
     this.isWriting = true;
     await this.load();
-    for (const change of findRecordChanges(state, this.records ?? [])) await this.write(change);
-    if (this.records !== undefined) this.recorded = targets;
+    for (const change of findOutdatedRecords(state, this.records ?? [])) await this.write(change);
+    if (this.records !== undefined) this.recordedTargets = targets;
     this.isWriting = false;
   }
 
   private async write(change: GroupRecord): Promise<void> {
     const { group, targets } = change;
     if (this.records === undefined) return;
-    const written = await this.ports.store.writeRecord(change);
+    const written = await this.ports.store.writeGroupRecord(change);
     const outcome = written.type;
     this.ports.logger.write(nodeEvents.recordWritten, { group, targets: targets.length, outcome });
     // Another proxy has written it, or may have been this one's own write: it is read again.
--- a/src/node/settings.ts
+++ b/src/node/settings.ts
@@ -20,7 +20,7 @@
   readonly seeds: readonly Address[];
   readonly store: Address;
   /** Where the order to promote goes. */
-  readonly duty: Address;
+  readonly promotionAddress: Address;
   /** From the signal to end until the process is killed. */
   readonly graceMs: number;
   /** How long a leaving target may still get work. */
--- a/src/node/questioner.ts
+++ b/src/node/target-status.ts
@@ -8,7 +8,7 @@
 import type { NodeAdapter } from "./ports.js";
 
 /** What a questioner needs. */
-export interface QuestionerPorts {
+export interface TargetStatusClientPorts {
   readonly adapter: Pick<NodeAdapter, "dialer" | "parseReport">;
   readonly clock: Clock;
   readonly logger: Logger;
@@ -18,50 +18,50 @@
 }
 
 /** A probe opens a connection, 12 ms and one of the target's slots, behind what those slots work on. */
-const probeMs = 200;
+const probeTimeoutMs = 200;
 /** Between two tries to ask a target whose slots are all taken: the shortest work. */
-const busyPauseMs = 5;
+const busyRetryMs = 5;
 
 /** Asks targets over fresh connections: one in use may be silent while the target lives. */
-export class TargetQuestioner {
-  constructor(private readonly ports: QuestionerPorts) {}
+export class TargetStatusClient {
+  constructor(private readonly ports: TargetStatusClientPorts) {}
 
   /** Whether a target takes a connection, or refuses one: both are signs of life. */
   async probe(group: string, name: string): Promise<boolean> {
-    const target = this.find(group, name);
+    const target = this.findTarget(group, name);
     if (target === undefined) return false;
     try {
-      const link = await this.ports.adapter.dialer.open(group, target, probeMs, undefined);
+      const link = await this.ports.adapter.dialer.open(group, target, probeTimeoutMs, undefined);
       link.close();
       return true;
     } catch (error) {
       const isRefused = error instanceof LinkError && error.kind === "refused";
-      if (!isRefused) this.noteSilent(group, name, error);
+      if (!isRefused) this.logSilent(group, name, error);
       return isRefused;
     }
   }
 
   async ask(question: TargetQuestion, timeoutMs: number): Promise<TargetAnswer> {
     const { group, target, demoteRound } = question;
-    const listed = this.find(group, target);
+    const listed = this.findTarget(group, target);
     if (listed === undefined) return { type: "silent" };
     const { adapter, clock, hasReached } = this.ports;
     const askedAt = clock.now();
     try {
       const link = await adapter.dialer.open(group, listed, timeoutMs, undefined);
       try {
-        return await this.askOn(link, demoteRound, askedAt + timeoutMs);
+        return await this.askOverLink(link, demoteRound, askedAt + timeoutMs);
       } finally {
         link.close();
       }
     } catch (error) {
-      this.noteSilent(group, target, error);
+      this.logSilent(group, target, error);
       return { type: hasReached(group, target, askedAt) ? "alive" : "silent" };
     }
   }
 
   /** The target refuses while all its slots are taken: asked again until the time is over. */
-  private async askOn(
+  private async askOverLink(
     link: TargetLink,
     demoteRound: number | undefined,
     until: number,
@@ -81,16 +81,16 @@
         return report === undefined ? { type: "silent" } : { type: "report", report };
       }
       if (end.code !== "busy") return { type: "silent" };
-      if (clock.now() + busyPauseMs >= until) return { type: "alive" };
-      await clock.sleep(busyPauseMs);
+      if (clock.now() + busyRetryMs >= until) return { type: "alive" };
+      await clock.sleep(busyRetryMs);
     }
   }
 
-  private find(group: string, name: string): AnnouncedTarget | undefined {
+  private findTarget(group: string, name: string): AnnouncedTarget | undefined {
     return this.ports.listTargets(group).find((target) => target.name === name);
   }
 
-  private noteSilent(group: string, target: string, error: unknown): void {
+  private logSilent(group: string, target: string, error: unknown): void {
     this.ports.logger.write(nodeEvents.targetSilent, { group, target, reason: String(error) });
   }
 }
--- a/test/feed/builders.ts
+++ b/test/feed/builders.ts
@@ -1,4 +1,4 @@
-import type { ListedTarget, RefusedEntry, TargetListing } from "../../src/feed/index.js";
+import type { ListedTarget, InvalidEntry, TargetListing } from "../../src/feed/index.js";
 
 /** A target of the group `g`. */
 export const listed = (name: string, port: number, change: object = {}): ListedTarget => ({
@@ -17,5 +17,5 @@
 /** A listing of the store. */
 export const listing = (
   targets: readonly ListedTarget[],
-  refused: readonly RefusedEntry[] = [],
-): TargetListing => ({ targets, refused });
+  refused: readonly InvalidEntry[] = [],
+): TargetListing => ({ targets, invalidEntries: refused });
--- a/test/feed/record.test.ts
+++ b/test/feed/group-record.test.ts
@@ -2,13 +2,13 @@
 import {
   applyRoutes,
   applyTargets,
-  decodeRecord,
-  encodeRecord,
-  findRecordChanges,
-  firstFeedState,
-  makeScene,
-  noteStoreAnswer,
-  recallTargets,
+  decodeGroupTargets,
+  encodeGroupTargets,
+  findOutdatedRecords,
+  initialFeedState,
+  buildServingConfig,
+  recordStoreAnswer,
+  restoreMissingTargets,
   type GroupRecord,
   type ListedTarget,
 } from "../../src/feed/index.js";
@@ -29,13 +29,17 @@
 });
 
 const start = (targets: readonly ListedTarget[], records: readonly GroupRecord[]) => {
-  const listing = { targets, refused: [] };
-  const state = applyTargets(noteStoreAnswer(applyRoutes(firstFeedState, routes), 0), listing, 0);
-  return recallTargets(state, listing, records, 0);
+  const listing = { targets, invalidEntries: [] };
+  const state = applyTargets(
+    recordStoreAnswer(applyRoutes(initialFeedState, routes), 0),
+    listing,
+    0,
+  );
+  return restoreMissingTargets(state, listing, records, 0);
 };
 
-const listNames = (state: Parameters<typeof makeScene>[0]) =>
-  (makeScene(state).groups.get("g")?.targets ?? []).map((t) => t.name);
+const listNames = (state: Parameters<typeof buildServingConfig>[0]) =>
+  (buildServingConfig(state).groups.get("g")?.targets ?? []).map((t) => t.name);
 
 // All machines lost their power while the store was away, and entries lapsed meanwhile. The processes that
 // come back have seen none of them; the primary's is missing for a second and more. They serve by what
@@ -44,9 +48,9 @@
   const primary = listed("p", 1, { announcedRole: "primary" });
   let state = start([listed("r", 2)], [record(primary, listed("r", 2))]);
   expect(listNames(state).sort()).toEqual(["p", "r"]);
-  state = applyTargets(state, { targets: [listed("r", 2)], refused: [] }, 2000);
+  state = applyTargets(state, { targets: [listed("r", 2)], invalidEntries: [] }, 2000);
   expect(listNames(state).sort()).toEqual(["p", "r"]);
-  state = applyTargets(state, { targets: [listed("r", 2)], refused: [] }, 2600);
+  state = applyTargets(state, { targets: [listed("r", 2)], invalidEntries: [] }, 2600);
   expect(listNames(state)).toEqual(["r"]);
 });
 
@@ -56,25 +60,28 @@
     listed("replaced", 2),
     listed("stray", 3),
   );
-  const listing = { targets: [listed("new", 2)], refused: [{ name: "stray", field: "state" }] };
-  const state = applyTargets(applyRoutes(firstFeedState, routes), listing, 0);
-  expect(listNames(recallTargets(state, listing, [known], 0))).toEqual(["new"]);
+  const listing = {
+    targets: [listed("new", 2)],
+    invalidEntries: [{ name: "stray", field: "state" }],
+  };
+  const state = applyTargets(applyRoutes(initialFeedState, routes), listing, 0);
+  expect(listNames(restoreMissingTargets(state, listing, [known], 0))).toEqual(["new"]);
 });
 
 test("only what has changed is written, whatever the order of the entries", () => {
   const state = start([listed("b", 2), listed("a", 1)], []);
-  const [change] = findRecordChanges(state, []);
+  const [change] = findOutdatedRecords(state, []);
   expect(change).toMatchObject({ group: "g", version: 0 });
-  expect(findRecordChanges(state, [record(listed("a", 1), listed("b", 2))])).toEqual([]);
+  expect(findOutdatedRecords(state, [record(listed("a", 1), listed("b", 2))])).toEqual([]);
   const moved = record(listed("a", 1), listed("b", 2, { announcedRole: "primary" }));
-  expect(findRecordChanges(state, [moved])).toMatchObject([{ group: "g", version: 3 }]);
+  expect(findOutdatedRecords(state, [moved])).toMatchObject([{ group: "g", version: 3 }]);
 });
 
 test("a record is read as it was written, and nothing comes of what is none", () => {
   const { targets } = record(listed("a", 1, { startedAt: 7 }));
-  expect(decodeRecord(encodeRecord(targets))).toEqual(targets);
+  expect(decodeGroupTargets(encodeGroupTargets(targets))).toEqual(targets);
   const stray = { targets: [{ name: "a", address: { host: "h" } }] };
   for (const value of [null, 3, "x", {}, { targets: 3 }, { targets: [{ name: 4 }] }, stray]) {
-    expect(decodeRecord(value)).toBeUndefined();
+    expect(decodeGroupTargets(value)).toBeUndefined();
   }
 });
--- a/test/node/cluster.ts
+++ b/test/node/cluster.ts
@@ -161,7 +161,7 @@
       dataCentres: 1,
       seeds: this.settings.flatMap((s) => s.peers ?? []),
       store: this.store.address,
-      duty: this.store.address,
+      promotionAddress: this.store.address,
       graceMs: 6000,
       targetDrainMs: 7000,
       configurationApplyMs: 3000,
@@ -312,11 +312,11 @@
 }
 
 /** Ends a wait whose condition never holds: a test that failed must not keep its process up. */
-const longestWaitMs = 60_000;
+const maxWaitMs = 60_000;
 
 /** Waits until a condition holds. */
 export async function waitUntil(holds: () => boolean | Promise<boolean>): Promise<void> {
-  const until = Date.now() + longestWaitMs;
+  const until = Date.now() + maxWaitMs;
   while (!(await holds())) {
     if (Date.now() > until) throw new Error("the condition never held");
     await new Promise((resolve) => setTimeout(resolve, 20));
--- a/test/node/follower.test.ts
+++ b/test/node/follower.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import type { AnnouncedTarget } from "../../src/direct/index.js";
 import { DirectPeerClient } from "../../src/directpeer/index.js";
-import { encodeSnapshot, firstFeedState } from "../../src/feed/index.js";
+import { encodeSnapshot, initialFeedState } from "../../src/feed/index.js";
 import { emptyLeadership, LeadershipKeeper, StallDetector } from "../../src/leadership/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import type { NodeSettings, NodeStore } from "../../src/node/index.js";
@@ -21,7 +21,7 @@
   dataCentres: 1,
   seeds: [],
   store: address,
-  duty: address,
+  promotionAddress: address,
   graceMs: 6000,
   targetDrainMs: 7000,
   configurationApplyMs: 3000,
@@ -35,7 +35,7 @@
 /** A store that lists this proxy and nothing else, and counts the looks at it. */
 class CountingStore implements NodeStore {
   looks = 0;
-  readBeat: NodeStore["readBeat"] = () => {
+  readStatus: NodeStore["readStatus"] = () => {
     this.looks += 1;
     const leadership = { version: 1, document: emptyLeadership };
     return found({ leadership, revision: 7 });
@@ -49,11 +49,11 @@
       transactionIdleMs: 3000,
       lineTimeoutMs: 3000,
     });
-  readTargets: NodeStore["readTargets"] = () => found({ targets: [], refused: [] });
-  readRecords = () => found([]);
+  readTargets: NodeStore["readTargets"] = () => found({ targets: [], invalidEntries: [] });
+  readGroupRecords = () => found([]);
   listProxies: NodeStore["listProxies"] = () => found([{ vm: "vm-0", address, dataCentre: "a" }]);
   writeLeadership = () => Promise.resolve({ type: "conflict" } as const);
-  writeRecord = () => Promise.resolve({ type: "conflict" } as const);
+  writeGroupRecord = () => Promise.resolve({ type: "conflict" } as const);
   register = done;
   deregister = done;
   markMissed = () => Promise.resolve();
@@ -71,7 +71,7 @@
     super();
   }
 
-  override readBeat: NodeStore["readBeat"] = () => {
+  override readStatus: NodeStore["readStatus"] = () => {
     this.looks += 1;
     if (this.clock.time < this.backAt) return unavailable();
     return found({ leadership: { version: 1, document: emptyLeadership }, revision: 7 });
@@ -97,7 +97,7 @@
 test("a node that starts while the store is away knows the scene soon after its return", async () => {
   const clock = new FakeClock();
   const store = new AwayStore(clock, 1000);
-  const keeper = new LeadershipKeeper({
+  const tracker = new LeadershipKeeper({
     clock,
     logger: silentLogger,
     stalls: new StallDetector({ steady: () => clock.now(), wall: () => clock.now() }),
@@ -111,16 +111,16 @@
     settings: { ...settings, vm: "vm-1", gateway: address },
     store,
     peers: new DirectPeerClient("vm-1", silentLogger),
-    keeper,
+    tracker,
     clock,
     random: makeRandom(1),
     logger: silentLogger,
-    onScene: () => undefined,
-    onLook: () => undefined,
+    onServingConfig: () => undefined,
+    onPoll: () => undefined,
   });
   void follower.run();
   await clock.advance(1200);
-  expect(follower.isInformed).toBe(true);
+  expect(follower.isInitialised).toBe(true);
   expect(store.looks).toBeLessThan(12);
   follower.stop();
 });
@@ -160,11 +160,16 @@
   const full = Array.from({ length: 8 }, (_, i) => ({ vm: `vm-9${i}`, address, dataCentre: "a" }));
   store.readRoutes = () => found(routes);
   store.readTargets = () =>
-    found({ targets: [{ group: "ledger", target: target("today") }], refused: [] });
+    found({ targets: [{ group: "ledger", target: target("today") }], invalidEntries: [] });
   store.listProxies = () => found(full);
   const old = new Map([["gone", { group: "ledger", target: target("gone") }]]);
-  const scene = encodeSnapshot({ ...firstFeedState, routes, targets: old, hasTargets: true });
-  const keeper = new LeadershipKeeper({
+  const scene = encodeSnapshot({
+    ...initialFeedState,
+    routes,
+    targets: old,
+    hasTargetListing: true,
+  });
+  const tracker = new LeadershipKeeper({
     clock,
     logger: silentLogger,
     stalls: new StallDetector({ steady: () => clock.now(), wall: () => clock.now() }),
@@ -178,14 +183,14 @@
     settings: { ...settings, vm: "vm-1", gateway: address, seeds: [{ host: "10.0.0.9", port: 1 }] },
     store,
     peers: new SeedPeers(() => JSON.stringify({ scene, proxies: full })),
-    keeper,
+    tracker,
     clock,
     random: makeRandom(1),
     logger: silentLogger,
-    onScene: () => undefined,
-    onLook: () => undefined,
+    onServingConfig: () => undefined,
+    onPoll: () => undefined,
   });
-  const list = () => follower.scene.groups.get("ledger")?.targets.map(({ name }) => name);
+  const list = () => follower.servingConfig.groups.get("ledger")?.targets.map(({ name }) => name);
   void follower.run();
   await clock.advance(100);
   expect(list()).toEqual(["today"]);
@@ -204,7 +209,7 @@
   const clock = new FakeClock();
   const store = new CountingStore();
   let wall = 0;
-  const keeper = new LeadershipKeeper({
+  const tracker = new LeadershipKeeper({
     clock,
     logger: silentLogger,
     stalls: new StallDetector({ steady: () => clock.now(), wall: () => clock.now() + wall }),
@@ -218,22 +223,22 @@
     settings,
     store,
     peers: new DirectPeerClient("vm-0", silentLogger),
-    keeper,
+    tracker,
     clock,
     random: makeRandom(1),
     logger: silentLogger,
-    onScene: () => undefined,
-    onLook: () => undefined,
+    onServingConfig: () => undefined,
+    onPoll: () => undefined,
   });
   void follower.run();
   await clock.advance(300);
   const before = store.looks;
-  expect(keeper.confirmedAt).toBeDefined();
+  expect(tracker.confirmedAt).toBeDefined();
   wall = 5000;
-  expect(keeper.confirmedAt).toBeUndefined();
+  expect(tracker.confirmedAt).toBeUndefined();
   clock.skip(1);
   await settle();
   expect(store.looks).toBe(before + 1);
-  expect(keeper.confirmedAt).toBeDefined();
+  expect(tracker.confirmedAt).toBeDefined();
   follower.stop();
 });
--- a/test/node/watch.test.ts
+++ b/test/node/proxy-liveness.test.ts
@@ -2,7 +2,7 @@
 import type { LeadershipAnswer } from "../../src/leadership/index.js";
 import { emptyLeadership } from "../../src/leadership/index.js";
 import { silentLogger } from "../../src/log/index.js";
-import { listSilent, ProxyWatch } from "../../src/node/watch.js";
+import { listSilentProxies, ProxyLivenessMonitor } from "../../src/node/proxy-liveness.js";
 import { FakeClock, settle } from "../fleet/fakes.js";
 import { makeProxy } from "../gateway/builders.js";
 
@@ -14,7 +14,7 @@
   const clock = new FakeClock();
   const asked: string[] = [];
   const marked: string[] = [];
-  const watch = new ProxyWatch({
+  const watch = new ProxyLivenessMonitor({
     vm: "vm-0",
     dataCentre: "a",
     peers: {
@@ -23,7 +23,7 @@
         return Promise.resolve(alive.includes(vm) ? answer : undefined);
       },
     },
-    keeper: { word: { leadership, made: [] } },
+    tracker: { word: { leadership, made: [] } },
     clock,
     logger: silentLogger,
     markMissed: ({ vm }) => {
@@ -40,10 +40,10 @@
 // nothing is forwarded to it and another takes its place.
 test("a listed proxy that asks nothing and does not answer is marked", async () => {
   const { watch, clock, marked } = start(["vm-1"]);
-  watch.look(proxies, true);
+  watch.checkProxies(proxies, true);
   clock.time = 2500;
-  watch.hear("vm-1");
-  watch.look(proxies, true);
+  watch.recordContact("vm-1");
+  watch.checkProxies(proxies, true);
   await settle();
   expect(marked).toEqual(["vm-2"]);
 });
@@ -53,11 +53,11 @@
 test("one that lives is not marked, and nobody is asked right after the reading began", async () => {
   const { watch, clock, asked, marked } = start(["vm-1", "vm-2"]);
   clock.time = 60_000;
-  watch.look(proxies, true);
+  watch.checkProxies(proxies, true);
   await settle();
   expect(asked).toEqual([]);
   clock.time = 62_500;
-  watch.look(proxies, true);
+  watch.checkProxies(proxies, true);
   await settle();
   expect([...asked].sort()).toEqual(["vm-1", "vm-2"]);
   expect(marked).toEqual([]);
@@ -65,9 +65,9 @@
 
 test("one that follows another watches nobody", async () => {
   const { watch, clock, asked } = start([]);
-  watch.look(proxies, false);
+  watch.checkProxies(proxies, false);
   clock.time = 10_000;
-  watch.look(proxies, false);
+  watch.checkProxies(proxies, false);
   await settle();
   expect(asked).toEqual([]);
 });
@@ -75,6 +75,6 @@
 test("neither this process, nor other data centres, nor those that are marked are looked after", () => {
   const own = { vm: "vm-0", dataCentre: "a", since: 0 };
   const missed = { ...makeProxy(4), isMissed: true };
-  const silent = listSilent([...proxies, missed], own, new Map(), 10_000);
+  const silent = listSilentProxies([...proxies, missed], own, new Map(), 10_000);
   expect(silent.map(({ vm }) => vm)).toEqual(["vm-1", "vm-2"]);
 });
--- a/test/node/reader.test.ts
+++ b/test/node/reader.test.ts
@@ -48,12 +48,12 @@
   clock.time = 5000;
   const peers = { share: () => Promise.resolve(said) };
   const client = new ReaderClient({ vm, dataCentre: "a", peers, clock });
-  return client.ask(proxies, word);
+  return client.askReader(proxies, word);
 };
 
 test("a reader's look has the ages that it told", async () => {
   expect(await ask("c", answer({}))).toMatchObject({
-    lookedAt: 4900,
+    polledAt: 4900,
     confirmedAt: 4800,
     revision: 40,
   });
--- a/test/platformside/entries.test.ts
+++ b/test/platformside/entries.test.ts
@@ -88,7 +88,7 @@
           store("i-3", whole),
         ];
         expect(listNames(objects)).toEqual(["i-1", "i-3"]);
-        expect(decodeListing(objects).refused).toEqual([{ name: "i-2", field }]);
+        expect(decodeListing(objects).invalidEntries).toEqual([{ name: "i-2", field }]);
       },
     ),
     { seed: 71, numRuns: 300 },
--- a/test/platformside/teams.test.ts
+++ b/test/platformside/teams.test.ts
@@ -54,7 +54,7 @@
   }));
   const table = decodeRoutes({ version: 1, routes: [], services: [], tenants });
   expect(table?.roster?.findByKey("key-73-41")?.name).toBe("team73");
-  expect(table?.faults).toEqual([]);
+  expect(table?.invalidEntries).toEqual([]);
 });
 
 test("a configuration whose teams are no list is none, and one without them keeps no roster", () => {
