--- a/src/feed/feed.ts
+++ b/src/feed/feed.ts
@@ -1,54 +1,54 @@
 import type { AnnouncedTarget, Database, TeamRoster } from "../direct/index.js";
 import type { StoreRead, StoreWrite } from "../model/index.js";
 
-/** The operators' accepted configuration. */
+/** The configuration that the operators wrote and that was decoded successfully. */
 export interface RouteTable {
-  /** Grows with each change. */
+  /** Increases with each change of the configuration. */
   readonly revision: number;
   readonly databases: ReadonlyMap<string, Database>;
-  /** By group: the connections that each target accepts from all proxies together. */
+  /** By group: how many connections each target accepts from all proxies together. */
   readonly connections: ReadonlyMap<string, number>;
   readonly transactionIdleMs: number;
   readonly lineTimeoutMs: number;
-  /** Absent where the configuration keeps no teams. */
+  /** Undefined when the configuration has no teams. */
   readonly roster?: TeamRoster;
-  /** Teams and routes of which something was left out, and the field for which; to be logged. */
+  /** Teams and routes that were left out, entirely or in part, with the faulty field; for the log. */
   readonly invalidEntries?: readonly InvalidEntry[];
 }
 
-/** A target that has registered itself, and the group that it belongs to. */
+/** A target that registered itself in the store, with its group. */
 export interface ListedTarget {
   readonly group: string;
   readonly target: AnnouncedTarget;
 }
 
-/** An entry among the targets that names none: whoever wrote it does not write as targets do. */
+/** An entry that can't be decoded, because its writer doesn't follow the format of such entries. */
 export interface InvalidEntry {
   readonly name: string;
-  /** The first field that no target would write so, by the platform's name for it. */
+  /** The first invalid field, under its name in the platform's format. */
   readonly field: string;
 }
 
-/** The platform's list of targets. */
+/** The entries in the platform's list of targets. */
 export interface TargetListing {
   readonly targets: readonly ListedTarget[];
   readonly invalidEntries: readonly InvalidEntry[];
 }
 
-/** What the store keeps of a group's targets beside the entries that they write themselves. */
+/** A group's targets as a proxy recorded them, stored apart from the entries that targets write. */
 export interface GroupRecord {
   readonly group: string;
   readonly targets: readonly AnnouncedTarget[];
-  /** Of the object in the store; 0 before there is one. */
+  /** The version of the stored object; 0 before it exists. */
   readonly version: number;
 }
 
-/** What the platform's store tells a proxy. No call rejects. */
+/** Access to the configuration and the targets in the platform's store. No call rejects. */
 export interface PlatformFeed {
   readRoutes(): Promise<StoreRead<RouteTable>>;
   readTargets(): Promise<StoreRead<TargetListing>>;
-  /** What was last known of the groups' targets, as a proxy wrote it down. */
+  /** Reads the recorded targets of all groups. */
   readGroupRecords(): Promise<StoreRead<readonly GroupRecord[]>>;
-  /** Writes a group's record if it still has the version that was read. */
+  /** Writes a group's record, provided that the stored one still has the version that was read. */
   writeGroupRecord(record: GroupRecord): Promise<StoreWrite>;
 }
--- a/src/feed/group-record.ts
+++ b/src/feed/group-record.ts
@@ -3,19 +3,19 @@
 import type { GroupRecord, ListedTarget, TargetListing } from "./feed.js";
 import { isAddressReused, missingEntryGraceMs, type FeedState } from "./state.js";
 
-/** Writes a group's targets in an order of their own, so that equal ones give equal records. */
+/** Encodes a group's targets sorted by name, so that equal sets of targets give equal records. */
 export function encodeGroupTargets(targets: readonly AnnouncedTarget[]): Json {
   const sorted = [...targets].sort((a, b) => (a.name < b.name ? -1 : 1));
   return JSON.parse(JSON.stringify({ targets: sorted })) as Json;
 }
 
-/** Reads what `encodeRecord` wrote; nothing comes of what can't be read. */
+/** Decodes the output of `encodeGroupTargets`; undefined when the value is malformed. */
 export function decodeGroupTargets(value: Json): readonly AnnouncedTarget[] | undefined {
   if (value === null || typeof value !== "object" || !("targets" in value)) return undefined;
   const { targets } = value as { readonly targets: unknown };
   if (!Array.isArray(targets)) return undefined;
-  const known = targets as readonly AnnouncedTarget[];
-  return known.every(hasTargetFields) ? known : undefined;
+  const decoded = targets as readonly AnnouncedTarget[];
+  return decoded.every(hasTargetFields) ? decoded : undefined;
 }
 
 function hasTargetFields({ name, address }: Partial<AnnouncedTarget>): boolean {
@@ -26,7 +26,7 @@
   );
 }
 
-/** The groups whose record is not what is listed now, each as it should be. */
+/** Returns new records for the groups whose stored record differs from the targets listed now. */
 export function findOutdatedRecords(
   { routes, targets }: FeedState,
   records: readonly GroupRecord[],
@@ -35,20 +35,21 @@
   const listed = new Map<string, AnnouncedTarget[]>();
   for (const group of routes?.connections.keys() ?? []) listed.set(group, []);
   for (const { group, target } of targets.values()) listed.get(group)?.push(target);
-  return [...listed].flatMap(([group, now]) => {
+  return [...listed].flatMap(([group, current]) => {
     const record = byGroup.get(group);
-    const isSame = hasSameTargets(record?.targets ?? [], now);
-    return isSame ? [] : [{ group, targets: now, version: record?.version ?? 0 }];
+    const isSame = hasSameTargets(record?.targets ?? [], current);
+    return isSame ? [] : [{ group, targets: current, version: record?.version ?? 0 }];
   });
 }
 
 /**
- * Takes in, beside a process's first listing, the targets that the records name and the listing lacks.
+ * Adds the recorded targets that are missing from a process's first listing.
  *
- * Entries lapse while the store is away. A process that was started meanwhile, as all are after a loss
- * of power, knows none from before: it would have its routes and its permission as soon as the store is
- * back, and refuse every statement of a group until the primary's entry came. The missing ones count for as long as the others take to be back. One that is gone for good is
- * no danger: connections name the target that is meant.
+ * Targets' entries expire while the store is unavailable. A process that starts during the outage, as all
+ * do after a power failure, has no earlier listing: it would get its routes and its permit as soon as the
+ * store returns, and refuse every statement of a group until the primary's entry reappears. The missing
+ * targets are therefore used for the grace period in which entries reappear. A recorded target that no
+ * longer exists does no harm, because a connection names the target that it is meant for.
  */
 export function restoreMissingTargets(
   state: FeedState,
@@ -56,15 +57,15 @@
   records: readonly GroupRecord[],
   now: number,
 ): FeedState {
-  const refused = new Set(listing.invalidEntries.map(({ name }) => name));
+  const invalidNames = new Set(listing.invalidEntries.map(({ name }) => name));
   const isMissing = ({ target }: ListedTarget) =>
-    !state.targets.has(target.name) && !refused.has(target.name) && target.isLeaving !== true;
-  const recalled = records
+    !state.targets.has(target.name) && !invalidNames.has(target.name) && target.isLeaving !== true;
+  const restored = records
     .flatMap(({ group, targets }) => targets.map((target) => ({ group, target })))
     .filter((entry) => isMissing(entry) && !isAddressReused(entry, listing.targets));
-  if (recalled.length === 0) return state;
+  if (restored.length === 0) return state;
   const targets = new Map(state.targets);
-  for (const entry of recalled) targets.set(entry.target.name, entry);
+  for (const entry of restored) targets.set(entry.target.name, entry);
   return { ...state, targets, graceEndsAt: Math.max(state.graceEndsAt, now + missingEntryGraceMs) };
 }
 
--- a/src/feed/snapshot.ts
+++ b/src/feed/snapshot.ts
@@ -3,6 +3,7 @@
 import type { ListedTarget, RouteTable } from "./feed.js";
 import type { FeedState } from "./state.js";
 
+/** Sent to other proxies as JSON under these field names. */
 interface Snapshot {
   readonly routes: {
     readonly revision: number;
@@ -15,7 +16,10 @@
   readonly targets: readonly ListedTarget[];
 }
 
-/** What a process knows of the store, for another that can't reach it; empty when it knows none. */
+/**
+ * Encodes the configuration and the targets for a process that can't reach the store; an empty string
+ * before any configuration is known.
+ */
 export function encodeSnapshot({ routes, targets }: FeedState): string {
   if (routes === undefined) return "";
   const { databases, connections, roster, revision, transactionIdleMs, lineTimeoutMs } = routes;
@@ -33,7 +37,7 @@
   return JSON.stringify(snapshot);
 }
 
-/** Reads what `encodeSnapshot` wrote; nothing comes of what can't be read. */
+/** Decodes the output of `encodeSnapshot`; undefined when the text is empty or malformed. */
 export function decodeSnapshot(
   text: string,
 ): { readonly routes: RouteTable; readonly targets: readonly ListedTarget[] } | undefined {
@@ -49,7 +53,7 @@
     };
     return { routes: table, targets };
   } catch {
-    // A peer of another version of the program; the next one is asked.
+    // The peer runs another version of the program; the caller asks the next peer.
     return undefined;
   }
 }
--- a/src/feed/state.ts
+++ b/src/feed/state.ts
@@ -2,17 +2,18 @@
 import { emptyServingConfig } from "../direct/index.js";
 import type { ListedTarget, InvalidEntry, RouteTable, TargetListing } from "./feed.js";
 
-/** What a proxy knows of the platform's store. Times are on its clock, in milliseconds. */
+/** The configuration and targets that a proxy knows. Times are on its own clock, in milliseconds. */
 export interface FeedState {
   readonly routes: RouteTable | undefined;
   readonly targets: ReadonlyMap<string, ListedTarget>;
   readonly hasTargetListing: boolean;
-  /** When the store last answered; its entries are trusted from `trustedFrom` on. */
+  /** When the last request that the store answered was sent. */
   readonly answeredAt: number | undefined;
+  /** Until then a target stays known although its entry is missing from the listing. */
   readonly graceEndsAt: number;
 }
 
-/** Before the store has answered. */
+/** The state before the store has answered. */
 export const initialFeedState: FeedState = {
   routes: undefined,
   targets: new Map(),
@@ -21,33 +22,33 @@
   graceEndsAt: 0,
 };
 
-/** Without an answer for longer than this the store counts as away: three polls that failed. */
+/** A gap between answers that counts as an outage of the store; three polls have failed by then. */
 const outageAfterMs = 1500;
 /**
- * How long after an outage a missing entry is no news: entries lapse while the store is away, and
- * those of targets that live are back within two seconds of its return.
+ * How long after an outage missing entries are ignored. Entries expire while the store is unavailable,
+ * and those of live targets reappear within two seconds of its return.
  */
 export const missingEntryGraceMs = 2500;
 
-/** Notes an answer of the store to what was asked at `now`. */
+/** Records that the store answered a request sent at `now`; starts a grace period after an outage. */
 export function recordStoreAnswer(state: FeedState, now: number): FeedState {
-  const wasAway = state.answeredAt !== undefined && now - state.answeredAt > outageAfterMs;
+  const wasUnavailable = state.answeredAt !== undefined && now - state.answeredAt > outageAfterMs;
   return {
     ...state,
     answeredAt: now,
-    graceEndsAt: wasAway ? now + missingEntryGraceMs : state.graceEndsAt,
+    graceEndsAt: wasUnavailable ? now + missingEntryGraceMs : state.graceEndsAt,
   };
 }
 
-/** Takes in a configuration. An older one than is known changes nothing: none ever comes back. */
+/** Adopts a configuration unless a newer one is known, so that a stale answer never reverts it. */
 export function applyRoutes(state: FeedState, routes: RouteTable): FeedState {
   const known = state.routes?.revision ?? 0;
   return routes.revision <= known ? state : { ...state, routes };
 }
 
 /**
- * Takes in a listing. Right after an outage targets that it lacks are kept, but none whose entry is
- * there and names no target.
+ * Adopts a listing of the targets. In the grace period after an outage, known targets that are missing
+ * from it are kept, unless their entry exists and is invalid or another target has their address.
  */
 export function applyTargets(
   state: FeedState,
@@ -64,22 +65,22 @@
   return { ...state, targets, hasTargetListing: true };
 }
 
-/** Targets of groups that the configuration does not name. Nothing is sent to them. */
+/** Lists the targets whose group the configuration does not have. Nothing is sent to them. */
 export function listTargetsOfUnknownGroups({
   routes,
   targets,
 }: FeedState): readonly InvalidEntry[] {
   if (routes === undefined) return [];
-  const strangers = [...targets.values()].filter(({ group }) => !routes.connections.has(group));
-  return strangers.map(({ target }) => ({ name: target.name, field: "group" }));
+  const unknown = [...targets.values()].filter(({ group }) => !routes.connections.has(group));
+  return unknown.map(({ target }) => ({ name: target.name, field: "group" }));
 }
 
-/** Whether the store's listing must be read again though nothing in it has changed. */
+/** Whether missing targets are kept for now, so that the listing is read again though it is unchanged. */
 export function isInGracePeriod(state: FeedState, now: number): boolean {
   return now < state.graceEndsAt;
 }
 
-/** The scene that follows from what is known. */
+/** Builds the serving configuration from the known routes and targets; empty without routes. */
 export function buildServingConfig({ routes, targets }: FeedState): ServingConfig {
   if (routes === undefined) return emptyServingConfig;
   const groups = new Map<string, AnnouncedTarget[]>();
@@ -100,7 +101,7 @@
   };
 }
 
-/** Another target at its address: whoever was there is gone. */
+/** Whether a listed target has this target's address, which means that this target is gone. */
 export function isAddressReused(
   { target }: ListedTarget,
   listed: readonly ListedTarget[],
--- a/test/feed/feed.test.ts
+++ b/test/feed/feed.test.ts
@@ -23,15 +23,15 @@
 const listNames = (state: Parameters<typeof buildServingConfig>[0]) =>
   (buildServingConfig(state).groups.get("g")?.targets ?? []).map((t) => t.name);
 
-test("configurations only go forward", () => {
+test("a configuration is not replaced by an older one", () => {
   const state = applyRoutes(applyRoutes(initialFeedState, routes(7)), routes(5));
   expect(buildServingConfig(state).revision).toBe(7);
   expect(buildServingConfig(applyRoutes(state, routes(8))).revision).toBe(8);
 });
 
-// The store was away and entries lapsed meanwhile, though their targets live and are back in it within
-// two seconds. Right after its return a missing entry is no news; later it means that the target is gone.
-test("entries that are missing right after an outage are kept for a while", () => {
+// During an outage of the store, entries of live targets expire; they reappear within two seconds of its
+// return. A target that is missing right after the outage is kept; later, a missing entry means it is gone.
+test("targets that are missing right after an outage are kept for a while", () => {
   const targets = [listed("a", 1), listed("b", 2)];
   let state = applyRoutes(initialFeedState, routes(1));
   state = applyTargets(recordStoreAnswer(state, 0), listing(targets), 0);
@@ -42,7 +42,7 @@
   expect(listNames(state)).toEqual(["a"]);
 });
 
-test("without an outage a missing entry is gone at once, and so is one whose address is taken", () => {
+test("a target is dropped at once when it is missing without an outage or its address is reused", () => {
   let state = applyRoutes(initialFeedState, routes(1));
   state = applyTargets(recordStoreAnswer(state, 0), listing([listed("a", 1), listed("b", 2)]), 0);
   state = applyTargets(recordStoreAnswer(state, 700), listing([listed("a", 1)]), 700);
@@ -51,7 +51,7 @@
   expect(listNames(state)).toEqual(["c"]);
 });
 
-test("a snapshot brings everything to a process that can't reach the store", () => {
+test("a snapshot carries routes and targets, and a malformed one is not decoded", () => {
   const state = applyTargets(
     applyRoutes(initialFeedState, routes(3)),
     listing([listed("a", 1)]),
@@ -65,9 +65,9 @@
   expect(decodeSnapshot("{")).toBeUndefined();
 });
 
-// The store was away and its entries are coming back. One of them was overwritten by somebody else: it
-// is there, so that it does not count as missing, and what was known under its name is not kept.
-test("right after an outage an entry that names no target is not filled up from before", () => {
+// Entries reappear after an outage of the store, and one of them was overwritten by another writer. That
+// entry exists, so it doesn't count as missing, and the target known under its name is dropped.
+test("right after an outage a target whose entry is invalid is not kept", () => {
   let state = applyRoutes(initialFeedState, routes(1));
   const before = listing([listed("a", 1), listed("b", 2), listed("c", 3)]);
   state = applyTargets(recordStoreAnswer(state, 0), before, 0);
@@ -76,7 +76,7 @@
   expect(listNames(state)).toEqual(["a", "c"]);
 });
 
-test("targets of groups that the configuration does not name are told apart", () => {
+test("targets of groups that the configuration does not have are reported and not used", () => {
   const stray = { ...listed("x", 9), group: "elsewhere" };
   const state = applyTargets(
     applyRoutes(initialFeedState, routes(1)),
--- a/test/feed/group-record.test.ts
+++ b/test/feed/group-record.test.ts
@@ -41,10 +41,10 @@
 const listNames = (state: Parameters<typeof buildServingConfig>[0]) =>
   (buildServingConfig(state).groups.get("g")?.targets ?? []).map((t) => t.name);
 
-// All machines lost their power while the store was away, and entries lapsed meanwhile. The processes that
-// come back have seen none of them; the primary's is missing for a second and more. They serve by what
-// was written down, and believe the store again once the entries have had their time.
-test("a process that starts knows the targets whose entries have lapsed", () => {
+// All machines lose power while the store is unavailable, and entries expire. The restarted processes have
+// no earlier listing, and the primary's entry is missing for more than a second. They use the recorded
+// targets, and the store's listing alone once the grace period is over.
+test("a process that starts knows the recorded targets whose entries have expired", () => {
   const primary = listed("p", 1, { announcedRole: "primary" });
   let state = start([listed("r", 2)], [record(primary, listed("r", 2))]);
   expect(listNames(state).sort()).toEqual(["p", "r"]);
@@ -54,7 +54,7 @@
   expect(listNames(state)).toEqual(["r"]);
 });
 
-test("none is recalled that was leaving, that was replaced, or whose entry names no target", () => {
+test("a recorded target is not restored if it was leaving, was replaced or has an invalid entry", () => {
   const known = record(
     listed("leaving", 1, { isLeaving: true }),
     listed("replaced", 2),
@@ -68,7 +68,7 @@
   expect(listNames(restoreMissingTargets(state, listing, [known], 0))).toEqual(["new"]);
 });
 
-test("only what has changed is written, whatever the order of the entries", () => {
+test("only records that changed are written, whatever the order of the entries", () => {
   const state = start([listed("b", 2), listed("a", 1)], []);
   const [change] = findOutdatedRecords(state, []);
   expect(change).toMatchObject({ group: "g", version: 0 });
@@ -77,7 +77,7 @@
   expect(findOutdatedRecords(state, [moved])).toMatchObject([{ group: "g", version: 3 }]);
 });
 
-test("a record is read as it was written, and nothing comes of what is none", () => {
+test("a record is decoded as it was encoded, and a malformed one is not decoded", () => {
   const { targets } = record(listed("a", 1, { startedAt: 7 }));
   expect(decodeGroupTargets(encodeGroupTargets(targets))).toEqual(targets);
   const stray = { targets: [{ name: "a", address: { host: "h" } }] };
