--- a/src/node/confirmer.ts
+++ b/src/node/confirmer.ts
@@ -7,12 +7,12 @@
 import type { Clock } from "../model/index.js";
 import type { ProxyRegistry } from "./proxy-registry.js";
 
-/** Peers are asked once the store's last word is older than this, in milliseconds: one look has failed. */
+/** Peers are asked once the last confirmation is older than this, in milliseconds: one poll has failed. */
 const askPeersAfterMs = 500;
-/** An answer of a peer: a round trip of 1 to 3 ms, on a busy peer some tens more. */
+/** Timeout of a request to a peer: a round trip takes 1 to 3 ms, on a busy peer some tens more. */
 export const peerTimeoutMs = 250;
 
-/** What confirming by peers needs. */
+/** The dependencies of `PeerConfirmer`. */
 export interface PeerConfirmerPorts {
   readonly vm: string;
   readonly peers: Pick<DirectPeerClient, "share">;
@@ -21,11 +21,11 @@
   readonly clock: Pick<Clock, "now">;
 }
 
-/** Asks the other listed proxies who leads while the store does not say. */
+/** Confirms the known leadership by the other listed proxies while the store does not answer. */
 export class PeerConfirmer {
   constructor(private readonly ports: PeerConfirmerPorts) {}
 
-  /** Asks all at once, unless what is known was confirmed just now; gives what they answered. */
+  /** Asks all peers in parallel and returns their answers; none if the last confirmation is recent. */
   async askPeers(): Promise<readonly LeadershipAnswer[]> {
     const { vm, tracker, clock, peers, registry } = this.ports;
     const askedAt = clock.now();
@@ -41,14 +41,14 @@
   }
 
   /**
-   * A peer that reaches the store passes its confirmation on, with its age. Where none does, the
-   * store is away for all, nobody can begin a change, and a majority that knows of none confirms.
+   * Adopts the confirmation, with its age, of a peer that reaches the store. If no proxy reaches the store,
+   * none can begin a change of primary, so a majority of peers that know of no change confirms as well.
    */
   private applyAnswers(answers: readonly LeadershipAnswer[], askedAt: number): void {
     const { tracker, registry } = this.ports;
     const { version } = tracker.leadership;
-    const listing = answers.filter((answer) => answer.listsAsker);
-    for (const { confirmedAgoMs, storeAgoMs, leadership } of listing) {
+    const listingThis = answers.filter((answer) => answer.listsAsker);
+    for (const { confirmedAgoMs, storeAgoMs, leadership } of listingThis) {
       if (leadership.version < version) continue;
       if (storeAgoMs !== undefined) tracker.noteStoreAnswer(askedAt - storeAgoMs);
       if (confirmedAgoMs === undefined) continue;
@@ -56,9 +56,9 @@
       if (registry.wasRegisteredBefore(at)) tracker.confirm(at);
     }
     if (!registry.isListingComplete) return;
-    const words = listing.map((answer) => ({ version: answer.leadership.version }));
+    const versions = listingThis.map((answer) => ({ version: answer.leadership.version }));
     const storeAskedAt = tracker.storeAnswerAskedAt;
-    if (isConfirmedByPeers(version, words, registry.list().length, storeAskedAt, askedAt)) {
+    if (isConfirmedByPeers(version, versions, registry.list().length, storeAskedAt, askedAt)) {
       tracker.confirm(askedAt);
     }
   }
--- a/src/node/drain.ts
+++ b/src/node/drain.ts
@@ -1,17 +1,17 @@
 import type { DrainOptions } from "../controller/drain/index.js";
 
-/** When what happens between the signal to end and the end, in milliseconds from the signal. */
+/** The schedule of a shutdown, in milliseconds from the termination signal. */
 export interface DrainPlan extends DrainOptions {
-  /** Open transactions are rolled back then. */
+  /** When transactions that are still open are rolled back. */
   readonly rollBackAfterMs: number;
 }
 
-/** The balancer asks once a second and believes two answers: callers come for that long and a bit. */
+/** The balancer asks once a second and acts on the second answer; until then it sends callers. */
 const announceMs = 2500;
-/** Kept at the end of the grace, so that the process ends by itself. */
+/** Reserved at the end of the grace period, so that the process exits before it is killed. */
 const exitMarginMs = 700;
 
-/** Divides the platform's grace: half of it is for transactions that were open at the signal. */
+/** Divides the platform's grace period; transactions that are open at the signal get half of it. */
 export function planDrain(graceMs: number): DrainPlan {
   const announce = Math.min(announceMs, graceMs / 2);
   return {
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -15,18 +15,21 @@
 import { ServingConfigTracker } from "./serving-config-tracker.js";
 import type { NodeSettings } from "./settings.js";
 
-/** Between two looks at the store of a process that is not listed, by half more or less; the seeds are asked meanwhile. */
+/**
+ * Mean interval between an unlisted process's own polls of the store, in milliseconds, varied by up to half.
+ * In between it asks the seeds.
+ */
 const unlistedPollMs = 3000;
-/** Looks are spread, so that the proxies' calls don't come together. */
+/** Random variation of the interval between polls, so that the proxies' calls don't coincide. */
 const jitterShare = 0.1;
 
-/** What is known of the store, and as of when; on this process's clock. */
+/** The store's revision at the last poll, and when that poll was sent, on this process's clock. */
 export interface StorePoll {
   readonly revision: number;
   readonly requestedAt: number;
 }
 
-/** What a follower needs. */
+/** The dependencies of `StoreFollower`. */
 export interface StoreFollowerPorts {
   readonly settings: NodeSettings;
   readonly store: NodeStore;
@@ -35,32 +38,33 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly onServingConfig: (scene: ServingConfig) => void;
-  /** After each look, whatever it brought. */
+  readonly onServingConfig: (config: ServingConfig) => void;
+  /** Called after each poll, whatever its result. */
   readonly onPoll: () => void;
 }
 
 /**
- * Keeps a node in step with the platform's store by one cheap read at a steady pace. It confirms who
- * leads, and its revision tells whether anything else has changed, so that the configuration, the
- * targets and the proxies are read again only then. No watch can be cut off or fall silent unseen.
+ * Synchronises a node with the platform's store by polling one small object at a regular interval. The poll
+ * confirms the leadership, and the store's revision shows whether anything else has changed; the
+ * configuration, the targets and the proxies are read again only then. Unlike a watch, polling can't stop
+ * delivering changes unnoticed.
  */
 export class StoreFollower {
   private readRevision: number | undefined;
   private isStoreUnavailable = false;
   private isStopped = false;
   private endPause: () => void = () => undefined;
-  /** The proxies that share the store's groups, this one included. */
+  /** The proxies that are registered in the store, including this one. */
   readonly registry: ProxyRegistry;
   private readonly configTracker: ServingConfigTracker;
   private readonly confirmer: PeerConfirmer;
   private readonly reader: ReaderClient;
   private latestPoll: StorePoll | undefined;
-  /** Whether the last look was the reader's. */
+  /** Whether the last poll was answered by another proxy. */
   private isFollowing = false;
-  /** When this process last heard of the scene, from the store or from whom it follows. */
+  /** When the store, or the proxy that is polled instead, last answered. */
   private lastHeardAt: number | undefined;
-  /** Where it is not listed, this process does not look at the store itself before. */
+  /** The earliest time at which this process, if unlisted, polls the store itself. */
   private nextPollAt = -Infinity;
 
   constructor(private readonly ports: StoreFollowerPorts) {
@@ -80,22 +84,22 @@
     return this.configTracker.isInitialised;
   }
 
-  /** Whether this process looked at the store itself last, for those that follow it as well. */
+  /** Whether the last poll went to the store itself and was answered; other proxies then poll this one. */
   get isPollingStore(): boolean {
     return !this.isFollowing && !this.isStoreUnavailable;
   }
 
-  /** When this process last heard from the store, or from a proxy that it follows. */
+  /** When the store, or the proxy that is polled instead, last answered; undefined before that. */
   get heardAt(): number | undefined {
     return this.lastHeardAt;
   }
 
-  /** What this process knows, for a peer that starts while the store is away. */
+  /** Encodes what this process knows, for a peer that starts while the store is unavailable. */
   encodeServingConfig(): string {
     return this.configTracker.encodeForPeer(this.registry.list());
   }
 
-  /** Looks until stopped. */
+  /** Polls until stopped. */
   async run(): Promise<void> {
     const { clock, random } = this.ports;
     while (!this.isStopped) {
@@ -103,19 +107,20 @@
       const isAnswered = this.isFollowing || (await this.pollStoreOrSeeds());
       if (isAnswered) this.lastHeardAt = clock.now();
       this.ports.onPoll();
-      const paceMs = this.computePollDelayMs(isAnswered);
-      const restMs = paceMs * (1 - jitterShare + 2 * jitterShare * random.draw());
-      await Promise.race([clock.sleep(restMs), this.waitForWake()]);
+      const delayMs = this.computePollDelayMs(isAnswered);
+      const pauseMs = delayMs * (1 - jitterShare + 2 * jitterShare * random.draw());
+      await Promise.race([clock.sleep(pauseMs), this.waitForWake()]);
     }
   }
 
+  /** Ends polling after the poll or pause in progress. */
   stop(): void {
     this.isStopped = true;
   }
 
   /**
-   * Looks at once. After a step of the time of day, or a suspension, the permission to use primaries is
-   * void until the next look, which callers wait for.
+   * Polls at once. After a step of the wall clock or a suspension of the process, the permit to use primaries
+   * is void until the next poll, which callers wait for.
    */
   wake(): void {
     this.endPause();
@@ -128,9 +133,9 @@
   }
 
   /**
-   * Stops, and takes this proxy out of the store. While a process that has ended is listed, each change
-   * of primary waits 1.75 s for its permission to lapse. The permission goes first: nobody waits for a
-   * proxy that is not listed.
+   * Stops, and removes this proxy's entry from the store. While an ended process is listed, each change of
+   * primary waits 1.75 s for its permit to expire. The permit is revoked first, because a change does not wait
+   * for a proxy that is not listed.
    */
   async leave(): Promise<void> {
     this.stop();
@@ -155,15 +160,15 @@
   }
 
   /**
-   * The store's revision of which everything is known here, and when the question was sent whose answer
-   * showed it to be current. For those that follow this process; what it hears from others of the store's
-   * answers to them is no look: it says nothing of what has changed there.
+   * The store's revision whose data this process has read completely, and when the poll was sent that showed
+   * it to be current. Proxies that poll this one rely on it. Answers of the store that peers report are not
+   * included, because they don't tell what has changed in the store.
    */
   get lastPoll(): StorePoll | undefined {
     return this.latestPoll;
   }
 
-  /** Learns from another proxy what it knows of the store; false when the store has to be asked. */
+  /** Polls through another proxy; false when the store has to be polled. */
   private async pollThroughProxy(): Promise<boolean> {
     if (!this.isInitialised) return false;
     if (this.registry.isRegistered()) return this.pollThroughReader();
@@ -171,36 +176,37 @@
   }
 
   /**
-   * Asks the store; where this process is not listed, seldom. Most of a fleet are such, and at a first
-   * start nobody is there to be followed: all of them would ask it all the time. What the seeds have read serves as well, and costs the store nothing.
+   * Polls the store, but only rarely if this process is unlisted. Most of a fleet are unlisted, and at a first
+   * start no proxy is listed that they could poll, so all of them would poll the store continually. In between,
+   * the seeds are asked, whose data serves as well and causes no load on the store.
    */
   private async pollStoreOrSeeds(): Promise<boolean> {
     const { clock, random } = this.ports;
-    const isSpared = this.isUnlisted && !this.isSeed() && clock.now() < this.nextPollAt;
-    if (isSpared && !this.isRegistrationDue()) return this.fetchFromSeeds();
+    const isDeferred = this.isUnlisted && !this.isSeed() && clock.now() < this.nextPollAt;
+    if (isDeferred && !this.isRegistrationDue()) return this.fetchFromSeeds();
     const isAnswered = await this.pollStore();
-    const spareMs = unlistedPollMs * (0.5 + random.draw());
-    this.nextPollAt = this.isStartingDuringOutage ? -Infinity : clock.now() + spareMs;
+    const intervalMs = unlistedPollMs * (0.5 + random.draw());
+    this.nextPollAt = this.isStartingDuringOutage ? -Infinity : clock.now() + intervalMs;
     return isAnswered;
   }
 
-  /** Whether this process has begun while the store is away: it can serve nobody before it is back. */
+  /** Whether this process started while the store is unavailable and can't serve before its return. */
   private get isStartingDuringOutage(): boolean {
     return this.isStoreUnavailable && !this.isInitialised;
   }
 
-  /** Whether this process holds no connections, and others run its callers' statements. */
+  /** Whether this process holds no connections to targets, so that others run its callers' statements. */
   get isUnlisted(): boolean {
     return this.ports.settings.gateway !== undefined && !this.registry.isRegistered();
   }
 
-  /** Whether others that start ask this process: it has to know what the store says. */
+  /** Whether starting processes ask this one, so that it has to read the store itself. */
   private isSeed(): boolean {
     const { seeds, peers } = this.ports.settings;
     return seeds.some(({ host, port }) => host === peers?.host && port === peers.port);
   }
 
-  /** Whether this process is to become one that holds connections. */
+  /** Whether this process has to register, to become one that holds connections. */
   private isRegistrationDue(): boolean {
     if (!this.isInitialised) return false;
     const groups = this.servingConfig.groups.values();
@@ -209,8 +215,8 @@
   }
 
   /**
-   * Takes in what a listed proxy knows. This one uses no primaries, so that it needs no permission, and
-   * what it hears late costs a statement one hop more.
+   * Polls through a listed proxy. This process uses no primaries and therefore needs no permit; if its data is
+   * outdated, a statement merely takes one more hop.
    */
   private async pollThroughUpstream(): Promise<boolean> {
     const { tracker, clock } = this.ports;
@@ -218,25 +224,25 @@
     switch (answer.type) {
       case "silent":
         return false;
-      case "old":
+      case "stale":
         tracker.adopt(answer.answer);
         this.lastHeardAt = clock.now();
         return false;
-      case "look":
-        return this.applyPollResult(answer.look);
+      case "poll":
+        return this.applyPollResult(answer.poll);
     }
   }
 
   /**
-   * Takes in the last look of the data centre's reader; false when the store has to be asked. A process
-   * that is new, or may use no primaries, asks the store itself: its callers wait for what it brings.
+   * Adopts the last poll of the data centre's reader; false when the store has to be polled. A process without
+   * a confirmation polls the store itself, since its callers wait for the result.
    */
   private async pollThroughReader(): Promise<boolean> {
     const { tracker } = this.ports;
     if (tracker.confirmedAt === undefined) return false;
-    const look = await this.reader.askReader(this.registry.list(), tracker.word);
-    if (look === undefined || !(await this.applyPollResult(look))) return false;
-    const { confirmedAt, answer } = look;
+    const poll = await this.reader.askReader(this.registry.list(), tracker.word);
+    if (poll === undefined || !(await this.applyPollResult(poll))) return false;
+    const { confirmedAt, answer } = poll;
     const isCurrent = answer.leadership.version >= tracker.leadership.version;
     if (confirmedAt !== undefined && isCurrent && this.registry.wasRegisteredBefore(confirmedAt)) {
       tracker.confirm(confirmedAt);
@@ -244,21 +250,21 @@
     return true;
   }
 
-  /** Takes in what another proxy has seen of the store. */
-  private async applyPollResult(look: PollResult): Promise<boolean> {
+  /** Adopts another proxy's poll; false when the store has to be polled after all. */
+  private async applyPollResult(poll: PollResult): Promise<boolean> {
     const { tracker } = this.ports;
     const wasListed = this.registry.isRegistered();
-    tracker.adopt(look.answer);
-    if (look.revision !== this.readRevision && !(await this.copyFromReader(look))) return false;
+    tracker.adopt(poll.answer);
+    if (poll.revision !== this.readRevision && !(await this.copyFromReader(poll))) return false;
     if (this.isStoreUnavailable) this.ports.logger.write(leadershipEvents.storeRegained, {});
     this.isStoreUnavailable = false;
-    this.configTracker.recordStoreAnswer(look.polledAt);
-    this.latestPoll = { revision: look.revision, requestedAt: look.polledAt };
-    tracker.noteStoreAnswer(look.polledAt);
+    this.configTracker.recordStoreAnswer(poll.polledAt);
+    this.latestPoll = { revision: poll.revision, requestedAt: poll.polledAt };
+    tracker.noteStoreAnswer(poll.polledAt);
     return this.registry.isRegistered() === wasListed;
   }
 
-  /** Takes over what the reader has read of the store. */
+  /** Adopts the configuration, targets and proxies that the reader has read. */
   private copyFromReader({ reader, revision }: PollResult): Promise<boolean> {
     return this.copyFrom(reader, revision);
   }
@@ -274,9 +280,9 @@
   }
 
   /**
-   * Takes over what a peer has read of the store, which turns this process away. Callers whose keys were
-   * taken away meanwhile would go on here until the store answers again. It is no look of this process's:
-   * nobody follows it, and the next answer of the store is compared with it.
+   * Adopts the newest data that a peer has read while the store rejects this process's requests. Otherwise
+   * callers whose keys have been revoked would be served here until the store answers again. This doesn't
+   * count as a poll: other proxies don't rely on it, and the store's next answer is compared with it.
    */
   private async copyFromNewestPeer(answers: readonly LeadershipAnswer[]): Promise<void> {
     const newest = findNewestAnswer(answers);
@@ -289,11 +295,11 @@
   private async pollStore(): Promise<boolean> {
     const { store, clock, tracker, logger } = this.ports;
     const askedAt = clock.now();
-    // Before the operators have written any configuration there is nothing else to be read.
-    const [beat, routes] = await Promise.all([store.readStatus(), this.readFirstRoutes()]);
-    if (beat.type !== "found") {
+    // Until the operators have written a configuration, nothing else is read.
+    const [status, routes] = await Promise.all([store.readStatus(), this.readFirstRoutes()]);
+    if (status.type !== "found") {
       if (!this.isStoreUnavailable)
-        logger.write(leadershipEvents.storeLost, { reason: describe(beat) });
+        logger.write(leadershipEvents.storeLost, { reason: describe(status) });
       this.isStoreUnavailable = true;
       if (!this.isInitialised) await this.fetchFromSeeds();
       if (!this.isUnlisted) await this.copyFromNewestPeer(await this.confirmer.askPeers());
@@ -303,28 +309,28 @@
     if (this.isStoreUnavailable) logger.write(leadershipEvents.storeRegained, {});
     this.isStoreUnavailable = false;
     this.configTracker.recordStoreAnswer(askedAt);
-    if (beat.value.leadership !== undefined) {
-      tracker.adopt({ leadership: beat.value.leadership, made: [] });
+    if (status.value.leadership !== undefined) {
+      tracker.adopt({ leadership: status.value.leadership, made: [] });
     }
-    const isListed = await this.readChanges(beat.value, routes);
-    const { revision } = beat.value;
+    const isListed = await this.readChanges(status.value, routes);
+    const { revision } = status.value;
     if (this.readRevision === revision) this.latestPoll = { revision, requestedAt: askedAt };
     tracker.noteStoreAnswer(askedAt);
     if (isListed && this.registry.wasRegisteredBefore(askedAt)) tracker.confirm(askedAt);
-    // Not waited for: while the store is slow, calls for a rack of them would hold up the next look.
+    // Not awaited: while the store is slow, removing a whole rack's entries would delay the next poll.
     void this.registry.removeMissed();
-    // One proxy does it for all.
+    // Only one proxy does this.
     if (isListed && this.registry.isCoordinator()) void this.configTracker.updateRecords();
     return true;
   }
 
-  /** The configuration, by a process that knows none; it waits for nothing else. */
+  /** Reads the configuration if none is known yet; it is needed before anything else. */
   private readFirstRoutes(): Promise<StoreRead<RouteTable> | undefined> {
     if (this.configTracker.hasRoutes) return Promise.resolve(undefined);
     return this.ports.store.readRoutes();
   }
 
-  /** Reads what has changed; false when it is not known which proxies there are. */
+  /** Reads everything again if anything has changed; false when the proxies could not be listed. */
   private async readChanges(
     { revision }: StoreStatus,
     firstRoutes: StoreRead<RouteTable> | undefined,
@@ -347,13 +353,16 @@
     if (proxies.type === "found") this.registry.applyListing(proxies.value);
     this.configTracker.publish();
     if (proxies.type === "found" && this.isRegistrationDue()) await this.registry.register();
-    const isWhole = [routes, targets, proxies].every((read) => read.type !== "unavailable");
-    this.readRevision = isWhole ? revision : undefined;
+    const isComplete = [routes, targets, proxies].every((read) => read.type !== "unavailable");
+    this.readRevision = isComplete ? revision : undefined;
     this.configTracker.publish();
     return proxies.type === "found";
   }
 
-  /** A start without the store, or beside many others: what a seed knows serves until more is known. */
+  /**
+   * Adopts what a seed knows, at a start while the store is unavailable or many other processes start. False
+   * when no seed gives usable data.
+   */
   private async fetchFromSeeds(): Promise<boolean> {
     const { settings, peers, logger, random } = this.ports;
     const first = Math.floor(random.draw() * settings.seeds.length);
@@ -362,7 +371,7 @@
       const text = await peers.fetchScene(seed, peerTimeoutMs);
       const proxies = this.configTracker.updateFromPeer(text);
       if (proxies === undefined) continue;
-      // A seed may be cut off and know less than this process did: the store is read anew.
+      // The seed may be unable to reach the store and have older data, so everything is read again.
       this.readRevision = undefined;
       this.registry.applyPeerListing(proxies);
       logger.write(nodeEvents.sceneFetched, { seed: `${seed.host}:${seed.port}` });
@@ -373,7 +382,7 @@
   }
 }
 
-/** The answer of whoever knows the newest state of the store. */
+/** The answer with the highest store revision. */
 function findNewestAnswer(answers: readonly LeadershipAnswer[]): LeadershipAnswer | undefined {
   return answers.reduce<LeadershipAnswer | undefined>(
     (newest, answer) =>
--- a/src/node/forwarding.ts
+++ b/src/node/forwarding.ts
@@ -12,7 +12,7 @@
 import { DisposableStore, type Clock, type Disposable } from "../model/index.js";
 import type { NodeSettings } from "./settings.js";
 
-/** What a node's part in forwarding statements needs. */
+/** The dependencies of `Forwarding`. */
 export interface ForwardingPorts {
   readonly settings: Pick<NodeSettings, "vm" | "dataCentre" | "gateway">;
   readonly clock: Clock;
@@ -20,16 +20,16 @@
   readonly listProxies: () => readonly Proxy[];
   readonly isListed: () => boolean;
   readonly isLeaving: () => boolean;
-  /** Whether this node may use primaries now. */
+  /** Whether this node's permit to use primaries is valid. */
   readonly isPermitted: () => boolean;
   readonly listGroups: () => readonly string[];
   readonly findGroup: (group: string) => AnnouncedGroup | undefined;
   readonly findLeader: (group: string) => PrimaryState;
-  /** A statement was taken by nobody that this node knows of. */
+  /** Called when no known gateway accepted a statement. */
   readonly onNoneAccepted: () => void;
 }
 
-/** A node's part in forwarding statements: to gateways, and as one for other nodes. */
+/** Forwards this node's statements to gateways, and runs statements as a gateway of other nodes. */
 export class Forwarding implements Disposable {
   private readonly owned = new DisposableStore();
   private readonly connections: GatewayLinks;
@@ -54,16 +54,17 @@
     });
   }
 
-  /** Whether other nodes can run this one's statements. */
+  /** Whether this node forwards statements and takes those of other nodes. */
   get isEnabled(): boolean {
     return this.ports.settings.gateway !== undefined;
   }
 
+  /** Creates the runner of callers' statements: forwarding where that is enabled, direct otherwise. */
   createRunner(): WorkRunner {
     return this.isEnabled ? new RoutedRunner(this.router, this.connections) : directRunner;
   }
 
-  /** Begins to take other nodes' statements. */
+  /** Starts the server for other nodes' statements, if forwarding is enabled. */
   async listen(direct: DirectPorts, groups: GroupDirectory): Promise<void> {
     const { gateway } = this.ports.settings;
     if (gateway === undefined) return;
@@ -78,28 +79,28 @@
     await server.listen();
   }
 
-  /** Statements and transactions that are under way for other nodes. */
+  /** Counts the statements and transactions in progress for other nodes. */
   countActive(): number {
     return this.server?.countBusy() ?? 0;
   }
 
-  /** Rolls back other nodes' open transactions, which have had their time. */
+  /** Rolls back the open transactions of other nodes, when their time in a shutdown is over. */
   rollBackTransactions(): void {
     this.server?.endTransactions();
   }
 
-  /** What this node holds of the connections to a group's targets in one data centre. */
+  /** How this node's share of the connections to a group's targets in a data centre is determined. */
   findShareRule(group: string, dataCentre: string): ShareRule {
     if (this.isEnabled) return this.router.findHolding(group, dataCentre);
     return { type: "equal", proxies: Math.max(1, this.ports.listProxies().length) };
   }
 
-  /** The proxies that hold a group's connections. */
+  /** The proxies that hold connections to a group's targets. */
   listGroupProxies(group: string): readonly Proxy[] {
     return this.isEnabled ? this.router.listHolders(group) : this.ports.listProxies();
   }
 
-  /** The groups whose primaries this node looks after. */
+  /** The groups whose primaries this node monitors and replaces. */
   listOwnGroups(): readonly string[] {
     const groups = this.ports.listGroups();
     return this.isEnabled ? groups.filter((group) => this.router.isGateway(group)) : groups;
@@ -109,11 +110,11 @@
     return this.owned.dispose();
   }
 
-  /** Why this node runs no statements over connections of its own now; absent while it does. */
+  /** Why this node can't run statements over its own connections now; undefined while it can. */
   private findRefusal(): string | undefined {
     const { isLeaving, isListed, isPermitted } = this.ports;
     if (isLeaving()) return "this node is leaving";
     if (!isListed()) return "this node is not listed";
-    return isPermitted() ? undefined : "this node may use no primary now";
+    return isPermitted() ? undefined : "this node has no valid permit to use primaries";
   }
 }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -29,35 +29,36 @@
 import { NodeRates } from "./rates.js";
 import type { NodeSettings } from "./settings.js";
 
-/** What a node is built from. */
+/** The settings and dependencies of a node. */
 export interface NodeOptions {
   readonly settings: NodeSettings;
   readonly adapter: NodeAdapter;
   readonly clock: Clock;
   readonly random: Random;
-  /** The time of day, in milliseconds, to compare with the steady clock. */
+  /** The wall clock, in milliseconds, to compare with the monotonic clock. */
   readonly wallClock: () => number;
   readonly logger: Logger;
+  /** Distinguishes this process from earlier ones on the same VM. */
   readonly incarnation: string;
-  /** Where metrics are served besides the readiness address. */
+  /** Where metrics are served in addition to the readiness address. */
   readonly metrics?: Address;
 }
 
 /**
- * Unconfirmed for this long a node tells the balancer so, in milliseconds: a look at the store, the next
- * one and the peers have failed then. The balancer takes two answers more to heed it, while callers are
- * refused here; before, it was told only after the permission had lapsed.
+ * A node that has not been confirmed for this long reports that it is not ready, in milliseconds. Two polls
+ * and the requests to peers have failed by then. The balancer stops sending callers only after two more answers,
+ * and callers are refused in the meantime, so the node doesn't wait until its permit expires.
  */
 const maxUnconfirmedMs = 1300;
 /**
- * Without a word from anybody for this long a node that forwards statements tells the balancer so, in
- * milliseconds: two questions and a look at the store have failed then.
+ * An unlisted node that has had no answer for this long reports that it is not ready, in milliseconds. Two
+ * requests to other proxies and one poll of the store have failed by then.
  */
 const maxSilenceMs = 2500;
-/** The balancer asks once a second and believes two answers; only then do callers come elsewhere. */
+/** In milliseconds: the balancer asks once a second and sends callers elsewhere after two answers. */
 const balancerReactionMs = 2300;
 
-/** One node that serves callers by direct connections to targets. */
+/** A node that serves callers over direct connections to targets. */
 export class Node {
   private readonly owned = new DisposableStore();
   private readonly metrics: Metrics;
@@ -110,7 +111,7 @@
       clock,
       random,
       logger,
-      onServingConfig: (scene) => this.applyServingConfig(scene),
+      onServingConfig: (config) => this.applyServingConfig(config),
       onPoll: () => this.handlePoll(),
     });
     this.proxyLiveness = new ProxyLivenessMonitor({
@@ -202,7 +203,7 @@
     });
   }
 
-  /** Begins to serve. */
+  /** Starts all servers and polling. */
   async start(): Promise<void> {
     const { settings, logger, metrics } = this.options;
     await this.listenHealth(settings.readiness);
@@ -214,7 +215,7 @@
     void this.follower.run();
   }
 
-  /** Stops taking callers and waits until nothing is in flight, within the grace of the platform. */
+  /** Stops accepting callers and waits until nothing is in flight, within the platform's grace period. */
   async drain(): Promise<void> {
     const { clock } = this.options;
     const ended = this.drainer.drain();
@@ -226,7 +227,7 @@
     await this.follower.leave();
   }
 
-  /** Takes what can change without a restart from new settings. */
+  /** Applies the settings that can change without a restart: the address of the store. */
   setSettings(settings: NodeSettings): void {
     this.options.adapter.store.setAddress(settings.store);
     this.options.logger.write(nodeEvents.settingsRead, { vm: settings.vm });
@@ -287,7 +288,7 @@
     const { peers } = this.options.settings;
     if (peers === undefined) return;
     const server = new DirectPeerServer(peers, {
-      takeWord: (from, word) => this.applyUpdate(from, word),
+      takeWord: (from, update) => this.applyUpdate(from, update),
       askTarget: (question) => this.targetStatus.ask(question, peerQuestionTimeoutMs),
       encodeScene: () => this.follower.encodeServingConfig(),
       giveTokens: (team, wanted) => this.rates.grantTokens(team, wanted),
@@ -311,14 +312,17 @@
     };
   }
 
-  /** Ready once the scene is known, and as long as primaries may be used. */
+  /**
+   * Whether the balancer should send callers here. A listed node must know the configuration and have been
+   * confirmed recently; an unlisted one must know the configuration and a gateway, and have had an answer.
+   */
   private isReady(): boolean {
     const { clock, logger } = this.options;
     const now = clock.now();
     const { confirmedAt } = this.tracker;
     const { heardAt, registry, isUnlisted } = this.follower;
     const isPermitted = confirmedAt !== undefined && now - confirmedAt < maxUnconfirmedMs;
-    // Nobody could run a statement for it: callers that came now would all be refused.
+    // Without another listed proxy, no gateway could run a statement and all callers would be refused.
     const hasOthers = registry.list().some(({ isMissed }) => isMissed !== true);
     const isInTouch = hasOthers && heardAt !== undefined && now - heardAt < maxSilenceMs;
     const isReady = this.follower.isInitialised && (isUnlisted ? isInTouch : isPermitted);
@@ -331,8 +335,8 @@
   }
 
   /**
-   * Closes idle sessions once the balancer passes this node by: they come back through another one,
-   * and would otherwise be refused here for as long as the node is cut off.
+   * Closes idle sessions once the balancer no longer sends callers here. They reconnect through another node;
+   * their statements would otherwise be refused for as long as this node is not ready.
    */
   private scheduleIdleClose(isReady: boolean): void {
     clearTimeout(this.idleCloseTimer);
@@ -340,14 +344,14 @@
     this.idleCloseTimer = setTimeout(() => this.callers.closeIdleNow(), balancerReactionMs).unref();
   }
 
-  private applyServingConfig(scene: ServingConfig): void {
-    this.groups.update(scene);
+  private applyServingConfig(config: ServingConfig): void {
+    this.groups.update(config);
     this.rates.refresh();
     this.callers.endRevoked();
-    this.metrics.setRevision(scene.revision);
+    this.metrics.setRevision(config.revision);
   }
 
-  /** Looks at the primaries once a miss is old enough to count, whenever the next look is due. */
+  /** Checks the primaries when a failure is old enough to raise suspicion, without awaiting the next poll. */
   private schedulePrimaryCheck(): void {
     this.primaryCheckTimer ??= setTimeout(() => {
       this.primaryCheckTimer = undefined;
@@ -355,7 +359,7 @@
     }, primaryCheckDelayMs).unref();
   }
 
-  /** Asks at once who holds connections: a node that forwards hears of that by its own pace otherwise. */
+  /** Polls at once for the current gateways; an unlisted node would otherwise wait for its next poll. */
   private refreshGateways(): void {
     const now = this.options.clock.now();
     if (!this.follower.isUnlisted || now - this.gatewayRefreshAt < gatewayRefreshIntervalMs) return;
@@ -363,7 +367,7 @@
     this.follower.wake();
   }
 
-  /** Tries a new connection to a primary that is silent, and looks at once if that stays silent too. */
+  /** Tries a new connection to a silent primary, and checks the primaries at once if that fails too. */
   private async probe(group: string, target: string, since: number): Promise<void> {
     if (this.probing.has(group)) return;
     this.probing.add(group);
@@ -390,9 +394,9 @@
   }
 }
 
-/** Between two such questions, in milliseconds: a whole gateway's callers may be refused at once. */
+/** Shortest interval between such polls, in milliseconds: all callers of a gateway may be refused at once. */
 const gatewayRefreshIntervalMs = 200;
-/** A little longer than a primary must have been missing to be suspected. */
+/** In milliseconds; slightly longer than a primary must have been failing to be suspected. */
 const primaryCheckDelayMs = 270;
-/** A peer's question about a target: as long as this process would wait for its own. */
+/** Timeout of a peer's request about a target, in milliseconds: the same as for this process's own. */
 const peerQuestionTimeoutMs = 200;
--- a/src/node/poll-delay.ts
+++ b/src/node/poll-delay.ts
@@ -1,79 +1,74 @@
 /**
- * Between two looks at the store. A configuration is in force within this and one answer, a permission
- * to use primaries (1.6 s) outlives one look that fails. Each look costs a call.
+ * Interval between polls of the store, in milliseconds. A new configuration is applied within this time
+ * plus one answer, and a permit to use primaries (1.6 s) outlives one failed poll. Each poll costs a call.
  */
 const pollIntervalMs = 700;
-/** After a failed look the next comes sooner. */
+/** Delay after a failed poll, in milliseconds. */
 const retryMs = 250;
-/** The pace of a process that knows nothing yet, or may use no primaries: callers wait for what it brings. */
+/** Delay while no configuration or no permit is known yet, in milliseconds: callers wait for it. */
 const startupRetryMs = 100;
 /**
- * The pace of a process that is not listed and has nobody to follow, in milliseconds: most of a fleet are
- * such, and at a first start, or with the store away, all of them ask it.
+ * Delay of an unlisted process that has no proxy to poll through, in milliseconds. Most of a fleet are
+ * unlisted, and at a first start or while the store is unavailable all of them poll it.
  */
 const unlistedRetryMs = 500;
 /**
- * The pace of a process that was started while the store is away: after a loss of power all callers wait
- * for its return. Spared like the others it would ask again only after up to 4.5 s.
+ * Delay of an unlisted process that started while the store is unavailable, in milliseconds. After a power
+ * failure all callers wait for the store; with the limits of `unlistedPollMs` in the follower, this process
+ * would poll it again only after up to 4.5 s.
  */
 const outageStartRetryMs = 150;
-/** The share of the store's reads that the looks of all proxies may take. */
+/** The share of the store's read capacity that the polls of all proxies may take. */
 const maxStoreReadShare = 0.25;
 /**
- * Between two questions to the reader, in milliseconds. Its own last look may be 0.8 s old by then, and
- * the permission to use primaries (1.6 s) has to outlive that, one pause and one question that fails.
+ * Interval between requests to the reader, in milliseconds. The reader's own last poll may be 0.8 s old by
+ * then; the permit to use primaries (1.6 s) must outlive that age, one interval and one failed request.
  */
 const readerPollIntervalMs = 400;
-/** The shortest and longest time between two questions of a process that is not listed, in milliseconds. */
+/** Bounds of the interval between requests of an unlisted process to its upstream, in milliseconds. */
 const minUnlistedFollowMs = 400;
 const maxUnlistedFollowMs = 1200;
 /**
- * The share of a configuration's time to be in force that may pass until such a process asks: the reader
- * looks each 0.7 s and the one that is asked follows it by 0.4 s, which leaves two fifths of 3 s unused.
+ * The share of `configurationApplyMs` that may pass between two requests of an unlisted process. The reader
+ * polls every 0.7 s and the upstream asks it every 0.4 s, so that two fifths of 3 s remain unused.
  */
 const unlistedFollowShare = 0.2;
 
-/** What decides when a node asks again what there is to know. */
+/** The conditions that determine when a node polls next. */
 export interface PollConditions {
-  /** Whether it holds no connections and uses no primaries, and others run its callers' statements. */
+  /** Whether the node holds no connections to targets, so that other nodes run its callers' statements. */
   readonly isUnlisted: boolean;
   readonly hasPeers: boolean;
-  /** Whether it knows routes and targets. */
+  /** Whether it knows a configuration and a listing of the targets. */
   readonly isInitialised: boolean;
-  /** Whether it has ever been confirmed who leads. */
+  /** Whether the leadership that it knows has been confirmed, however long ago. */
   readonly isConfirmed: boolean;
-  /** Whether another proxy has told it what it asked last. */
+  /** Whether its last poll was answered by another proxy. */
   readonly isFollowing: boolean;
   readonly isAnswered: boolean;
-  /** Whether the store did not answer last. */
+  /** Whether the last request to the store failed. */
   readonly isStoreUnavailable: boolean;
-  /** Proxies that are listed. */
+  /** The number of listed proxies. */
   readonly proxyCount: number;
   readonly storeReadsPerSecond: number;
   readonly configurationApplyMs: number;
 }
 
-/** The pause until the next question, in milliseconds; it keeps all within their share of the store's reads. */
-export function computePollDelayMs(question: PollConditions): number {
-  const {
-    isUnlisted,
-    isInitialised: isInformed,
-    isFollowing,
-    isAnswered,
-    storeReadsPerSecond,
-  } = question;
-  const leastMs = (question.proxyCount / (storeReadsPerSecond * maxStoreReadShare)) * 1000;
+/** Computes the delay until the next poll, in milliseconds, within the proxies' share of store reads. */
+export function computePollDelayMs(conditions: PollConditions): number {
+  const { isUnlisted, isInitialised, isFollowing, isAnswered, storeReadsPerSecond } = conditions;
+  const minMs = (conditions.proxyCount / (storeReadsPerSecond * maxStoreReadShare)) * 1000;
   if (isUnlisted) {
-    if (question.isStoreUnavailable && !isInformed) return Math.max(outageStartRetryMs, leastMs);
-    return isFollowing ? computeUnlistedFollowMs(question.configurationApplyMs) : unlistedRetryMs;
+    if (conditions.isStoreUnavailable && !isInitialised) return Math.max(outageStartRetryMs, minMs);
+    return isFollowing ? computeUnlistedFollowMs(conditions.configurationApplyMs) : unlistedRetryMs;
   }
-  const isNew = !isInformed || !question.isConfirmed;
-  if (isNew && question.hasPeers) return Math.max(startupRetryMs, leastMs);
+  const isNew = !isInitialised || !conditions.isConfirmed;
+  if (isNew && conditions.hasPeers) return Math.max(startupRetryMs, minMs);
   if (isFollowing) return readerPollIntervalMs;
-  return Math.max(isAnswered ? pollIntervalMs : retryMs, leastMs);
+  return Math.max(isAnswered ? pollIntervalMs : retryMs, minMs);
 }
 
-/** Between two questions of a process that is not listed: it uses no primaries, and is in no hurry. */
+/** The interval of an unlisted process, which uses no primaries and therefore needs no recent permit. */
 function computeUnlistedFollowMs(configurationApplyMs: number): number {
   const share = configurationApplyMs * unlistedFollowShare;
   return Math.max(minUnlistedFollowMs, Math.min(maxUnlistedFollowMs, share));
--- a/src/node/proxy-liveness.ts
+++ b/src/node/proxy-liveness.ts
@@ -4,15 +4,15 @@
 import type { Clock } from "../model/index.js";
 
 /**
- * A listed proxy asks its data centre's reader each 0.4 s. One that has not for this long, in milliseconds,
- * is asked whether it lives: four of its questions are missing.
+ * A listed proxy sends a request to its data centre's reader every 0.4 s. After this long without one, in
+ * milliseconds, at least four requests are missing and the proxy is probed.
  */
 const silenceThresholdMs = 2000;
-/** One that runs answers within this, busy or not, in milliseconds. */
+/** A running proxy answers within this time even when it is busy, in milliseconds. */
 const probeTimeoutMs = 300;
 const maxProbeAttempts = 2;
 
-/** The listed proxies of a data centre that its reader has not heard of for too long. */
+/** The listed proxies of a data centre that have not contacted its reader for too long. */
 export function listSilentProxies(
   proxies: readonly Proxy[],
   own: { readonly vm: string; readonly dataCentre: string; readonly since: number },
@@ -25,7 +25,7 @@
   });
 }
 
-/** What the watch over a data centre's listed proxies needs. */
+/** The dependencies of `ProxyLivenessMonitor`. */
 export interface ProxyLivenessPorts {
   readonly vm: string;
   readonly dataCentre: string;
@@ -37,10 +37,11 @@
 }
 
 /**
- * Finds listed proxies that are gone without a word, and marks them as missed. A gateway that lost its
- * power stays listed otherwise: statements go to it again after each pause and wait for its connection, it
- * keeps a place from one that lives, and each change of primary waits for it. Done by whoever reads the
- * store for its data centre, whom the others ask all the time. A mark on one that lives costs it its place.
+ * Finds listed proxies that stopped without deregistering and marks them as missed. Otherwise a gateway that
+ * lost power stays listed: statements are sent to it again after each avoidance period and wait for its
+ * connection, it occupies the place of a live proxy, and each change of primary waits for it. The reader of a
+ * data centre does this, since the other proxies contact it all the time. A live proxy that is marked loses
+ * its place, so each one is probed first.
  */
 export class ProxyLivenessMonitor {
   private readonly lastContactAt = new Map<string, number>();
@@ -49,14 +50,14 @@
 
   constructor(private readonly ports: ProxyLivenessPorts) {}
 
-  /** Notes a question of another proxy. */
+  /** Records a request or an answer from another proxy. */
   recordContact(vm: string): void {
     this.lastContactAt.set(vm, this.ports.clock.now());
   }
 
   /**
-   * Looks at the proxies that are listed now; probes begin in the background. `isPollingStore` says that this
-   * process looks at the store itself, and the others of its data centre ask it.
+   * Checks the proxies that are listed now and starts probes in the background. `isPollingStore` means that
+   * this process polls the store itself, so that the others of its data centre send requests to it.
    */
   checkProxies(proxies: readonly Proxy[], isPollingStore: boolean): void {
     const { vm, dataCentre, clock } = this.ports;
@@ -79,7 +80,7 @@
     if (this.probing.has(proxy.vm)) return;
     this.probing.add(proxy.vm);
     try {
-      for (let tries = 0; tries < maxProbeAttempts; tries += 1) {
+      for (let attempts = 0; attempts < maxProbeAttempts; attempts += 1) {
         if ((await peers.share(proxy, tracker.word, probeTimeoutMs)) === undefined) continue;
         this.recordContact(proxy.vm);
         return;
--- a/src/node/proxy-registry.ts
+++ b/src/node/proxy-registry.ts
@@ -6,25 +6,27 @@
 import type { NodeSettings } from "./settings.js";
 
 /**
- * An entry that was marked for so long is removed, in milliseconds: several times the longest permission
- * (1.6 s) and the looks of a proxy that lives (0.7 s), so that a slow store does not take one out.
+ * An entry that has been marked as missed for this long is removed, in milliseconds. This is several times
+ * the longest permit (1.6 s) and the poll interval (0.7 s), in which a live proxy takes its mark off, so that
+ * a slow store does not cause the removal of a live proxy.
  */
 const removeMissedAfterMs = 10_000;
 /**
- * Proxies that see a free place take it at drawn times up to this, in milliseconds; one with several times
- * `leastPower` several times sooner. A listing and a write take 8 ms together, so that of 20 one comes too
- * many at times, which costs no more than its being told of changes of primary.
+ * Proxies that see a free place register after a random delay up to this, in milliseconds; a proxy with n
+ * times `minPower` draws from an n times shorter range. A listing and a write take 8 ms together, so that of
+ * 20 proxies one too many registers at times; it merely has to be notified of changes of primary as well.
  */
 const maxRegisterDelayMs = 1000;
 /**
- * The same where nobody is listed in the data centre, as at a first start. Processes that have just been
- * started take some 80 ms for a listing alone: drawn over less, half as many again register before they see one another.
+ * The longest delay if no proxy is listed in the data centre, as at a first start, in milliseconds. Processes
+ * that have just started take some 80 ms for a listing alone; with a shorter range, 50% too many register
+ * before they see one another.
  */
 const maxFirstRegisterDelayMs = 4000;
-/** In cores; what one has that does not say. */
+/** The capacity in cores that a proxy is counted with at least. */
 const minPower = 0.3;
 
-/** What the list of proxies needs of the world. */
+/** The dependencies of `ProxyRegistry`. */
 export interface ProxyRegistryPorts {
   readonly settings: NodeSettings;
   readonly store: Pick<NodeStore, "listProxies" | "register" | "deregister" | "removeMissed">;
@@ -33,27 +35,28 @@
   readonly logger: Logger;
 }
 
-/** The proxies that are registered in the store, and this one's place among them. */
+/** The proxies that are registered in the store, and the registration of this one. */
 export class ProxyRegistry {
   private proxies: readonly Proxy[] = [];
-  /** Listings that were read whole since this proxy was in the store. */
+  /** The number of listings received from the store in a row that include this proxy. */
   private listingsSinceRegistered = 0;
-  /** Whether this process has tried to put itself into the store. */
+  /** Whether this process has tried to register. */
   private hasTriedToRegister = false;
-  /** Since when it certainly is there; absent while it may not be. */
+  /** Since when the entry certainly exists; undefined while it may not. */
   private registeredSince: number | undefined;
+  /** When each entry marked as missed was first seen, by name and version. */
   private missedMarkSeenAt = new Map<string, number>();
-  /** When this proxy may take a place that it has seen free; absent while there is none. */
+  /** When this proxy may take a free place; undefined while there is none. */
   private registrationDueAt: number | undefined;
 
   constructor(private readonly ports: ProxyRegistryPorts) {}
 
-  /** All registered proxies by name, this one included. */
+  /** All registered proxies, sorted by name, including this one. */
   list(): readonly Proxy[] {
     return this.proxies;
   }
 
-  /** Takes in a listing of the store. */
+  /** Adopts a listing of the store. */
   applyListing(proxies: readonly Proxy[]): void {
     this.proxies = [...proxies].sort((a, b) => (a.vm < b.vm ? -1 : 1));
     this.trackMissedMarks();
@@ -64,17 +67,17 @@
       return;
     }
     this.listingsSinceRegistered += 1;
-    // An entry that an earlier process on this VM left has been there all the while.
+    // Without an attempt to register, the entry is that of an earlier process on this VM.
     this.registeredSince ??= this.hasTriedToRegister ? this.ports.clock.now() : -Infinity;
   }
 
-  /** Takes in what a peer lists, at a start while the store is away. It is no listing of the store's. */
+  /** Adopts a peer's list at a start while the store is unavailable; it does not count as a listing. */
   applyPeerListing(proxies: readonly Proxy[]): void {
     this.proxies = proxies;
     if (this.isRegistered() && !this.hasTriedToRegister) this.registeredSince = -Infinity;
   }
 
-  /** Reads anew which proxies there are; false when the store does not say. */
+  /** Reads the listing from the store; false when the store does not return one. */
   async refresh(): Promise<boolean> {
     const read = await this.ports.store.listProxies();
     if (read.type !== "found") return false;
@@ -83,19 +86,19 @@
   }
 
   /**
-   * Whether this proxy is to put itself into the store, where `quota` proxies of its data centre may be listed.
-   * One that is not listed uses no primary and holds no connections; others run its callers' statements.
+   * Whether this proxy has to register now, given that `quota` proxies of its data centre may be listed. An
+   * unlisted proxy uses no primaries and holds no connections; other proxies run its callers' statements.
    */
   isRegistrationDue(quota: number): boolean {
     const { settings, clock, random } = this.ports;
     if (settings.peers === undefined || this.isRegistered()) return false;
-    // It forwards its statements to nobody.
+    // Without a gateway address, statements can't be forwarded, so the quota does not apply.
     if (settings.gateway === undefined) return true;
     if (this.countOthersInDataCentre() >= quota) {
       this.registrationDueAt = undefined;
       return false;
     }
-    // It was listed before.
+    // An own entry that is marked or outdated is renewed without delay.
     if (this.hasOwnEntry()) return true;
     const spread =
       this.countOthersInDataCentre() === 0 ? maxFirstRegisterDelayMs : maxRegisterDelayMs;
@@ -104,13 +107,13 @@
     return clock.now() >= this.registrationDueAt;
   }
 
-  /** A proxy that is not listed would not be waited for by a change of primary. */
+  /** Registers this proxy, so that each change of primary notifies it or waits for its permit to expire. */
   async register(): Promise<void> {
     const { settings, store, logger } = this.ports;
     const { vm, peers: address, dataCentre, gateway, power } = settings;
     if (address === undefined || this.isRegistered()) return;
-    const place = gateway === undefined ? {} : { gateway };
-    const own = { vm, address, dataCentre, power, ...place };
+    const optional = gateway === undefined ? {} : { gateway };
+    const own = { vm, address, dataCentre, power, ...optional };
     this.hasTriedToRegister = true;
     if (!(await store.register(own))) return;
     this.registeredSince = this.ports.clock.now();
@@ -118,7 +121,7 @@
     logger.write(nodeEvents.registered, { vm: own.vm });
   }
 
-  /** Takes this proxy out of the store. */
+  /** Removes this proxy's entry from the store. */
   async deregister(): Promise<void> {
     const { settings, store, logger } = this.ports;
     if (settings.peers === undefined || !this.isRegistered()) return;
@@ -128,9 +131,9 @@
   }
 
   /**
-   * Removes entries that were marked for long: their proxies read the mark at their next look at the
-   * store and would have taken it off. From the mark on nobody confirms them either, so that their
-   * permission is over long before. One proxy does it for all.
+   * Removes entries that have been marked as missed for long enough. A live proxy reads the mark at its next
+   * poll and takes it off. No proxy confirms a marked one, so its permit has expired long before the removal.
+   * Only one proxy does this.
    */
   async removeMissed(): Promise<void> {
     const { clock, store, logger } = this.ports;
@@ -144,13 +147,13 @@
     }
   }
 
-  /** Whether this proxy does what one has to do for all: the first that nobody has missed. */
+  /** Whether this is the first proxy that is not marked as missed; it does what only one has to do. */
   isCoordinator(): boolean {
     const first = this.proxies.find((proxy) => proxy.isMissed !== true);
     return first?.vm === this.ports.settings.vm;
   }
 
-  /** Whether this proxy is listed, and nobody has missed it. */
+  /** Whether this proxy is listed with its current addresses and data centre, and not marked as missed. */
   isRegistered(): boolean {
     const { vm, peers, gateway, dataCentre } = this.ports.settings;
     const own = this.proxies.find((proxy) => proxy.vm === vm);
@@ -162,37 +165,37 @@
     return this.proxies.some(({ vm }) => vm === this.ports.settings.vm);
   }
 
-  /** The other proxies of this data centre that are listed, and that nobody has missed. */
+  /** Counts the other listed proxies of this data centre that are not marked as missed. */
   private countOthersInDataCentre(): number {
     const { vm, dataCentre } = this.ports.settings;
-    const near = this.proxies.filter((proxy) => proxy.dataCentre === dataCentre);
-    return near.filter((proxy) => proxy.vm !== vm && proxy.isMissed !== true).length;
+    const local = this.proxies.filter((proxy) => proxy.dataCentre === dataCentre);
+    return local.filter((proxy) => proxy.vm !== vm && proxy.isMissed !== true).length;
   }
 
-  /** Whether a proxy is listed, and nobody has missed it. */
+  /** Whether a proxy is listed and not marked as missed. */
   hasListed(vm: string): boolean {
     return this.proxies.some((proxy) => proxy.vm === vm && proxy.isMissed !== true);
   }
 
   /**
-   * Whether this proxy was in the store before a question was asked. Whoever replaces a primary writes
-   * that down and then lists the proxies that it waits for. An answer to what was asked earlier than
-   * this one was listed may know nothing of the change, though nobody waits for this proxy; it would use
-   * the old primary for as long as its permission lasts.
+   * Whether this proxy was registered before a request was sent. A proxy that replaces a primary records the
+   * change in the store and then lists the proxies that it has to wait for. An answer to a request that was
+   * sent before this proxy was listed may not know of the change, although the change does not wait for this
+   * proxy, which would use the old primary until its permit expires.
    */
   wasRegisteredBefore(askedAt: number): boolean {
     return this.registeredSince !== undefined && this.registeredSince < askedAt;
   }
 
   /**
-   * Whether the list can tell a majority. All start at once: a listing from before this proxy was in the
-   * store may lack those that came with it, and a few of them would look like a majority.
+   * Whether a majority can be determined from the list. Proxies may all start at once: a listing from before
+   * this proxy registered may lack others that started with it, and a few proxies would look like a majority.
    */
   get isListingComplete(): boolean {
     return this.listingsSinceRegistered > 0;
   }
 
-  /** Notes since when the entries that are marked have been seen so, unchanged. */
+  /** Records since when each marked entry has been seen with its current version. */
   private trackMissedMarks(): void {
     const now = this.ports.clock.now();
     const missed = this.proxies.filter((proxy) => proxy.isMissed === true).map(formatEntry);
--- a/src/node/rates.ts
+++ b/src/node/rates.ts
@@ -14,20 +14,20 @@
 import type { ProxyRegistry } from "./proxy-registry.js";
 import type { NodeSettings } from "./settings.js";
 
-/** A peer answers in 1 to 3 ms; behind one that is cut off an operation would wait in vain. */
+/** In milliseconds. A peer answers in 1 to 3 ms; an operation must not wait for one that is unreachable. */
 const tokenRequestTimeoutMs = 50;
-/** In cores; what one has that does not say. */
+/** The capacity in cores that a proxy is counted with at least. */
 const minPower = 0.3;
-/** A peer that did not answer is not asked again for this long, in milliseconds: about as long as cuts last. */
+/** A peer that did not answer is avoided for this long, in milliseconds: about as long as partitions last. */
 const avoidMs = 5000;
 
-/** What a node's part in keeping teams to their rates needs. */
+/** The dependencies of `NodeRates`. */
 export interface NodeRatesPorts {
   readonly settings: Pick<NodeSettings, "vm" | "peers" | "rateBounds">;
   readonly peers: Pick<DirectPeerClient, "takeTokens">;
   readonly tracker: Pick<LeadershipKeeper, "confirmedAt" | "hasStalledSince">;
   readonly getRegistry: () => Pick<ProxyRegistry, "list">;
-  /** When the question was sent whose answer showed the list of proxies to be current. */
+  /** When the poll was sent whose answer showed that the list of proxies is current. */
   readonly findPolledAt: () => number | undefined;
   readonly clock: Clock;
   readonly random: Random;
@@ -35,14 +35,14 @@
   readonly getServingConfig: () => ServingConfig;
 }
 
-/** A node's part in keeping teams to their rates: its share of them, and tokens to and from its peers. */
+/** Limits the teams' operations at this node: its share of each rate, and tokens exchanged with peers. */
 export class NodeRates implements Disposable {
   private readonly tokenLimiter: RateKeeper;
   private readonly shares: ShareHistory;
   private listedProxies: readonly Proxy[] = [];
   private lastRoster: TeamRoster | undefined;
   private couldIssue = false;
-  /** When this process last knew that it is listed, and that nobody has missed it. */
+  /** When this process last knew that it is listed and not marked as missed. */
   private knownListedAt: number | undefined;
   private isStopped = false;
   private readonly avoidedUntil = new Map<string, number>();
@@ -56,8 +56,8 @@
       logger,
       bounds: settings.rateBounds,
       findTeam: (name) => getServingConfig().roster?.findByName(name),
-      findShare: (team, makers) => this.findShare(team, makers),
-      listMakers: (team, makers) => this.listIssuers(team, makers),
+      findShare: (team, issuers) => this.findShare(team, issuers),
+      listMakers: (team, issuers) => this.listIssuers(team, issuers),
       ask: (peer, team, wanted) => this.requestTokens(peer, team, wanted),
       hasStalledSince: (time) => tracker.hasStalledSince(time),
     });
@@ -67,33 +67,33 @@
     return this.tokenLimiter;
   }
 
-  /** Follows teams, the list of proxies, and who counts among them as time goes on. */
+  /** Updates the shares after changes of the teams or the proxies, and as registrations come of age. */
   refresh(): void {
     const { getServingConfig, getRegistry, clock } = this.ports;
     const { roster } = getServingConfig();
     if (roster?.hasRates !== true) return;
-    const hasListing = this.updateProxies(getRegistry().list());
+    const hasNewListing = this.updateProxies(getRegistry().list());
     this.refreshOwnEntry();
-    const hasSettled = this.shares.settle(clock.now());
-    const canMake = this.canIssue();
-    const hasTurned = canMake !== this.couldIssue || roster !== this.lastRoster;
-    this.couldIssue = canMake;
+    const hasNewShares = this.shares.settle(clock.now());
+    const canIssue = this.canIssue();
+    const hasChanged = canIssue !== this.couldIssue || roster !== this.lastRoster;
+    this.couldIssue = canIssue;
     this.lastRoster = roster;
-    if (hasListing || hasSettled || hasTurned) this.tokenLimiter.update(roster.teams);
+    if (hasNewListing || hasNewShares || hasChanged) this.tokenLimiter.update(roster.teams);
   }
 
-  /** Makes no more tokens: this process is about to take itself off the list. */
+  /** Stops issuing tokens, since this process is about to deregister. */
   stop(): void {
     this.isStopped = true;
     this.refresh();
   }
 
-  /** Gives tokens of a team to a peer. */
+  /** Transfers tokens of a team to a peer. */
   grantTokens(team: string, wanted: number): Parcel {
     return this.tokenLimiter.give(team, wanted);
   }
 
-  /** Drops what is held: the process stood still for a time that its clock does not show. */
+  /** Drops all tokens: the process was suspended for a time that its clock does not show. */
   handleStall(): void {
     this.tokenLimiter.clear();
   }
@@ -118,26 +118,27 @@
     this.knownListedAt = known.length === 0 ? undefined : Math.max(...known);
   }
 
-  private findShare(team: string, makers: number): number {
+  private findShare(team: string, issuers: number): number {
     if (this.ports.settings.peers === undefined) return 1;
-    return this.canIssue() ? this.shares.findShare(team, makers) : 0;
+    return this.canIssue() ? this.shares.findShare(team, issuers) : 0;
   }
 
-  /** Not once its entry may have been removed: the others have taken its part over. */
+  /** Whether this node may issue tokens. Once its entry may have been removed, others issue its share. */
   private canIssue(): boolean {
     const { settings, tracker, clock } = this.ports;
-    const { knownListedAt: knownAt } = this;
-    if (this.isStopped || knownAt === undefined || tracker.hasStalledSince(knownAt)) return false;
+    const { knownListedAt } = this;
+    if (this.isStopped || knownListedAt === undefined || tracker.hasStalledSince(knownListedAt))
+      return false;
     const isListed = this.listedProxies.some(({ vm }) => vm === settings.vm);
-    return isListed && clock.now() - knownAt < knownMs;
+    return isListed && clock.now() - knownListedAt < knownMs;
   }
 
-  /** Those that answered lately, and not this one. */
-  private listIssuers(team: string, makers: number): readonly string[] {
+  /** The other nodes that issue the team's tokens, without those that recently did not answer. */
+  private listIssuers(team: string, issuers: number): readonly string[] {
     const now = this.ports.clock.now();
     const { vm: own } = this.ports.settings;
-    const known = this.shares.listMakers(team, makers);
-    return known.filter((vm) => vm !== own && now >= (this.avoidedUntil.get(vm) ?? 0));
+    const names = this.shares.listMakers(team, issuers);
+    return names.filter((vm) => vm !== own && now >= (this.avoidedUntil.get(vm) ?? 0));
   }
 
   private async requestTokens(
@@ -150,13 +151,13 @@
       .list()
       .find((listed) => listed.vm === vm);
     if (proxy === undefined) return undefined;
-    const parcel = await peers.takeTokens(proxy, { team, wanted }, tokenRequestTimeoutMs);
-    if (parcel === undefined) this.avoidedUntil.set(vm, clock.now() + avoidMs);
-    return parcel;
+    const grant = await peers.takeTokens(proxy, { team, wanted }, tokenRequestTimeoutMs);
+    if (grant === undefined) this.avoidedUntil.set(vm, clock.now() + avoidMs);
+    return grant;
   }
 }
 
-/** A strong machine is a gateway of many groups, and most statements are sent from there. */
+/** Squares the capacity: a powerful machine is a gateway of many groups and sends most statements. */
 function toWeightedProxy({ vm, power }: Proxy): Sharer {
   return { vm, weight: Math.max(minPower, power ?? 0) ** 2 };
 }
--- a/src/node/reader.ts
+++ b/src/node/reader.ts
@@ -3,33 +3,33 @@
 import type { Clock } from "../model/index.js";
 import { hashPair } from "../policy/index.js";
 
-/** An answer within the data centre takes 1 ms, on a busy proxy some tens more. */
+/** In milliseconds: an answer within the data centre takes 1 ms, on a busy proxy some tens more. */
 const readerTimeoutMs = 150;
-/** One that is followed by many may be in another data centre, and busy. */
+/** In milliseconds; longer, since an upstream may be in another data centre and busy with many requests. */
 const upstreamTimeoutMs = 400;
 /**
- * What the reader had of the store longer ago than this, in milliseconds, is no look: it looks each 0.7 s
- * with a tenth of jitter, so that one of its own has failed or hangs.
+ * A reader's poll older than this, in milliseconds, is not used. The reader polls every 0.7 s with a tenth
+ * of jitter, so an older one means that a poll of its own has failed or hangs.
  */
 const maxPollAgeMs = 900;
-/** A reader that did not do is passed over for this long: several times what a restart takes. */
+/** A reader that gave no usable answer is avoided for this long, in milliseconds: several restarts. */
 const avoidMs = 3000;
 
-/** What a reader has told of its last look at the store. */
+/** The last poll of the store by another proxy, as that proxy reported it. */
 export interface PollResult {
   readonly reader: Proxy;
   readonly answer: LeadershipAnswer;
-  /** When the store was asked, on this proxy's clock. */
+  /** When the store was polled, on this proxy's clock. */
   readonly polledAt: number;
-  /** When the reader was confirmed; absent while it is not. */
+  /** When the reader's leadership was confirmed; undefined while it is not. */
   readonly confirmedAt: number | undefined;
   readonly revision: number;
 }
 
 /**
- * The proxy that looks at the store for its data centre: the first that nobody has missed and that is
- * not passed over. All choose alike as long as they have the same listing and see the same failures;
- * where they don't, one more looks for itself.
+ * Chooses the proxy that polls the store for its data centre: the first by name that is not marked as missed
+ * and is not avoided. All proxies with the same listing and the same failures choose the same one; if they
+ * differ, one more proxy polls the store itself.
  */
 export function chooseReader(
   dataCentre: string,
@@ -37,16 +37,16 @@
   isAvoided: (vm: string) => boolean,
 ): Proxy | undefined {
   const near = proxies.filter((p) => p.dataCentre === dataCentre && p.isMissed !== true);
-  const fit = near.filter(({ vm }) => !isAvoided(vm));
-  return fit.reduce<Proxy | undefined>(
+  const eligible = near.filter(({ vm }) => !isAvoided(vm));
+  return eligible.reduce<Proxy | undefined>(
     (first, proxy) => (first === undefined || proxy.vm < first.vm ? proxy : first),
     undefined,
   );
 }
 
 /**
- * The proxy that one which is not listed follows: any that is, in its own data centre where there is one,
- * by a hash of its name so that all share the load.
+ * Chooses the listed proxy that an unlisted one polls, preferably in the same data centre. A hash of both
+ * names distributes the load over the listed proxies.
  */
 export function chooseUpstream(
   vm: string,
@@ -54,21 +54,21 @@
   proxies: readonly Proxy[],
   isAvoided: (vm: string) => boolean,
 ): Proxy | undefined {
-  const fit = proxies.filter((p) => p.vm !== vm && p.isMissed !== true && !isAvoided(p.vm));
-  const near = fit.filter((proxy) => proxy.dataCentre === dataCentre);
-  const pool = near.length > 0 ? near : fit;
+  const eligible = proxies.filter((p) => p.vm !== vm && p.isMissed !== true && !isAvoided(p.vm));
+  const near = eligible.filter((proxy) => proxy.dataCentre === dataCentre);
+  const pool = near.length > 0 ? near : eligible;
   const scored = pool.map((proxy) => ({ proxy, score: hashPair(vm, proxy.vm) }));
   return scored.sort((a, b) => b.score - a.score)[0]?.proxy;
 }
 
-/** What came of asking a listed proxy. */
+/** The result of polling through a listed proxy. */
 export type UpstreamAnswer =
-  | { readonly type: "look"; readonly look: PollResult }
-  /** It lives, and has not reached the store lately itself. */
-  | { readonly type: "old"; readonly answer: LeadershipAnswer }
+  | { readonly type: "poll"; readonly poll: PollResult }
+  /** The proxy answered, but has not reached the store recently itself. */
+  | { readonly type: "stale"; readonly answer: LeadershipAnswer }
   | { readonly type: "silent" };
 
-/** What a question to the reader needs. */
+/** The dependencies of `ReaderClient`. */
 export interface ReaderClientPorts {
   readonly vm: string;
   readonly dataCentre: string;
@@ -77,43 +77,43 @@
 }
 
 /**
- * Asks the data centre's reader instead of the store. Most calls would be steady looks otherwise; one proxy
- * of a data centre does for all. It saves calls and proves nothing less: each answer has its age, and one that is too old or says that the asking proxy
- * is not listed counts as none, so that the store is asked at once.
+ * Asks the data centre's reader instead of the store, so that one proxy polls for all; otherwise most calls
+ * to the store would be polls. The guarantees stay the same: each answer states its age, and one that is too
+ * old, or does not list the asking proxy, is discarded and the store is polled at once.
  */
 export class ReaderClient {
   private readonly avoidedUntil = new Map<string, number>();
 
   constructor(private readonly ports: ReaderClientPorts) {}
 
-  /** The reader's last look; nothing where this proxy has to look for itself. */
+  /** Returns the reader's last poll; undefined when this proxy has to poll the store itself. */
   async askReader(
     proxies: readonly Proxy[],
     update: LeadershipWord,
   ): Promise<PollResult | undefined> {
     const { vm, dataCentre, peers, clock } = this.ports;
     const askedAt = clock.now();
-    const isPassedOver = (name: string) => (this.avoidedUntil.get(name) ?? 0) > askedAt;
-    const reader = chooseReader(dataCentre, proxies, isPassedOver);
+    const isAvoided = (name: string) => (this.avoidedUntil.get(name) ?? 0) > askedAt;
+    const reader = chooseReader(dataCentre, proxies, isAvoided);
     if (reader === undefined || reader.vm === vm) return undefined;
     const answer = await peers.share(reader, update, readerTimeoutMs);
     const isUsable = answer?.listsAsker === true;
-    const look = isUsable ? toPollResult(reader, answer, askedAt) : undefined;
-    if (look === undefined) this.avoidedUntil.set(reader.vm, askedAt + avoidMs);
-    return look;
+    const poll = isUsable ? toPollResult(reader, answer, askedAt) : undefined;
+    if (poll === undefined) this.avoidedUntil.set(reader.vm, askedAt + avoidMs);
+    return poll;
   }
 
-  /** Asks a listed proxy on behalf of this one, which is not listed. */
+  /** Polls through a listed proxy, on behalf of this one, which is not listed. */
   async askUpstream(proxies: readonly Proxy[], update: LeadershipWord): Promise<UpstreamAnswer> {
     const { vm, dataCentre, peers, clock } = this.ports;
     const askedAt = clock.now();
-    const isPassedOver = (name: string) => (this.avoidedUntil.get(name) ?? 0) > askedAt;
-    const upstream = chooseUpstream(vm, dataCentre, proxies, isPassedOver);
+    const isAvoided = (name: string) => (this.avoidedUntil.get(name) ?? 0) > askedAt;
+    const upstream = chooseUpstream(vm, dataCentre, proxies, isAvoided);
     if (upstream === undefined) return { type: "silent" };
     const answer = await peers.share(upstream, update, upstreamTimeoutMs);
-    const look = answer === undefined ? undefined : toPollResult(upstream, answer, askedAt);
-    if (look !== undefined) return { type: "look", look };
-    if (answer !== undefined) return { type: "old", answer };
+    const poll = answer === undefined ? undefined : toPollResult(upstream, answer, askedAt);
+    if (poll !== undefined) return { type: "poll", poll };
+    if (answer !== undefined) return { type: "stale", answer };
     this.avoidedUntil.set(upstream.vm, askedAt + avoidMs);
     return { type: "silent" };
   }
--- a/src/node/recorder.ts
+++ b/src/node/recorder.ts
@@ -7,26 +7,27 @@
 import { nodeEvents } from "../log/events/node.js";
 import type { Logger } from "../log/index.js";
 
-/** What a recorder needs. */
+/** The dependencies of `TargetRecorder`. */
 export interface RecorderPorts {
   readonly store: Pick<PlatformFeed, "readGroupRecords" | "writeGroupRecord">;
   readonly logger: Logger;
 }
 
 /**
- * Keeps the records of the groups' targets in the store. All proxies read them as they start; one, which
- * the caller chooses, writes them. Two that write at once meet in a conflict and read again.
+ * Maintains the records of the groups' targets in the store. Every proxy reads them when it starts; one
+ * proxy, chosen by the caller, writes them. If two write at once, one gets a conflict and reads again.
  */
 export class TargetRecorder {
   private records: readonly GroupRecord[] | undefined;
   private isWriting = false;
-  /** The targets as they were when this was asked last, and those that the records say. */
+  /** The targets that the last call of `update` was given. */
   private previousTargets: FeedState["targets"] | undefined;
+  /** The targets that the stored records agree with. */
   private recordedTargets: FeedState["targets"] | undefined;
 
   constructor(private readonly ports: RecorderPorts) {}
 
-  /** The records as they were last read or written; absent before they were. */
+  /** The records as last read or written; undefined before that and after a failed write. */
   get knownRecords(): readonly GroupRecord[] | undefined {
     return this.records;
   }
@@ -39,8 +40,8 @@
   }
 
   /**
-   * Writes the records that are not what is listed, once that has stayed the same from one call to the
-   * next. Each write makes all proxies read the store anew, and at a start entries come one by one.
+   * Writes the records that differ from the listed targets, once these are the same as in the previous
+   * call. Each write makes every proxy read the store again, and entries appear one by one at a start.
    */
   async update(state: FeedState): Promise<void> {
     const { targets } = state;
@@ -60,11 +61,11 @@
     const written = await this.ports.store.writeGroupRecord(change);
     const outcome = written.type;
     this.ports.logger.write(nodeEvents.recordWritten, { group, targets: targets.length, outcome });
-    // Another proxy has written it, or may have been this one's own write: it is read again.
+    // After a failure the record may have been written by another proxy or by this one: it is read again.
     this.records =
       written.type === "written"
         ? [
-            ...this.records.filter((known) => known.group !== group),
+            ...this.records.filter((record) => record.group !== group),
             { group, targets, version: written.object.version },
           ]
         : undefined;
--- a/src/node/serving-config-tracker.ts
+++ b/src/node/serving-config-tracker.ts
@@ -22,25 +22,28 @@
 import type { Clock } from "../model/index.js";
 import { TargetRecorder } from "./recorder.js";
 
-/** What keeping the scene needs. */
+/** The dependencies of `ServingConfigTracker`. */
 export interface ServingConfigTrackerPorts {
   readonly store: Pick<PlatformFeed, "readGroupRecords" | "writeGroupRecord">;
   readonly clock: Pick<Clock, "now">;
   readonly logger: Logger;
-  readonly onServingConfig: (scene: ServingConfig) => void;
+  readonly onServingConfig: (config: ServingConfig) => void;
 }
 
-/** Faulty teams that a log line names. */
+/** How many of the faulty entries a log line names. */
 const maxLoggedTeams = 8;
 
-/** What a node knows of the configuration and the targets, from whomever it has it. */
+/**
+ * The configuration and the targets that a node knows, read from the store or received from a peer, and
+ * the serving configuration that is built from them.
+ */
 export class ServingConfigTracker {
   private feed: FeedState = initialFeedState;
   private current: ServingConfig = emptyServingConfig;
-  /** By entry: the field for which it names no target. */
+  /** The invalid field by entry, as it was last logged. */
   private loggedInvalidEntries: ReadonlyMap<string, string> = new Map();
   private readonly recorder: TargetRecorder;
-  /** Whether a listing of the targets was taken in beside the records. */
+  /** Whether a listing has been compared with the recorded targets. */
   private hasCheckedRecords = false;
 
   constructor(private readonly ports: ServingConfigTrackerPorts) {
@@ -51,38 +54,39 @@
     return this.current;
   }
 
-  /** Whether any configuration is known. */
+  /** Whether a configuration is known. */
   get hasRoutes(): boolean {
     return this.feed.routes !== undefined;
   }
 
-  /** Whether routes and targets are known. */
+  /** Whether a configuration and a listing of the targets are known. */
   get isInitialised(): boolean {
     return this.hasRoutes && this.feed.hasTargetListing;
   }
 
-  /** Whether the store's listing must be read again though nothing in it has changed. */
+  /** Whether missing targets are kept for now, so that the listing is read again though it is unchanged. */
   get isInGracePeriod(): boolean {
     return isInGracePeriod(this.feed, this.ports.clock.now());
   }
 
-  /** What is known, with the listed proxies, for another process. */
+  /** Encodes the configuration, the targets and the listed proxies for another process. */
   encodeForPeer(proxies: readonly Proxy[]): string {
     return JSON.stringify({ scene: encodeSnapshot(this.feed), proxies });
   }
 
-  /** Notes that the store has answered what was asked at `askedAt`. */
+  /** Records that the store answered a request sent at `askedAt`. */
   recordStoreAnswer(askedAt: number): void {
     this.feed = recordStoreAnswer(this.feed, askedAt);
   }
 
+  /** Adopts a configuration unless it is older than the known one, and logs its faulty entries. */
   updateRoutes(routes: RouteTable): void {
     const before = this.feed;
     this.feed = applyRoutes(this.feed, routes);
     if (this.feed !== before) this.logInvalidTeams(routes.invalidEntries ?? []);
   }
 
-  /** Takes in the store's listing of the targets. */
+  /** Adopts the store's listing of the targets and logs its invalid entries. */
   updateTargets(listing: TargetListing): void {
     const now = this.ports.clock.now();
     this.feed = applyTargets(this.feed, listing, now);
@@ -90,18 +94,18 @@
     this.logInvalidEntries([...listing.invalidEntries, ...listTargetsOfUnknownGroups(this.feed)]);
   }
 
-  /** Takes in what a peer knows; gives the proxies that it lists, or nothing where it can't be read. */
+  /** Adopts a peer's data. Returns the proxies that it lists; undefined when the data is malformed. */
   updateFromPeer(text: string | undefined): readonly Proxy[] | undefined {
-    const known = decodeServingConfig(text);
-    const snapshot = decodeSnapshot(known?.scene ?? "");
-    if (known === undefined || snapshot === undefined) return undefined;
+    const decoded = decodeServingConfig(text);
+    const snapshot = decodeSnapshot(decoded?.scene ?? "");
+    if (decoded === undefined || snapshot === undefined) return undefined;
     this.updateRoutes(snapshot.routes);
     const listing = { targets: snapshot.targets, invalidEntries: [] };
     this.feed = applyTargets(this.feed, listing, this.ports.clock.now());
-    return known.proxies;
+    return decoded.proxies;
   }
 
-  /** Puts what was taken in into force. */
+  /** Builds the serving configuration from what was adopted and passes it on. */
   publish(): void {
     const before = this.current;
     this.current = buildServingConfig(this.feed);
@@ -113,45 +117,46 @@
     this.ports.onServingConfig(this.current);
   }
 
-  /** Reads what was written down of the targets, unless it is known. */
+  /** Reads the recorded targets unless they are known. */
   loadRecords(): Promise<void> {
     return this.recorder.load();
   }
 
-  /** Writes down what is known of the targets; not while missing entries may come back. */
+  /** Records the known targets in the store, except while missing entries may still reappear. */
   async updateRecords(): Promise<void> {
     if (!this.isInGracePeriod) await this.recorder.update(this.feed);
   }
 
-  /** Adds to the first listing what was written down and is missing there. */
+  /** Adds the recorded targets that are missing from the first listing. */
   private restoreFromRecords(listing: TargetListing, now: number): void {
-    const { knownRecords: known } = this.recorder;
-    if (this.hasCheckedRecords || known === undefined) return;
+    const { knownRecords } = this.recorder;
+    if (this.hasCheckedRecords || knownRecords === undefined) return;
     this.hasCheckedRecords = true;
     const before = this.feed.targets.size;
-    this.feed = restoreMissingTargets(this.feed, listing, known, now);
+    this.feed = restoreMissingTargets(this.feed, listing, knownRecords, now);
     const targets = this.feed.targets.size - before;
     if (targets > 0) this.ports.logger.write(nodeEvents.targetsRecalled, { targets });
   }
 
-  /** One line a configuration, however many of its teams something is wrong with. */
-  private logInvalidTeams(faults: readonly InvalidEntry[]): void {
-    if (faults.length === 0) return;
-    const first = faults.slice(0, maxLoggedTeams).map(({ name, field }) => `${name}: ${field}`);
-    this.ports.logger.write(nodeEvents.teamsRefused, { count: faults.length, first });
+  /** Writes one line for each configuration, however many of its entries are faulty. */
+  private logInvalidTeams(entries: readonly InvalidEntry[]): void {
+    if (entries.length === 0) return;
+    const first = entries.slice(0, maxLoggedTeams).map(({ name, field }) => `${name}: ${field}`);
+    this.ports.logger.write(nodeEvents.teamsRefused, { count: entries.length, first });
   }
 
-  /** Says once of each entry why it names no target: it stands in the list for as long as it likes. */
-  private logInvalidEntries(refused: readonly InvalidEntry[]): void {
-    const known = this.loggedInvalidEntries;
-    for (const { name, field } of refused) {
-      if (known.get(name) !== field)
+  /** Logs each invalid entry once, since it may stay in the listing for an unlimited time. */
+  private logInvalidEntries(entries: readonly InvalidEntry[]): void {
+    const logged = this.loggedInvalidEntries;
+    for (const { name, field } of entries) {
+      if (logged.get(name) !== field)
         this.ports.logger.write(nodeEvents.entryRefused, { name, field });
     }
-    this.loggedInvalidEntries = new Map(refused.map(({ name, field }) => [name, field]));
+    this.loggedInvalidEntries = new Map(entries.map(({ name, field }) => [name, field]));
   }
 }
 
+/** Sent to other proxies as JSON under these field names. */
 interface EncodedServingConfig {
   readonly scene: string;
   readonly proxies: readonly Proxy[];
@@ -162,7 +167,7 @@
   try {
     return JSON.parse(text) as EncodedServingConfig;
   } catch {
-    // A peer of another version of the program; the next one is asked.
+    // The peer runs another version of the program; the caller asks the next peer.
     return undefined;
   }
 }
--- a/src/node/settings.ts
+++ b/src/node/settings.ts
@@ -1,34 +1,35 @@
 import type { Address } from "../model/index.js";
 import type { RateBounds } from "../rates/index.js";
 
-/** What one node of direct serving is told of its place. Times in milliseconds. */
+/** The settings of one directly serving node. Times are in milliseconds. */
 export interface NodeSettings {
   readonly vm: string;
   readonly dataCentre: string;
+  /** Where callers connect. */
   readonly callers: Address;
-  /** Where the balancer asks whether to send callers here. */
+  /** Where the load balancer asks whether to send callers here. */
   readonly readiness: Address;
-  /** Where other proxies reach this one; without it this one takes no part in changes of primary. */
+  /** Where other proxies reach this one; when undefined, it takes no part in changes of primary. */
   readonly peers: Address | undefined;
-  /** Where other nodes' statements are taken; without it this node serves its own callers alone. */
+  /** Where other nodes forward statements to; when undefined, this node serves only its own callers. */
   readonly gateway: Address | undefined;
-  /** The processor that this node may use, in cores. */
+  /** The processor capacity that this node may use, in cores. */
   readonly power: number;
-  /** Data centres of the deployment. */
+  /** The number of data centres of the deployment. */
   readonly dataCentres: number;
-  /** Peer addresses of some other proxies, for a start without the store; they may be stale. */
+  /** Peer addresses of some other proxies, for a start while the store is unavailable; may be stale. */
   readonly seeds: readonly Address[];
   readonly store: Address;
-  /** Where the order to promote goes. */
+  /** The service that promotes targets. */
   readonly promotionAddress: Address;
-  /** From the signal to end until the process is killed. */
+  /** From the termination signal until the process is killed. */
   readonly graceMs: number;
-  /** How long a leaving target may still get work. */
+  /** How long a leaving target may still be sent statements. */
   readonly targetDrainMs: number;
-  /** A configuration must be in force everywhere this long after it was accepted. */
+  /** Time within which every proxy must apply an accepted configuration. */
   readonly configurationApplyMs: number;
-  /** How strictly teams' rates are judged. */
+  /** Tolerances within which the teams' rate limits must hold. */
   readonly rateBounds: RateBounds;
-  /** Reads that the store takes from all proxies together. */
+  /** Reads per second that the store accepts from all proxies together. */
   readonly storeReadsPerSecond: number;
 }
--- a/src/node/target-status.ts
+++ b/src/node/target-status.ts
@@ -7,26 +7,29 @@
 import type { TargetLink } from "../statement/index.js";
 import type { NodeAdapter } from "./ports.js";
 
-/** What a questioner needs. */
+/** The dependencies of `TargetStatusClient`. */
 export interface TargetStatusClientPorts {
   readonly adapter: Pick<NodeAdapter, "dialer" | "parseReport">;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly listTargets: (group: string) => readonly AnnouncedTarget[];
-  /** Whether a group's primary has answered a statement of this node since `since`. */
+  /** Whether the target, as the group's primary, has answered a statement of this node since `since`. */
   readonly hasReached: (group: string, target: string, since: number) => boolean;
 }
 
-/** A probe opens a connection, 12 ms and one of the target's slots, behind what those slots work on. */
+/**
+ * In milliseconds. Opening a connection takes 12 ms and one of the target's slots, after any wait for
+ * the statements that occupy the slots.
+ */
 const probeTimeoutMs = 200;
-/** Between two tries to ask a target whose slots are all taken: the shortest work. */
+/** Pause before a target with no free slot is asked again, in milliseconds: the shortest statement. */
 const busyRetryMs = 5;
 
-/** Asks targets over fresh connections: one in use may be silent while the target lives. */
+/** Asks targets over new connections, since an existing one may be dead while its target is alive. */
 export class TargetStatusClient {
   constructor(private readonly ports: TargetStatusClientPorts) {}
 
-  /** Whether a target takes a connection, or refuses one: both are signs of life. */
+  /** Whether a target accepts or refuses a connection; either shows that it is alive. */
   async probe(group: string, name: string): Promise<boolean> {
     const target = this.findTarget(group, name);
     if (target === undefined) return false;
@@ -41,6 +44,7 @@
     }
   }
 
+  /** Reads a target's status, or demotes it; `alive` when it only showed that it is running. */
   async ask(question: TargetQuestion, timeoutMs: number): Promise<TargetAnswer> {
     const { group, target, demoteRound } = question;
     const listed = this.findTarget(group, target);
@@ -60,7 +64,7 @@
     }
   }
 
-  /** The target refuses while all its slots are taken: asked again until the time is over. */
+  /** Repeats the command until `until` while the target refuses it for want of a free slot. */
   private async askOverLink(
     link: TargetLink,
     demoteRound: number | undefined,
@@ -73,7 +77,7 @@
         : ({ type: "demote", round: demoteRound } as const);
     for (;;) {
       const result = await link.run(command, until - clock.now());
-      // It has just taken the connection.
+      // The target has just accepted the connection.
       if (result.type === "broken") return { type: "alive" };
       const { end } = result.reply;
       if (end.type === "complete") {
--- a/test/node/change.test.ts
+++ b/test/node/change.test.ts
@@ -23,9 +23,9 @@
 const readAll = (text: string) =>
   Promise.all(cluster.nodes.map(async (_, i) => (await cluster.open("primary", i)).query(text)));
 
-// The primary crashes and its entry goes. One of the proxies takes the duty, tells the others, and has
-// the replica with the longest log promoted; callers write again, and what was written is there.
-test("a crashed primary is replaced, once, and callers go on", async () => {
+// The primary crashes and its entry expires. One proxy acquires the right to change primaries, notifies the
+// others and has the replica with the longest log promoted. Callers can write again and no write is lost.
+test("a crashed primary is replaced exactly once and callers can continue", async () => {
   cluster = await Cluster.start({ nodes: 3 });
   const client = await cluster.open("primary");
   await client.query("WRITE cello taken");
@@ -43,9 +43,9 @@
   expect(leadership()?.holder).toBeNull();
 });
 
-// The platform announces that the primary leaves. It is demoted first and its last commits reach a
-// replica, which then leads: nothing that was acknowledged is lost.
-test("a leaving primary hands over without losing a commit", async () => {
+// The platform announces that the primary leaves. It is demoted first, and its last commits reach a replica
+// before that is promoted, so that no acknowledged commit is lost.
+test("a leaving primary is replaced without losing a commit", async () => {
   cluster = await Cluster.start({ nodes: 3 });
   const client = await cluster.open("primary");
   await client.query("WRITE cello taken");
@@ -53,7 +53,7 @@
   await client.query("WRITE viola taken");
   cluster.announce(cluster.target(0), "draining");
   await waitUntil(() => cluster.target(0).member.role === "replica");
-  // What the demoted primary holds arrives at the replicas a little later.
+  // The demoted primary's log reaches the replicas a little later.
   for (const target of cluster.targets) target.member.log = cluster.target(0).member.log;
   cluster.log.isCopying = true;
   await waitUntil(isSettled);
@@ -61,9 +61,9 @@
   expect(cluster.log.findPrimary()?.log).toHaveLength(2);
 });
 
-// The store loses the answer to the write that takes the duty. It may have taken effect: read back, it
-// has, and the change goes on under one holder with growing tokens.
-test("a lost answer of the store does not stop a change, nor make two holders", async () => {
+// The store's answer to the write that acquires the right to change primaries is lost. The document is read
+// back, which shows that the write took effect; the change continues with one holder and increasing tokens.
+test("a lost answer of the store neither stops a change nor leads to two holders", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   await (await cluster.open("primary")).query("WRITE cello taken");
   cluster.store.loseAnswers = 1;
@@ -76,9 +76,9 @@
   expect(new Set(cluster.store.orders.map((order) => order.holder)).size).toBe(1);
 });
 
-// The platform promotes a target and its answer is lost. The same order is given again, which changes
-// nothing, and the group is led by that target.
-test("a lost answer to the order to promote is followed by the same order", async () => {
+// The platform promotes a target, but its answer is lost. The same request is repeated, which has no further
+// effect, and that target is the primary.
+test("a promotion whose answer is lost is requested again for the same target", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   await (await cluster.open("primary")).query("WRITE cello taken");
   await cluster.target(0).crash();
@@ -94,8 +94,9 @@
   expect(cluster.log.findPrimary()?.id).toBe(cluster.store.orders[0]?.id);
 });
 
-// The holder of the duty dies half-way: its document says that the group's primary is being changed,
-// and stays as it is. Another proxy takes over after its time, with a greater token.
+// The proxy that holds the right to change primaries dies during a change, and its document, which states that
+// the group's primary is being changed, is no longer renewed. After a timeout another proxy takes over, with a
+// higher token.
 test("a change whose holder died is taken over", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   cluster.store.set("radishwalk-leadership", "current", {
@@ -109,9 +110,9 @@
   await waitUntil(async () => (await client.query("WRITE cello taken")).startsWith("COMPLETE"));
 });
 
-// The store is away for everybody. No change of primary can begin, and the proxies confirm to each
-// other that they know of none: callers go on writing and reading at the primary.
-test("the store's outage does not stop primaries from being used", async () => {
+// No proxy can reach the store, so no change of primary can begin. The proxies confirm to each other that they
+// know of none, and callers can still write and read at the primary.
+test("primaries are used during an outage of the store", async () => {
   cluster = await Cluster.start({ nodes: 3 });
   const client = await cluster.open("primary");
   await client.query("WRITE cello taken");
@@ -124,8 +125,8 @@
   }
 });
 
-// A proxy starts together with another, and the store goes away before it has seen the other's entry.
-// Counting itself alone it would be a majority; it must stop using the primary all the same.
+// Two proxies start together, and the store becomes unavailable before one has seen the other's entry. That one
+// would be a majority by itself according to its list; it must nevertheless stop using the primary.
 test("a proxy that has not seen the others yet does not confirm itself", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   const client = await cluster.open("primary", 1);
@@ -134,9 +135,9 @@
   await waitUntil(async () => (await client.query("READ cello")).startsWith("ERROR BUSY"));
 });
 
-// A proxy is cut off from the store and from the other proxies, but still reaches the primary. It
-// could go on reading there after a change that it does not hear of; so it stops by itself.
-test("a proxy that nobody confirms stops using the primary", async () => {
+// A proxy reaches neither the store nor other proxies, but still reaches the primary. It could continue to
+// read there after a change of primary that it doesn't learn of, so it stops when its permit expires.
+test("a proxy without a confirmation stops using the primary", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   const client = await cluster.open("primary", 1);
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
@@ -148,8 +149,8 @@
   await waitUntil(async () => (await client.query("READ cello")).startsWith("DATAROW taken"));
 });
 
-// The primary stops answering while it is still listed, as in a cut: statements run into their time.
-// No proxy reaches it, so that it is replaced without waiting for its entry to lapse.
+// The primary stops answering while it is still listed, as in a network partition, and statements time out.
+// No proxy reaches it, so it is replaced without waiting until its entry expires.
 test("a silent primary is replaced", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   const client = await cluster.open("primary");
@@ -159,10 +160,9 @@
   expect(cluster.store.orders[0]?.id).not.toBe("i-0");
 });
 
-// The primary goes dark while a write waits for its answer, which may take 20 s on this route. Nobody
-// else has a connection to it, so that no second failure shows it; it is replaced all the same, long
-// before the write is given up.
-test("a dark primary is replaced while a statement still waits for it", async () => {
+// The primary stops answering while a write waits for it, with a timeout of 20 s on this route. There is no
+// other connection whose failure would confirm this; it is replaced nevertheless, long before the timeout.
+test("a silent primary is replaced while a statement still waits for it", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   cluster.setRoutes({ timeoutMs: 20_000 });
   const client = await cluster.open("primary");
@@ -179,9 +179,8 @@
   await write;
 });
 
-// A configuration of an older version comes from a store that answers out of date, and later the newer
-// one again. The older is never in force.
-test("an older configuration never comes back", async () => {
+// The store returns an outdated configuration after a newer one. The older one is never applied.
+test("an older configuration is never applied after a newer one", async () => {
   cluster = await Cluster.start({ nodes: 1 });
   const client = await cluster.open("stale");
   const old = cluster.store.find("config", "main");
@@ -192,9 +191,8 @@
   expect(await client.query("READ x")).toMatch(/^ERROR NODB/);
 });
 
-// The configuration that the store holds can't be read. The last good one stays in force, and the log
-// says so.
-test("a configuration that does not parse changes nothing", async () => {
+// The stored configuration can't be decoded. The last valid one stays in force, and the fault is logged.
+test("a malformed configuration is logged and not applied", async () => {
   cluster = await Cluster.start({ nodes: 1 });
   const client = await cluster.open("primary");
   cluster.store.set("config", "main", { version: 99, routes: "none" });
@@ -202,9 +200,9 @@
   expect(await client.query("READ x")).toMatch(/^DATAROW/);
 });
 
-// A node is asked to end while a caller's write is at the target and another caller is in the middle
-// of a transaction. Both get their whole answers; the connections close between operations.
-test("a drain cuts off no request", async () => {
+// A node is asked to shut down while one caller's write runs at the target and another caller has a
+// transaction open. Both get complete answers; the connections are closed between operations.
+test("a drain interrupts no request", async () => {
   cluster = await Cluster.start({ nodes: 1, workMs: 100 });
   const first = await cluster.open("primary");
   const second = await cluster.open("primary");
@@ -218,9 +216,9 @@
   await waitUntil(() => first.isClosed && second.isClosed);
 });
 
-// A node is asked to end, and the primary goes away afterwards. Were the node still listed, the change
-// would wait until its permission is over; it took itself out, after giving the permission up.
-test("a node that was drained is not waited for by the next change", async () => {
+// A node shuts down, and then the primary fails. If the node were still listed, the change of primary would
+// wait until its permit expires; but it revoked its permit and then deregistered.
+test("a change of primary does not wait for a drained node", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   await waitUntil(() => cluster.isListed());
   const client = await cluster.open("primary", 0);
@@ -236,9 +234,9 @@
   expect(told.map((line) => line.fields.silent)).toEqual(told.map(() => 0));
 });
 
-// A node loses its power for good. The next change of primary finds it silent, waits it out and marks its
-// entry, which is removed some time later: the change after that waits for nobody.
-test("the entry of a node that is gone for good is removed", async () => {
+// A node loses power and does not return. The next change of primary gets no answer from it, waits until its
+// permit expires and marks its entry as missed. The entry is removed later, so that no further change waits.
+test("the entry of a node that does not return is removed", async () => {
   cluster = await Cluster.start({ nodes: 2 });
   await waitUntil(() => cluster.isListed());
   await (await cluster.open("primary", 0)).query("WRITE cello taken");
@@ -251,9 +249,9 @@
   expect(find("vm-0")?.missed).toBeUndefined();
 });
 
-// A change found a node silent, which lives after all. It takes the mark off its entry, and uses
-// primaries only once that is done.
-test("a node that was missed says that it lives", async () => {
+// A change of primary marked a node as missed that is running. The node removes the mark from its entry, and
+// uses primaries again only after that.
+test("a running node removes the mark of a missed proxy from its entry", async () => {
   cluster = await Cluster.start({ nodes: 1 });
   const client = await cluster.open("primary");
   await client.query("WRITE cello taken");
--- a/test/node/cluster.ts
+++ b/test/node/cluster.ts
@@ -10,7 +10,7 @@
 
 export const service = "ledger";
 
-/** A line of a node's log, for tests that look for a decision. */
+/** A line of a node's log, so that tests can check that an event occurred. */
 export interface LogLine {
   readonly vm: string;
   readonly event: LogEvent;
@@ -22,15 +22,15 @@
   readonly nodes?: number;
   readonly slots?: number;
   readonly workMs?: number;
-  /** Whether nodes take each other's statements, so that not all of them need be listed. */
+  /** Whether nodes forward statements to each other, so that not all of them have to be listed. */
   readonly gateways?: boolean;
-  /** How strictly teams' rates are judged; not at all beyond them by default. */
+  /** Tolerances of the teams' rate limits; none by default. */
   readonly rateBounds?: RateBounds;
-  /** Connections that each target takes. */
+  /** The number of connections that each target accepts. */
   readonly connections?: number;
 }
 
-/** A team as the operators write it. */
+/** A team in the operators' configuration format. */
 export interface TenantEntry {
   readonly name: string;
   readonly "api-keys": readonly string[];
@@ -38,17 +38,18 @@
   readonly burst?: number;
 }
 
-/** What a configuration says besides the usual. */
+/** The differences of a configuration from the default one. */
 export interface RouteChange {
   readonly timeoutMs?: number;
+  /** The database that is left out. */
   readonly without?: string;
-  /** Teams; without them callers need no keys. */
+  /** Teams; if undefined, callers need no keys. */
   readonly tenants?: readonly TenantEntry[];
-  /** Databases that are open to all. */
+  /** Databases that any caller may use. */
   readonly open?: readonly string[];
 }
 
-/** A store, one group's targets and some nodes, all in this process. */
+/** A store, the targets of one group and some nodes, all in this process. */
 export class Cluster {
   readonly store = new StandinMetadata();
   readonly log = new StandinLog();
@@ -116,7 +117,7 @@
     this.store.set("config", "main", { version: this.version, routes, services, limits, ...teams });
   }
 
-  /** Writes a target's entry as its heartbeat does. */
+  /** Writes a target's entry into the store as its heartbeat does. */
   announce(target: StandinLineTarget, state: "ready" | "draining" = "ready"): void {
     const { host, port } = target.address;
     this.store.set("servers", target.id, {
@@ -133,7 +134,7 @@
     });
   }
 
-  /** Whether every node has seen all others in the store. */
+  /** Whether every node has read a listing with all nodes. */
   isListed(): boolean {
     return this.settings.every(({ vm }) =>
       this.lines.some(
@@ -226,7 +227,7 @@
   }
 }
 
-/** A caller that speaks lines and waits for each answer. */
+/** A caller that uses the line protocol and awaits each answer. */
 export class Client {
   private rest = "";
   private readonly answers: string[] = [];
@@ -263,13 +264,13 @@
     this.socket.write(text, "latin1");
   }
 
-  /** Sends a line and gives its whole answer, lines joined; `closed` when the connection ended. */
+  /** Sends a line and returns the lines of its answer, joined; `closed` when the connection has ended. */
   ask(line: string): Promise<string> {
     this.send(`${line}\r\n`);
     return this.read();
   }
 
-  /** Sends a statement under an id of its own; the answer leaves the positions out. */
+  /** Sends a statement with a unique id and returns its answer without the log position. */
   async query(text: string): Promise<string> {
     const id = `${this.name}-${this.next}`;
     this.next += 1;
@@ -302,23 +303,23 @@
     }
   }
 
-  private settle(instead?: string): void {
+  private settle(fallback?: string): void {
     const { waiting } = this;
-    const answer = this.answers[0] === undefined ? instead : this.answers.shift();
+    const answer = this.answers[0] === undefined ? fallback : this.answers.shift();
     if (waiting === undefined || answer === undefined) return;
     this.waiting = undefined;
     waiting(answer);
   }
 }
 
-/** Ends a wait whose condition never holds: a test that failed must not keep its process up. */
+/** Ends a wait whose condition never holds, so that a failed test does not keep its process running. */
 const maxWaitMs = 60_000;
 
 /** Waits until a condition holds. */
 export async function waitUntil(holds: () => boolean | Promise<boolean>): Promise<void> {
   const until = Date.now() + maxWaitMs;
   while (!(await holds())) {
-    if (Date.now() > until) throw new Error("the condition never held");
+    if (Date.now() > until) throw new Error("timed out waiting for the condition");
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
 }
--- a/test/node/follower.test.ts
+++ b/test/node/follower.test.ts
@@ -32,11 +32,11 @@
 const found = <T>(value: T) => Promise.resolve({ type: "found", value } as const);
 const done = () => Promise.resolve(true);
 
-/** A store that lists this proxy and nothing else, and counts the looks at it. */
+/** A store that lists only this proxy, and counts the polls. */
 class CountingStore implements NodeStore {
-  looks = 0;
+  polls = 0;
   readStatus: NodeStore["readStatus"] = () => {
-    this.looks += 1;
+    this.polls += 1;
     const leadership = { version: 1, document: emptyLeadership };
     return found({ leadership, revision: 7 });
   };
@@ -62,22 +62,22 @@
   dispose = () => undefined;
 }
 
-/** A store that answers nothing until `backAt`. */
-class AwayStore extends CountingStore {
+/** A store that is unavailable until `availableAt`. */
+class UnavailableStore extends CountingStore {
   constructor(
     private readonly clock: FakeClock,
-    private readonly backAt: number,
+    private readonly availableAt: number,
   ) {
     super();
   }
 
   override readStatus: NodeStore["readStatus"] = () => {
-    this.looks += 1;
-    if (this.clock.time < this.backAt) return unavailable();
+    this.polls += 1;
+    if (this.clock.time < this.availableAt) return unavailable();
     return found({ leadership: { version: 1, document: emptyLeadership }, revision: 7 });
   };
   override readRoutes: NodeStore["readRoutes"] = () =>
-    this.clock.time < this.backAt
+    this.clock.time < this.availableAt
       ? unavailable()
       : found({
           revision: 1,
@@ -92,11 +92,11 @@
   return Promise.resolve({ type: "unavailable", reason: "away" } as const);
 }
 
-// All nodes lose their power and start again while the store is away. Every caller waits for its return;
-// nodes that forward statements spare the store otherwise, and must not now.
-test("a node that starts while the store is away knows the scene soon after its return", async () => {
+// All nodes restart after a power failure while the store is unavailable, and all callers wait for its return.
+// Unlisted nodes normally poll the store rarely; in this case they must not.
+test("a node that starts during an outage of the store is initialised soon after its return", async () => {
   const clock = new FakeClock();
-  const store = new AwayStore(clock, 1000);
+  const store = new UnavailableStore(clock, 1000);
   const tracker = new LeadershipKeeper({
     clock,
     logger: silentLogger,
@@ -121,18 +121,18 @@
   void follower.run();
   await clock.advance(1200);
   expect(follower.isInitialised).toBe(true);
-  expect(store.looks).toBeLessThan(12);
+  expect(store.polls).toBeLessThan(12);
   follower.stop();
 });
 
-/** Peers that are silent, but for the seed's word. */
+/** Peers that answer nothing but a seed's request for the configuration. */
 class SeedPeers extends DirectPeerClient {
-  constructor(private readonly scene: () => string) {
+  constructor(private readonly getSnapshot: () => string) {
     super("vm-1", silentLogger);
   }
 
   override share = () => Promise.resolve(undefined);
-  override fetchScene = () => Promise.resolve(this.scene());
+  override fetchScene = () => Promise.resolve(this.getSnapshot());
 }
 
 const target = (name: string): AnnouncedTarget => ({
@@ -144,10 +144,10 @@
   announcedRole: "primary",
 });
 
-// A node that forwards statements has read the store, and asks a seed since nobody answers it. The seed is
-// cut off and knows of a target that is gone. Nothing changes in the store; the node's next look there has
-// to bring the targets of today back all the same.
-test("what a seed says never outlives the next look at the store", async () => {
+// An unlisted node has read the store, and asks a seed since no listed proxy answers. The seed can't reach the
+// store and has an outdated list of targets. Although nothing changes in the store, the node's next poll has
+// to restore the current targets.
+test("a seed's data is replaced at the next poll of the store", async () => {
   const clock = new FakeClock();
   const store = new CountingStore();
   const routes = {
@@ -196,16 +196,16 @@
   expect(list()).toEqual(["today"]);
   for (let ms = 0; ms < 4000 && list()?.[0] === "today"; ms += 50) await clock.advance(50);
   expect(list()).toEqual(["gone"]);
-  const { looks } = store;
-  for (let ms = 0; ms < 6000 && store.looks === looks; ms += 50) await clock.advance(50);
+  const { polls } = store;
+  for (let ms = 0; ms < 6000 && store.polls === polls; ms += 50) await clock.advance(50);
   await settle();
   expect(list()).toEqual(["today"]);
   follower.stop();
 });
 
-// The time of day jumps. Nothing that was confirmed before counts any more, and callers of primaries wait
-// until the next look; it comes at once, not with the usual pause of 0.7 s.
-test("a proxy that is woken looks at the store at once", async () => {
+// The wall clock jumps, which voids the confirmation, and callers of primaries wait for the next poll. It
+// takes place at once instead of after the usual delay of 0.7 s.
+test("a proxy that is woken polls the store at once", async () => {
   const clock = new FakeClock();
   const store = new CountingStore();
   let wall = 0;
@@ -232,13 +232,13 @@
   });
   void follower.run();
   await clock.advance(300);
-  const before = store.looks;
+  const before = store.polls;
   expect(tracker.confirmedAt).toBeDefined();
   wall = 5000;
   expect(tracker.confirmedAt).toBeUndefined();
   clock.skip(1);
   await settle();
-  expect(store.looks).toBe(before + 1);
+  expect(store.polls).toBe(before + 1);
   expect(tracker.confirmedAt).toBeDefined();
   follower.stop();
 });
--- a/test/node/gateways.test.ts
+++ b/test/node/gateways.test.ts
@@ -5,8 +5,8 @@
 
 afterEach(() => cluster.dispose());
 
-/** Five connections a target: two places for proxies. */
-const few = { nodes: 5, gateways: true, connections: 5, workMs: 5 } as const;
+/** With five connections to each target, two proxies may be listed. */
+const clusterOptions = { nodes: 5, gateways: true, connections: 5, workMs: 5 } as const;
 
 const listListed = () =>
   cluster.settings
@@ -18,11 +18,11 @@
   cluster.settings.map((_, i) => i).filter((i) => !listListed().includes(i));
 
 /**
- * Starts a cluster whose nodes all answer and know of two gateways. Before that a node whose only one leaves
- * refuses its callers until it hears of another.
+ * Starts a cluster and waits until every node answers and knows two gateways. A node that knows only one
+ * refuses its callers when that one leaves, until it learns of another.
  */
 async function start(): Promise<void> {
-  cluster = await Cluster.start(few);
+  cluster = await Cluster.start(clusterOptions);
   for (const [i] of cluster.nodes.entries()) {
     await waitUntil(async () => {
       const client = await cluster.open("primary", i);
@@ -38,9 +38,9 @@
       line.vm === vm && line.event.name === "proxiesListed" && Number(line.fields.proxies) >= 2,
   );
 
-// Five nodes and places for two. The others hold no connection and have no entry in the store; their
-// callers write and read all the same, over the connections of the two.
-test("nodes beyond the places forward their callers' statements, and no target has too many", async () => {
+// Of five nodes, two may be listed. The others hold no connections to targets and have no entry in the store;
+// their callers' statements run over the connections of the two.
+test("unlisted nodes forward their callers' statements, and no target gets too many connections", async () => {
   await start();
   const listed = listListed();
   expect(listed.length).toBeGreaterThanOrEqual(2);
@@ -60,9 +60,8 @@
   expect(cluster.targets.map((target) => target.refusedConnections)).toEqual([0, 0, 0]);
 }, 60_000);
 
-// A session writes at one node and reads at another, each with another gateway perhaps. What it was told
-// of must be there.
-test("a session's reads see its writes whoever runs them", async () => {
+// A session's writes and reads may run at different gateways. A read must see every acknowledged write.
+test("a session's reads see its writes whichever gateway runs them", async () => {
   await start();
   cluster.log.isCopying = false;
   const client = await cluster.open("own", listUnlisted()[0]);
@@ -72,9 +71,9 @@
   }
 }, 60_000);
 
-// One of the two gateways leaves as a release of the program makes it. Its place is taken by another, and
-// the callers of nodes that forward notice nothing.
-test("a gateway that leaves cuts nothing off, and another takes its place", async () => {
+// One of the two gateways shuts down, as for a release of the program. Another node registers in its place, and
+// callers of unlisted nodes get no error.
+test("a gateway that leaves interrupts no statement, and another node registers in its place", async () => {
   await start();
   const [leaving = 0] = listListed();
   const unlisted = listUnlisted();
--- a/test/node/keys.test.ts
+++ b/test/node/keys.test.ts
@@ -17,11 +17,11 @@
   });
 }
 
-/** The names that connections were opened for, by the id of what ran on them. */
+/** The teams whose connections a statement ran on, one entry for each run. */
 const listTeams = (text: string) =>
   cluster.targets.flatMap((t) => t.runs.filter((run) => run.text === text).map((run) => run.team));
 
-/** Waits until a revision of the configuration is in force at every node. */
+/** Waits until every node has applied a revision of the configuration. */
 const waitForRevision = (revision: number) =>
   waitUntil(() =>
     cluster.settings.every(({ vm }) =>
@@ -34,8 +34,8 @@
     ),
   );
 
-// Callers of two teams send at once and share what the targets take. A connection tells its target a
-// team's name when it is opened: used for another, a statement would be run in the wrong name.
+// Callers of two teams send at the same time and share the targets' connections. A connection is opened in the
+// name of one team; a statement of another team on it would run under the wrong name.
 test("each statement runs on a connection that was opened for its caller's team", async () => {
   await start();
   const clients = await Promise.all(
@@ -51,7 +51,7 @@
   expect(listTeams("WRITE bow cello")).toHaveLength(10);
 });
 
-test("a key that no team holds opens no session, but where the database is open to all", async () => {
+test("an unknown key opens a session only for a public database", async () => {
   await start();
   const denied = await cluster.connect();
   denied.send("STARTUP primary nobody's\r\n");
@@ -62,8 +62,8 @@
   expect(listTeams("READ bow")).toEqual(["radishwalk"]);
 });
 
-// The log is read by many, and sent elsewhere. A key that stands there can be used by whoever reads it.
-test("no line of the log holds a key", async () => {
+// The log is read by many people and sent to other systems. A key in it could be used by any reader.
+test("no log line contains a key", async () => {
   await start();
   const denied = await cluster.connect();
   denied.send("STARTUP primary a-secret\r\n");
@@ -78,10 +78,9 @@
   expect(text).not.toMatch(/a-secret|key-c1/);
 });
 
-// A key is taken away while its caller's session rests, and while another's transaction is open. The
-// first is closed between two operations; of the second nothing may be kept, and no further statement of
-// it may run.
-test("a key that is taken away ends its sessions and rolls back their transactions", async () => {
+// A key is revoked while one of its sessions is idle and another has a transaction open. The idle one is
+// closed; nothing of the transaction may be committed, and no further statement of it may run.
+test("revoking a key ends its sessions and rolls back their transactions", async () => {
   await start();
   const resting = await cluster.open("primary", 0, "key-c1");
   const inside = await cluster.open("primary", 0, "key-c1");
@@ -97,9 +96,9 @@
   expect(await other.query("READ bow")).toContain("DATAROW none");
 });
 
-// The same key is given to another team while its caller has a transaction open. The next operation is
-// the new team's; the open transaction stands on a connection of the old one, and is rolled back.
-test("a key that is given to another team runs in that team's name from the next operation on", async () => {
+// A key is assigned to another team while its caller has a transaction open. The next operation belongs to the
+// new team; the open transaction uses a connection of the old team and is rolled back.
+test("a reassigned key runs under the new team's name from the next operation on", async () => {
   await start();
   const client = await cluster.open("primary", 0, "key-c1");
   await client.query("BEGIN");
@@ -113,9 +112,9 @@
   expect(await client.query("READ bow")).toContain("DATAROW of-viola");
 });
 
-// Right after its start a node knows no configuration. Told that its key is unknown a caller would give
-// up for good, though the key is good.
-test("a caller that comes before any configuration is known is not told that its key is unknown", async () => {
+// A node that has just started knows no configuration. A caller with a valid key would give up for good if it
+// were told that the key is unknown.
+test("before a configuration is known, a caller is told to retry and not that its key is unknown", async () => {
   cluster = await Cluster.start({ nodes: 0 });
   cluster.store.remove("config", "main");
   await cluster.addNode("vm-0");
@@ -124,16 +123,16 @@
   expect(await client.read()).toMatch(/^ERROR BUSY not run: .*try again in \d+ ms$/);
 });
 
-// The store turns one node away while it serves the others, and a key is taken away meanwhile. The node
-// hears of it from its peers: its callers would otherwise go on until the store answers it again.
-test("a node that the store turns away hears from its peers that a key was taken away", async () => {
+// The store does not answer one node while it serves the others, and a key is revoked. The node learns of it
+// from its peers; otherwise the key's callers would be served until the store answers the node again.
+test("a node that can't reach the store learns of a revoked key from its peers", async () => {
   await start(3);
   await waitUntil(() => cluster.isListed());
   const index = 0;
   const session = await cluster.open("primary", index, "key-c1");
   await session.query("WRITE bow taken");
   const settings = cluster.settings[index];
-  if (settings === undefined) throw new Error("there is a node");
+  if (settings === undefined) throw new Error(`no node ${index}`);
   cluster.nodes[index]?.setSettings({ ...settings, store: await findAddress() });
   cluster.setRoutes({ tenants: [{ ...cello, "api-keys": ["key-c2"] }, viola] });
   await waitUntil(() => session.isClosed);
--- a/test/node/poll-delay.test.ts
+++ b/test/node/poll-delay.test.ts
@@ -15,34 +15,38 @@
 };
 const unlisted: PollConditions = { ...listed, isUnlisted: true, isConfirmed: false };
 
-// A configuration passes a reader (0.7 s), a listed node (0.4 s) and one that follows it, each with a tenth
-// of jitter, and must be in force on time.
+// A configuration reaches a reader (0.7 s), then a listed node (0.4 s), then an unlisted one, each with a tenth
+// of jitter, and must be applied in time.
 test.each([3000, 5000, 6000])(
   "a configuration reaches all nodes in seven tenths of %i ms",
   (applyMs) => {
-    const question = { configurationApplyMs: applyMs };
-    const ways = [
-      computePollDelayMs({ ...listed, ...question, isFollowing: false }),
-      computePollDelayMs({ ...listed, ...question }),
-      computePollDelayMs({ ...unlisted, ...question }),
+    const limit = { configurationApplyMs: applyMs };
+    const delays = [
+      computePollDelayMs({ ...listed, ...limit, isFollowing: false }),
+      computePollDelayMs({ ...listed, ...limit }),
+      computePollDelayMs({ ...unlisted, ...limit }),
     ];
-    expect(1.1 * ways.reduce((sum, ms) => sum + ms, 0)).toBeLessThan(0.7 * applyMs);
+    expect(1.1 * delays.reduce((sum, ms) => sum + ms, 0)).toBeLessThan(0.7 * applyMs);
   },
 );
 
-// Two hundred nodes that are not listed find nobody to follow. Their questions must not be what the store is
-// busy with.
-test("a node that is not listed asks seldom, and often only when it started without the store", () => {
+// Two hundred unlisted nodes find no proxy to poll through. Their requests must not overload the store.
+test("an unlisted node polls rarely, and often only when it started during an outage of the store", () => {
   expect(computePollDelayMs({ ...unlisted, isFollowing: false })).toBe(500);
   expect(computePollDelayMs({ ...unlisted, isFollowing: false, isStoreUnavailable: true })).toBe(
     500,
   );
-  const blind = { ...unlisted, isFollowing: false, isStoreUnavailable: true, isInitialised: false };
-  expect(computePollDelayMs(blind)).toBe(150);
+  const startedDuringOutage = {
+    ...unlisted,
+    isFollowing: false,
+    isStoreUnavailable: true,
+    isInitialised: false,
+  };
+  expect(computePollDelayMs(startedDuringOutage)).toBe(150);
 });
 
-test("all looks together take no more than a quarter of the store's reads", () => {
-  const many = { ...listed, isFollowing: false, proxies: 400, storeReadsPerSecond: 400 };
+test("all polls together use at most a quarter of the store's read capacity", () => {
+  const many = { ...listed, isFollowing: false, proxyCount: 400, storeReadsPerSecond: 400 };
   expect(400 / (computePollDelayMs(many) / 1000)).toBeLessThanOrEqual(100);
   expect(computePollDelayMs({ ...listed, isFollowing: false })).toBe(700);
 });
--- a/test/node/proxy-liveness.test.ts
+++ b/test/node/proxy-liveness.test.ts
@@ -9,12 +9,12 @@
 const leadership = { version: 0, document: emptyLeadership };
 const answer = { leadership, made: [], vm: "", listsAsker: true } as unknown as LeadershipAnswer;
 
-/** A reader of data centre a, with the proxies that answer it. */
+/** Creates the monitor of the reader of data centre a, where the proxies in `alive` answer probes. */
 function start(alive: readonly string[]) {
   const clock = new FakeClock();
   const asked: string[] = [];
   const marked: string[] = [];
-  const watch = new ProxyLivenessMonitor({
+  const monitor = new ProxyLivenessMonitor({
     vm: "vm-0",
     dataCentre: "a",
     peers: {
@@ -31,48 +31,48 @@
       return Promise.resolve();
     },
   });
-  return { watch, clock, asked, marked };
+  return { monitor, clock, asked, marked };
 }
 
 const proxies = [makeProxy(0), makeProxy(1), makeProxy(2), makeProxy(3, "b")];
 
-// A gateway loses its power. It asks its reader no more and answers nothing; the reader marks it, so that
-// nothing is forwarded to it and another takes its place.
-test("a listed proxy that asks nothing and does not answer is marked", async () => {
-  const { watch, clock, marked } = start(["vm-1"]);
-  watch.checkProxies(proxies, true);
+// A gateway loses power. It sends its reader no more requests and answers nothing. The reader marks it, so that
+// no statement is forwarded to it and another node registers in its place.
+test("a listed proxy that sends no requests and does not answer is marked as missed", async () => {
+  const { monitor, clock, marked } = start(["vm-1"]);
+  monitor.checkProxies(proxies, true);
   clock.time = 2500;
-  watch.recordContact("vm-1");
-  watch.checkProxies(proxies, true);
+  monitor.recordContact("vm-1");
+  monitor.checkProxies(proxies, true);
   await settle();
   expect(marked).toEqual(["vm-2"]);
 });
 
-// The reader has only just begun to read: nobody has had the time to ask it. One that lives and asks
-// another, since the listings differ, answers the question.
-test("one that lives is not marked, and nobody is asked right after the reading began", async () => {
-  const { watch, clock, asked, marked } = start(["vm-1", "vm-2"]);
+// A process has only just become the reader, so that no proxy has had the time to contact it. A live proxy that
+// uses another reader, because their listings differ, answers the probe.
+test("a live proxy is not marked, and no probe is sent right after the reader began polling", async () => {
+  const { monitor, clock, asked, marked } = start(["vm-1", "vm-2"]);
   clock.time = 60_000;
-  watch.checkProxies(proxies, true);
+  monitor.checkProxies(proxies, true);
   await settle();
   expect(asked).toEqual([]);
   clock.time = 62_500;
-  watch.checkProxies(proxies, true);
+  monitor.checkProxies(proxies, true);
   await settle();
   expect([...asked].sort()).toEqual(["vm-1", "vm-2"]);
   expect(marked).toEqual([]);
 });
 
-test("one that follows another watches nobody", async () => {
-  const { watch, clock, asked } = start([]);
-  watch.checkProxies(proxies, false);
+test("a proxy that does not poll the store itself probes no others", async () => {
+  const { monitor, clock, asked } = start([]);
+  monitor.checkProxies(proxies, false);
   clock.time = 10_000;
-  watch.checkProxies(proxies, false);
+  monitor.checkProxies(proxies, false);
   await settle();
   expect(asked).toEqual([]);
 });
 
-test("neither this process, nor other data centres, nor those that are marked are looked after", () => {
+test("this process, proxies of other data centres and marked ones are not checked", () => {
   const own = { vm: "vm-0", dataCentre: "a", since: 0 };
   const missed = { ...makeProxy(4), isMissed: true };
   const silent = listSilentProxies([...proxies, missed], own, new Map(), 10_000);
--- a/test/node/rates.test.ts
+++ b/test/node/rates.test.ts
@@ -8,7 +8,7 @@
 const bounds = { windowMs: 2000, overage: 0.1, slack: 10 };
 const cello: TenantEntry = { name: "cello", "api-keys": ["key-c"], "rate-per-s": 10, burst: 10 };
 const viola: TenantEntry = { name: "viola", "api-keys": ["key-v"] };
-/** The most that any window may have of cello's operations. */
+/** The highest number of cello's operations that may run in any window. */
 const bound = (10 * 2 + 10) * 1.1 + 10;
 
 async function start(nodes: number): Promise<void> {
@@ -20,11 +20,11 @@
       return (await client.query("READ ready")).includes("COMPLETE i-0.");
     });
   }
-  // Those that have just registered make no tokens before the others know of them.
+  // Nodes that have just registered issue no tokens before the others know of them.
   await new Promise((resolve) => setTimeout(resolve, 11_000));
 }
 
-/** Sends reads of one team without a pause until the time is over; gives the times of those that ran. */
+/** Sends reads of one team without a pause for a time; returns the times of those that succeeded. */
 async function flood(clients: readonly Client[], ms: number): Promise<readonly number[]> {
   const until = Date.now() + ms;
   const ran: number[] = [];
@@ -40,15 +40,14 @@
   return ran.sort((a, b) => a - b);
 }
 
-function countWorst(times: readonly number[]): number {
+function countBusiestWindow(times: readonly number[]): number {
   const counts = times.map((from) => times.filter((t) => t >= from && t < from + bounds.windowMs));
   return Math.max(0, ...counts.map((window) => window.length));
 }
 
-// Callers of one team send as fast as they can at each of several nodes. Each node by itself would let
-// the whole rate through; together they may let through no more than it, and callers of a team without a
-// rate notice nothing.
-test("a team's rate holds over all nodes, and other teams notice nothing", async () => {
+// Callers of one team send as fast as they can to each of several nodes. Each node alone would admit the whole
+// rate; together they must admit no more than that, and a team without a rate is not affected.
+test("a team's rate holds over all nodes, and other teams are not affected", async () => {
   await start(6);
   const hot = await Promise.all([0, 1, 2, 3, 4, 5].map((i) => cluster.open("own", i, "key-c")));
   const calm = await cluster.open("own", 0, "key-v");
@@ -58,7 +57,7 @@
       for (let i = 0; i < 20; i += 1) expect(await calm.query("READ viola")).toContain("COMPLETE");
     })(),
   ]);
-  expect(countWorst(ran)).toBeLessThanOrEqual(bound);
+  expect(countBusiestWindow(ran)).toBeLessThanOrEqual(bound);
   expect(ran.length).toBeGreaterThanOrEqual(20);
   const refused = await hot[0]?.query("READ cello");
   expect(refused).toMatch(
@@ -66,21 +65,21 @@
   );
 }, 60_000);
 
-// A node ends without a word while a team sends all that it can. What it had is lost with it; the others
-// go on with their own, and in no window does the team get more than its rate.
-test("a node that is lost takes its part along, and the rate holds", async () => {
+// A node ends without deregistering while a team sends as fast as it can. The node's tokens are lost. The other
+// nodes continue with their shares, and in no window does the team get more than its rate.
+test("the tokens of a lost node are lost with it, and the rate holds", async () => {
   await start(4);
   const hot = await Promise.all([1, 2, 3].map((i) => cluster.open("own", i, "key-c")));
   const flooding = flood(hot, 6000);
   await cluster.nodes[0]?.dispose();
   const ran = await flooding;
-  expect(countWorst(ran)).toBeLessThanOrEqual(bound);
+  expect(countBusiestWindow(ran)).toBeLessThanOrEqual(bound);
   await waitUntil(async () => (await hot[0]?.query("READ cello"))?.includes("COMPLETE") === true);
 }, 60_000);
 
-// All callers of a team have come to one node, which makes a quarter of its tokens. Those of the others
-// would lapse unused, and three of four operations be refused though the team is within its rate.
-test("a team that is within its rate is served where all its callers come to one node", async () => {
+// All callers of a team are connected to one node, which issues a quarter of the tokens. Without transfers, the
+// other nodes' tokens would expire unused and three of four operations be refused within the team's rate.
+test("a team within its rate is served even if all its callers are connected to one node", async () => {
   await start(4);
   const client = await cluster.open("own", 0, "key-c");
   for (let i = 0; i < 15; i += 1) {
--- a/test/node/reader.test.ts
+++ b/test/node/reader.test.ts
@@ -21,20 +21,23 @@
 });
 
 const proxies = [proxy("c", "a"), proxy("b", "a"), proxy("a", "b")];
-const nobody = () => false;
+const isNoneAvoided = () => false;
 
-test("the first proxy of the data centre reads for it", () => {
-  expect(chooseReader("a", proxies, nobody)?.vm).toBe("b");
-  expect(chooseReader("b", proxies, nobody)?.vm).toBe("a");
+test("the first proxy of the data centre is its reader", () => {
+  expect(chooseReader("a", proxies, isNoneAvoided)?.vm).toBe("b");
+  expect(chooseReader("b", proxies, isNoneAvoided)?.vm).toBe("a");
   expect(chooseReader("a", proxies, (vm) => vm === "b")?.vm).toBe("c");
   const missed = [proxy("b", "a", { isMissed: true }), proxy("c", "a")];
-  expect(chooseReader("a", missed, nobody)?.vm).toBe("c");
-  expect(chooseReader("x", proxies, nobody)).toBeUndefined();
+  expect(chooseReader("a", missed, isNoneAvoided)?.vm).toBe("c");
+  expect(chooseReader("x", proxies, isNoneAvoided)).toBeUndefined();
 });
 
-const word = { leadership: { version: 3, document: { holder: undefined, groups: {} } }, made: [] };
+const update = {
+  leadership: { version: 3, document: { holder: undefined, groups: {} } },
+  made: [],
+};
 const answer = (change: Partial<LeadershipAnswer>): LeadershipAnswer => ({
-  ...word,
+  ...update,
   vm: "b",
   listsAsker: true,
   confirmedAgoMs: 200,
@@ -44,14 +47,14 @@
   ...change,
 });
 
-const ask = (vm: string, said: LeadershipAnswer | undefined, clock = new FakeClock()) => {
+const ask = (vm: string, reply: LeadershipAnswer | undefined, clock = new FakeClock()) => {
   clock.time = 5000;
-  const peers = { share: () => Promise.resolve(said) };
+  const peers = { share: () => Promise.resolve(reply) };
   const client = new ReaderClient({ vm, dataCentre: "a", peers, clock });
-  return client.askReader(proxies, word);
+  return client.askReader(proxies, update);
 };
 
-test("a reader's look has the ages that it told", async () => {
+test("a reader's poll has the ages that the reader reported", async () => {
   expect(await ask("c", answer({}))).toMatchObject({
     polledAt: 4900,
     confirmedAt: 4800,
@@ -60,9 +63,9 @@
   expect(await ask("b", answer({}))).toBeUndefined();
 });
 
-// The reader is cut off, has not read all that changed, or no longer lists the proxy that asks: a change of
-// primary would not wait for that one. Each counts as no look, and the store is asked at once.
-test("a reader that does not know enough is no reader", async () => {
+// The reader can't reach the store, has not read all changes, or no longer lists the asking proxy, for which a
+// change of primary would then not wait. In each case its answer is not used, and the store is polled at once.
+test("the answer of a reader without current data is not used", async () => {
   expect(await ask("c", undefined)).toBeUndefined();
   expect(await ask("c", answer({ lookedAgoMs: 1000 }))).toBeUndefined();
   expect(await ask("c", answer({ lookedAgoMs: undefined }))).toBeUndefined();
@@ -70,7 +73,7 @@
   expect(await ask("c", answer({ listsAsker: false }))).toBeUndefined();
 });
 
-const lists = (vm: string, revision: number) =>
+const hasApplied = (vm: string, revision: number) =>
   cluster?.lines.some(
     (line) =>
       line.vm === vm &&
@@ -79,21 +82,21 @@
       line.fields.revision >= revision,
   ) === true;
 
-// Two proxies lose their own way to the store and follow a third, which has it. They take configurations
-// in and go on using primaries. Then the reader goes as well, and their permission lapses.
-test("followers take everything from their reader, and stop with it", async () => {
+// Two proxies can't reach the store and poll through a third, which can. They apply configurations and continue
+// to use primaries. Then the reader stops as well, and their permits expire.
+test("followers are served by their reader, and stop using primaries without it", async () => {
   const running = await Cluster.start({ nodes: 3 });
   cluster = running;
   await waitUntil(() => running.isListed());
-  const dead = await findAddress();
+  const unreachable = await findAddress();
   for (const i of [1, 2]) {
     const settings = running.settings[i];
-    if (settings !== undefined) running.nodes[i]?.setSettings({ ...settings, store: dead });
+    if (settings !== undefined) running.nodes[i]?.setSettings({ ...settings, store: unreachable });
   }
   const client = await running.open("primary", 2);
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
   running.setRoutes({ without: "stale" });
-  await waitUntil(() => lists("vm-1", 2) && lists("vm-2", 2));
+  await waitUntil(() => hasApplied("vm-1", 2) && hasApplied("vm-2", 2));
   for (let i = 0; i < 25; i += 1) {
     expect(await client.query("READ cello")).toMatch(/^DATAROW taken/);
     await new Promise((resolve) => setTimeout(resolve, 100));
@@ -103,10 +106,10 @@
   await waitUntil(async () => (await client.query("READ cello")).startsWith("ERROR BUSY"));
 });
 
-// The reader is cut off from the store and hears of the store's answers from a proxy that is not. Taken for
-// looks of its own, those would keep its followers on an old configuration: they sent statements by a route
-// that had been removed 3 s before. It learns the new one from that proxy, and even then has not looked.
-test("what a reader hears of the store from others is no look", async () => {
+// The reader can't reach the store and learns of the store's answers from a proxy that can. If those counted as
+// its own polls, its followers would keep an old configuration and send statements by a route that was removed
+// 3 s before. It adopts the new configuration from that proxy, and even that doesn't count as a poll.
+test("answers of the store that a reader learns of from others do not count as its own polls", async () => {
   const running = await Cluster.start({ nodes: 2 });
   cluster = running;
   await waitUntil(() => running.isListed());
@@ -116,24 +119,24 @@
   running.setRoutes({ without: "stale" });
   const peers = new DirectPeerClient(other.vm, silentLogger);
   const address = reader.peers ?? reader.callers;
-  let said: LeadershipAnswer | undefined;
+  let reply: LeadershipAnswer | undefined;
   await waitUntil(async () => {
-    said = await peers.share({ vm: reader.vm, address }, word, 250);
-    return said?.storeAgoMs !== undefined && (said.lookedAgoMs ?? 0) > said.storeAgoMs + 1500;
+    reply = await peers.share({ vm: reader.vm, address }, update, 250);
+    return reply?.storeAgoMs !== undefined && (reply.lookedAgoMs ?? 0) > reply.storeAgoMs + 1500;
   });
-  await waitUntil(() => lists("vm-0", 2) && lists("vm-1", 2));
-  const after = await peers.share({ vm: reader.vm, address }, word, 250);
+  await waitUntil(() => hasApplied("vm-0", 2) && hasApplied("vm-1", 2));
+  const after = await peers.share({ vm: reader.vm, address }, update, 250);
   expect(after?.lookedAgoMs ?? Infinity).toBeGreaterThan((after?.storeAgoMs ?? 0) + 1500);
 });
 
-// The reader dies without a word. Those that followed it look at the store for themselves and miss nothing.
-test("followers look for themselves once their reader is gone", async () => {
+// The reader ends without deregistering. Its followers poll the store themselves and miss no change.
+test("followers poll the store themselves once their reader is gone", async () => {
   const running = await Cluster.start({ nodes: 3 });
   cluster = running;
   await waitUntil(() => running.isListed());
   await running.nodes[0]?.dispose();
   running.setRoutes({ without: "stale" });
-  await waitUntil(() => lists("vm-1", 2) && lists("vm-2", 2));
+  await waitUntil(() => hasApplied("vm-1", 2) && hasApplied("vm-2", 2));
   const client = await running.open("primary", 1);
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
 });
--- a/test/node/recall.test.ts
+++ b/test/node/recall.test.ts
@@ -5,10 +5,10 @@
 
 afterEach(() => cluster.dispose());
 
-// All proxies are gone at once and come back while the primary's entry has lapsed. The new process finds
-// routes, replicas and what was written down of the primary, and callers write at once; with the listing
-// alone they were refused until the entry was back.
-test("a new process serves a primary whose entry has lapsed", async () => {
+// All proxies end and start again after the primary's entry has expired. The new process reads the routes, the
+// replicas and the recorded primary, and serves callers at once; with the listing alone it would refuse them
+// until the entry reappears.
+test("a new process serves a primary whose entry has expired", async () => {
   cluster = await Cluster.start({ nodes: 1 });
   const client = await cluster.open("primary");
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
--- a/test/node/restart.test.ts
+++ b/test/node/restart.test.ts
@@ -8,10 +8,10 @@
 const countEvents = (name: string) =>
   cluster.lines.filter((line) => line.event.name === name).length;
 
-// The primary starts again under its name and address within a moment, holding nothing, and says that
-// it leads. No entry lapses and every proxy reaches it. A caller that reads its own commit there would
-// be told that there is none. Its log's end shows the loss when the connections are opened anew.
-test("a primary that is back with nothing answers no read, and another one leads", async () => {
+// The primary restarts at once with the same name and address, but an empty log, and claims to be primary. Its
+// entry does not expire and every proxy reaches it, so a caller would not find its own commit there. The end of
+// its log shows the loss when the connections are opened again.
+test("a primary that restarts empty answers no read and is replaced", async () => {
   cluster = await Cluster.start({ nodes: 3 });
   const client = await cluster.open("primary");
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
@@ -29,9 +29,9 @@
   expect(countEvents("primaryLostLog")).toBeGreaterThan(0);
 });
 
-// A replica starts again under its name with nothing, and its entry tells so. What it was known to hold
-// answers no read: each is asked for the mark that it needs, and goes elsewhere.
-test("a replica that is back with nothing answers no read that needs what it held", async () => {
+// A replica restarts under its name with an empty log, as its entry shows. The positions that it had reached
+// before must not count: each read states the commit mark that it needs, and runs elsewhere.
+test("a replica that restarts empty answers no read that needs its lost commits", async () => {
   cluster = await Cluster.start({ nodes: 1, targets: 2 });
   const client = await cluster.open("own");
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
@@ -43,9 +43,9 @@
     expect(await client.query("READ cello")).toMatch(/^DATAROW taken/);
 });
 
-// Somebody writes an entry that is no target's beside the others. It stands there for as long as it
-// likes; callers are served, and the log says once what is wrong with it.
-test("an entry of another writer is passed over, with one line", async () => {
+// Another writer puts an invalid entry among those of the targets, and it is never removed. Callers are served,
+// and the fault is logged once.
+test("an invalid entry is ignored and logged once", async () => {
   cluster = await Cluster.start({ nodes: 1 });
   cluster.store.set("servers", "stray", { service: "ledger", address: "127.0.0.1:1" });
   await waitUntil(() => countEvents("targetEntryRefused") > 0);
@@ -56,10 +56,10 @@
   expect(countEvents("targetEntryRefused")).toBe(1);
 });
 
-// The primary crashes with a commit that reached no replica. The next one begins before it, and its log ends
-// so in the answer that opens a connection, until its own first commit. Taken for a primary that has lost
-// its log it would be replaced in turn: callers waited twice as long for the group.
-test("a new primary that begins before the old one's end has lost nothing", async () => {
+// The primary crashes with a commit that reached no replica. The new primary's log ends before that commit, and
+// says so in the answer that opens a connection, until its own first commit. If it were taken for a primary
+// that has lost its log, it would be replaced as well and callers would wait twice as long.
+test("a new primary whose log is shorter than the old one's is not replaced", async () => {
   cluster = await Cluster.start({ nodes: 3 });
   const client = await cluster.open("primary");
   expect(await client.query("WRITE cello taken")).toMatch(/^COMPLETE/);
--- a/test/node/serve.test.ts
+++ b/test/node/serve.test.ts
@@ -27,7 +27,7 @@
   await waitUntil(() => client.isClosed);
 });
 
-test("a removed route ends at the next statement, and the session stays", async () => {
+test("a statement on a removed route is refused, and the session stays open", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("stale");
   expect(await client.query("READ viola")).toMatch(/^DATAROW/);
@@ -36,9 +36,9 @@
   expect(await client.query("SET a 1")).toBe("COMPLETE -\nREADY I");
 });
 
-// Two callers set the same value and prepare the same name differently. Their statements share the
-// targets' few connections, so that without care one's would run with the other's value or shape.
-test("values and prepared names of sessions do not mix", async () => {
+// Callers set the same session value and prepare the same name differently. Their statements share few
+// connections, so that one caller's statement could run with another's value or prepared statement.
+test("session values and prepared statements are kept apart", async () => {
   cluster = await Cluster.start({ targets: 1, slots: 8 });
   const clients = await Promise.all([1, 2, 3, 4].map(() => cluster.open("primary")));
   await Promise.all(
@@ -61,7 +61,7 @@
   }
 });
 
-test("a transaction stays on one connection and is kept only by its commit", async () => {
+test("a transaction stays on one connection and only its commit makes it durable", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("primary");
   expect(await client.query("BEGIN")).toBe("COMPLETE -\nREADY T");
@@ -80,9 +80,9 @@
   }
 });
 
-// The caller leaves in the middle of a transaction. Its connection is given to the next caller, and
-// what the first wrote must be neither kept nor seen.
-test("a transaction whose caller leaves is rolled back", async () => {
+// A caller disconnects during a transaction. Its connection to the target is used for the next caller, and the
+// first caller's writes must be neither committed nor visible.
+test("a transaction whose caller disconnects is rolled back", async () => {
   cluster = await Cluster.start({ targets: 1 });
   const first = await cluster.open("primary");
   await first.query("BEGIN");
@@ -93,8 +93,8 @@
   expect(cluster.log.findPrimary()?.log).toEqual([]);
 });
 
-// The target commits a single write and its answer is lost. The caller hears that it may have run;
-// sent again here it would land twice.
+// The target commits a single write and its answer is lost. The caller is told that it may have run; a retry
+// by the proxy would apply the write twice.
 test("a write whose answer is lost is in doubt and not sent again", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("primary");
@@ -104,8 +104,8 @@
   expect(cluster.log.findPrimary()?.log).toHaveLength(1);
 });
 
-// The commit of a transaction that wrote gets no answer: it may have been kept. One that only read
-// leaves nothing behind either way, so that its caller may safely begin again.
+// A commit gets no answer. If the transaction wrote, its effects may be durable; if it only read, it has no
+// effects, so that its caller may safely retry.
 test("a lost commit is in doubt only if the transaction wrote", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("primary");
@@ -118,9 +118,9 @@
   expect(await client.query("COMMIT")).toMatch(/^ERROR INDOUBT .*\nREADY I$/);
 });
 
-// A replica runs a read and its answer is lost; the connection stays silent. A read leaves no
-// effect, so the proxy asks the other replica while the caller's time lasts.
-test("a read whose answer is lost is asked elsewhere", async () => {
+// A replica runs a read and its answer is lost without an error. A read has no effects, so the proxy sends it to
+// the other replica within the caller's deadline.
+test("a read whose answer is lost is retried at another replica", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("stale");
   await client.query("READ viola");
@@ -129,9 +129,9 @@
   for (let i = 0; i < 6; i += 1) expect(await client.query("READ viola")).toMatch(/^DATAROW none/);
 });
 
-// Every slot is taken and the target turns the write away unrun: another try a little later finds
-// one, and the caller notices nothing but the time.
-test("what a target turns away unrun is tried again", async () => {
+// All slots are taken and the target refuses the write without running it. A later attempt finds a free slot,
+// and the caller only sees a longer response time.
+test("a statement that a target refuses without running it is retried", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("primary");
   cluster.target(0).faults.busy = 3;
@@ -139,9 +139,9 @@
   expect(countRuns("WRITE cello taken")).toBe(1);
 });
 
-// A replica lacks the session's own commit, since nothing is copied. It says so, and the read is
-// answered by the primary.
-test("a replica that lacks the session's write is passed over", async () => {
+// A replica lacks the session's own commit, since replication has stopped. It reports that, and the primary
+// answers the read.
+test("a read is not answered by a replica that lacks the session's write", async () => {
   cluster = await Cluster.start();
   cluster.log.isCopying = false;
   const client = await cluster.open("own");
@@ -151,8 +151,8 @@
   }
 });
 
-// Both replicas receive nothing any more. A stale read may see data of a stated age, so that it goes
-// to the primary once what the replicas hold is older than that.
+// Replication to both replicas has stopped. A stale read may see data up to a certain age, so it is sent to the
+// primary once the replicas' data is older.
 test("a stale read is never older than its route allows", async () => {
   cluster = await Cluster.start();
   const reader = await cluster.open("stale");
@@ -167,7 +167,7 @@
   expect(answer).toMatch(/^DATAROW taken/);
 });
 
-test("an error in a transaction can only be rolled back", async () => {
+test("a transaction with an error can only be rolled back", async () => {
   cluster = await Cluster.start();
   const client = await cluster.open("primary");
   await client.query("BEGIN");
@@ -190,7 +190,7 @@
   ],
   ["a lone carriage return", "QUERY a1 READ x\ry\r\n", "ERROR MALFORMED"],
   ["a line over the limit", `QUERY a1 WRITE x ${"y".repeat(1_048_600)}\r\n`, "ERROR TOOBIG"],
-  ["half a line and silence", "QUERY a1 READ", "ERROR MALFORMED"],
+  ["an incomplete line", "QUERY a1 READ", "ERROR MALFORMED"],
   ["a second start", "STARTUP primary u1\r\n", "ERROR MALFORMED"],
 ])("%s is refused and ends the session", async (_name, bytes, error) => {
   cluster = await Cluster.start({ targets: 1 });
@@ -201,14 +201,14 @@
   expect(cluster.target(0).runs).toEqual([]);
 });
 
-test("a statement that can't be read is answered and the session goes on", async () => {
+test("a malformed statement is answered with an error and the session stays open", async () => {
   cluster = await Cluster.start({ targets: 1 });
   const client = await cluster.open("primary");
   expect(await client.query("FROB x")).toMatch(/^ERROR MALFORMED .*\nREADY I$/);
   expect(await client.query("READ x")).toMatch(/^DATAROW none/);
 });
 
-test("a node without the store says that it is busy, not that a database is unknown", async () => {
+test("a node that has never reached the store answers busy and not that the database is unknown", async () => {
   cluster = await Cluster.start({ nodes: 0 });
   cluster.store.isBusy = true;
   await cluster.addNode("vm-0");
