--- a/src/feed/state.ts
+++ b/src/feed/state.ts
@@ -1,79 +1,87 @@
 import type { AnnouncedTarget, ServingConfig } from "../direct/index.js";
 import { emptyServingConfig } from "../direct/index.js";
-import type { ListedTarget, RefusedEntry, RouteTable, TargetListing } from "./feed.js";
+import type { ListedTarget, InvalidEntry, RouteTable, TargetListing } from "./feed.js";
 
-/** What a proxy knows of the platform's store. Times are on its clock, in milliseconds. */
+/** The configuration and targets that a proxy knows. Times are on its own clock, in milliseconds. */
 export interface FeedState {
   readonly routes: RouteTable | undefined;
   readonly targets: ReadonlyMap<string, ListedTarget>;
-  readonly hasTargets: boolean;
-  /** When the store last answered; its entries are trusted from `trustedFrom` on. */
+  readonly hasTargetListing: boolean;
+  /** When the last request that the store answered was sent. */
   readonly answeredAt: number | undefined;
-  readonly trustedFrom: number;
+  /** Until then a target stays known although its entry is missing from the listing. */
+  readonly graceEndsAt: number;
 }
 
-/** Before the store has answered. */
-export const firstFeedState: FeedState = {
+/** The state before the store has answered. */
+export const initialFeedState: FeedState = {
   routes: undefined,
   targets: new Map(),
-  hasTargets: false,
+  hasTargetListing: false,
   answeredAt: undefined,
-  trustedFrom: 0,
+  graceEndsAt: 0,
 };
 
-/** Without an answer for longer than this the store counts as away: three polls that failed. */
-const outageMs = 1500;
+/** A gap between answers that counts as an outage of the store; three polls have failed by then. */
+const outageAfterMs = 1500;
 /**
- * How long after an outage a missing entry is no news: entries lapse while the store is away, and
- * those of targets that live are back within two seconds of its return.
+ * How long after an outage missing entries are ignored. Entries expire while the store is unavailable,
+ * and those of live targets reappear within two seconds of its return.
  */
-export const returnMs = 2500;
+export const missingEntryGraceMs = 2500;
 
-/** Notes an answer of the store to what was asked at `now`. */
-export function noteStoreAnswer(state: FeedState, now: number): FeedState {
-  const wasAway = state.answeredAt !== undefined && now - state.answeredAt > outageMs;
-  return { ...state, answeredAt: now, trustedFrom: wasAway ? now + returnMs : state.trustedFrom };
+/** Records that the store answered a request sent at `now`; starts a grace period after an outage. */
+export function recordStoreAnswer(state: FeedState, now: number): FeedState {
+  const wasUnavailable = state.answeredAt !== undefined && now - state.answeredAt > outageAfterMs;
+  return {
+    ...state,
+    answeredAt: now,
+    graceEndsAt: wasUnavailable ? now + missingEntryGraceMs : state.graceEndsAt,
+  };
 }
 
-/** Takes in a configuration. An older one than is known changes nothing: none ever comes back. */
+/** Adopts a configuration unless a newer one is known, so that a stale answer never reverts it. */
 export function applyRoutes(state: FeedState, routes: RouteTable): FeedState {
   const known = state.routes?.revision ?? 0;
   return routes.revision <= known ? state : { ...state, routes };
 }
 
 /**
- * Takes in a listing. Right after an outage targets that it lacks are kept, but none whose entry is
- * there and names no target.
+ * Adopts a listing of the targets. In the grace period after an outage, known targets that are missing
+ * from it are kept, unless their entry exists and is invalid or another target has their address.
  */
 export function applyTargets(
   state: FeedState,
-  { targets: listed, refused }: TargetListing,
+  { targets: listed, invalidEntries }: TargetListing,
   now: number,
 ): FeedState {
   const targets = new Map(listed.map((entry) => [entry.target.name, entry]));
-  const present = new Set([...targets.keys(), ...refused.map(({ name }) => name)]);
-  if (now < state.trustedFrom) {
+  const present = new Set([...targets.keys(), ...invalidEntries.map(({ name }) => name)]);
+  if (now < state.graceEndsAt) {
     for (const [name, entry] of state.targets) {
-      if (!present.has(name) && !isReplaced(entry, listed)) targets.set(name, entry);
+      if (!present.has(name) && !isAddressReused(entry, listed)) targets.set(name, entry);
     }
   }
-  return { ...state, targets, hasTargets: true };
+  return { ...state, targets, hasTargetListing: true };
 }
 
-/** Targets of groups that the configuration does not name. Nothing is sent to them. */
-export function listStrangers({ routes, targets }: FeedState): readonly RefusedEntry[] {
+/** Lists the targets whose group the configuration does not have. Nothing is sent to them. */
+export function listTargetsOfUnknownGroups({
+  routes,
+  targets,
+}: FeedState): readonly InvalidEntry[] {
   if (routes === undefined) return [];
-  const strangers = [...targets.values()].filter(({ group }) => !routes.connections.has(group));
-  return strangers.map(({ target }) => ({ name: target.name, field: "group" }));
+  const unknown = [...targets.values()].filter(({ group }) => !routes.connections.has(group));
+  return unknown.map(({ target }) => ({ name: target.name, field: "group" }));
 }
 
-/** Whether the store's listing must be read again though nothing in it has changed. */
-export function isAwaitingReturn(state: FeedState, now: number): boolean {
-  return now < state.trustedFrom;
+/** Whether missing targets are kept for now, so that the listing is read again though it is unchanged. */
+export function isInGracePeriod(state: FeedState, now: number): boolean {
+  return now < state.graceEndsAt;
 }
 
-/** The scene that follows from what is known. */
-export function makeScene({ routes, targets }: FeedState): ServingConfig {
+/** Builds the serving configuration from the known routes and targets; empty without routes. */
+export function buildServingConfig({ routes, targets }: FeedState): ServingConfig {
   if (routes === undefined) return emptyServingConfig;
   const groups = new Map<string, AnnouncedTarget[]>();
   for (const name of routes.connections.keys()) groups.set(name, []);
@@ -93,8 +101,11 @@
   };
 }
 
-/** Another target at its address: whoever was there is gone. */
-export function isReplaced({ target }: ListedTarget, listed: readonly ListedTarget[]): boolean {
+/** Whether a listed target has this target's address, which means that this target is gone. */
+export function isAddressReused(
+  { target }: ListedTarget,
+  listed: readonly ListedTarget[],
+): boolean {
   const { host, port } = target.address;
   return listed.some(
     (other) => other.target.address.host === host && other.target.address.port === port,
--- a/src/node/confirmer.ts
+++ b/src/node/confirmer.ts
@@ -5,63 +5,63 @@
   type LeadershipTracker,
 } from "../leadership/index.js";
 import type { Clock } from "../model/index.js";
-import type { Members } from "./members.js";
+import type { ProxyRegistry } from "./proxy-registry.js";
 
-/** Peers are asked once the store's last word is older than this, in milliseconds: one look has failed. */
+/** Peers are asked once the last confirmation is older than this, in milliseconds: one poll has failed. */
 const askPeersAfterMs = 500;
-/** An answer of a peer: a round trip of 1 to 3 ms, on a busy peer some tens more. */
+/** Timeout of a request to a peer: a round trip takes 1 to 3 ms, on a busy peer some tens more. */
 export const peerTimeoutMs = 250;
 
-/** What confirming by peers needs. */
+/** The dependencies of `PeerConfirmer`. */
 export interface PeerConfirmerPorts {
   readonly vm: string;
   readonly peers: Pick<DirectPeerClient, "share">;
-  readonly keeper: LeadershipTracker;
-  readonly members: Members;
+  readonly tracker: LeadershipTracker;
+  readonly registry: ProxyRegistry;
   readonly clock: Pick<Clock, "now">;
 }
 
-/** Asks the other listed proxies who leads while the store does not say. */
+/** Confirms the known leadership by the other listed proxies while the store does not answer. */
 export class PeerConfirmer {
   constructor(private readonly ports: PeerConfirmerPorts) {}
 
-  /** Asks all at once, unless what is known was confirmed just now; gives what they answered. */
-  async ask(): Promise<readonly LeadershipAnswer[]> {
-    const { vm, keeper, clock, peers, members } = this.ports;
+  /** Asks all peers in parallel and returns their answers; none if the last confirmation is recent. */
+  async askPeers(): Promise<readonly LeadershipAnswer[]> {
+    const { vm, tracker, clock, peers, registry } = this.ports;
     const askedAt = clock.now();
-    const { confirmedAt } = keeper;
+    const { confirmedAt } = tracker;
     if (confirmedAt !== undefined && askedAt - confirmedAt < askPeersAfterMs) return [];
-    const others = members.list().filter((proxy) => proxy.vm !== vm);
+    const others = registry.list().filter((proxy) => proxy.vm !== vm);
     const answers = (
       await Promise.all(
-        others.map((proxy) => peers.share(proxy, keeper.latestUpdate, peerTimeoutMs)),
+        others.map((proxy) => peers.share(proxy, tracker.latestUpdate, peerTimeoutMs)),
       )
     ).filter((answer) => answer !== undefined);
-    for (const answer of answers) keeper.adopt(answer);
-    if (members.isMemberBefore(askedAt)) this.confirmBy(answers, askedAt);
+    for (const answer of answers) tracker.adopt(answer);
+    if (registry.wasRegisteredBefore(askedAt)) this.applyAnswers(answers, askedAt);
     return answers;
   }
 
   /**
-   * A peer that reaches the store passes its confirmation on, with its age. Where none does, the
-   * store is away for all, nobody can begin a change, and a majority that knows of none confirms.
+   * Adopts the confirmation, with its age, of a peer that reaches the store. If no proxy reaches the store,
+   * none can begin a change of primary, so a majority of peers that know of no change confirms as well.
    */
-  private confirmBy(answers: readonly LeadershipAnswer[], askedAt: number): void {
-    const { keeper, members } = this.ports;
-    const { version } = keeper.leadership;
-    const listing = answers.filter((answer) => answer.listsAsker);
-    for (const { confirmedAgoMs, storeAgoMs, leadership } of listing) {
+  private applyAnswers(answers: readonly LeadershipAnswer[], askedAt: number): void {
+    const { tracker, registry } = this.ports;
+    const { version } = tracker.leadership;
+    const listingThis = answers.filter((answer) => answer.listsAsker);
+    for (const { confirmedAgoMs, storeAgoMs, leadership } of listingThis) {
       if (leadership.version < version) continue;
-      if (storeAgoMs !== undefined) keeper.noteStoreAnswer(askedAt - storeAgoMs);
+      if (storeAgoMs !== undefined) tracker.noteStoreAnswer(askedAt - storeAgoMs);
       if (confirmedAgoMs === undefined) continue;
       const at = askedAt - confirmedAgoMs;
-      if (members.isMemberBefore(at)) keeper.confirm(at);
+      if (registry.wasRegisteredBefore(at)) tracker.confirm(at);
     }
-    if (!members.isWhole) return;
-    const words = listing.map((answer) => ({ version: answer.leadership.version }));
-    const storeAskedAt = keeper.lastAnsweredStoreQueryAt;
-    if (isConfirmedByPeers(version, words, members.list().length, storeAskedAt, askedAt)) {
-      keeper.confirm(askedAt);
+    if (!registry.isListingComplete) return;
+    const versions = listingThis.map((answer) => ({ version: answer.leadership.version }));
+    const storeAskedAt = tracker.lastAnsweredStoreQueryAt;
+    if (isConfirmedByPeers(version, versions, registry.list().length, storeAskedAt, askedAt)) {
+      tracker.confirm(askedAt);
     }
   }
 }
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -8,372 +8,382 @@
 import type { Logger } from "../log/index.js";
 import type { Clock, Random, StoreRead } from "../model/index.js";
 import { PeerConfirmer, peerTimeoutMs } from "./confirmer.js";
-import { Members } from "./members.js";
-import { findPace } from "./pace.js";
-import type { NodeStore, StoreBeat } from "./ports.js";
-import { ReaderClient, type ReaderLook } from "./reader.js";
-import { SceneKeeper } from "./scene.js";
+import { ProxyRegistry } from "./proxy-registry.js";
+import { computePollDelayMs } from "./poll-delay.js";
+import type { NodeStore, StoreStatus } from "./ports.js";
+import { ReaderClient, type PollResult } from "./reader.js";
+import { ServingConfigTracker } from "./serving-config-tracker.js";
 import type { NodeSettings } from "./settings.js";
 
-/** Between two looks at the store of a process that is not listed, by half more or less; the seeds are asked meanwhile. */
-const unlistedLookMs = 3000;
-/** Looks are spread, so that the proxies' calls don't come together. */
+/**
+ * Mean interval between an unlisted process's own polls of the store, in milliseconds, varied by up to half.
+ * In between it asks the seeds.
+ */
+const unlistedPollMs = 3000;
+/** Random variation of the interval between polls, so that the proxies' calls don't coincide. */
 const jitterShare = 0.1;
 
-/** What is known of the store, and as of when; on this process's clock. */
-export interface StoreSight {
+/** The store's revision at the last poll, and when that poll was sent, on this process's clock. */
+export interface StorePoll {
   readonly revision: number;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
-/** What a follower needs. */
-export interface FollowerPorts {
+/** The dependencies of `StoreFollower`. */
+export interface StoreFollowerPorts {
   readonly settings: NodeSettings;
   readonly store: NodeStore;
   readonly peers: DirectPeerClient;
-  readonly keeper: LeadershipTracker;
+  readonly tracker: LeadershipTracker;
   readonly clock: Clock;
   readonly random: Random;
   readonly logger: Logger;
-  readonly onScene: (scene: ServingConfig) => void;
-  /** After each look, whatever it brought. */
-  readonly onLook: () => void;
+  readonly onServingConfig: (config: ServingConfig) => void;
+  /** Called after each poll, whatever its result. */
+  readonly onPoll: () => void;
 }
 
 /**
- * Keeps a node in step with the platform's store by one cheap read at a steady pace. It confirms who
- * leads, and its revision tells whether anything else has changed, so that the configuration, the
- * targets and the proxies are read again only then. No watch can be cut off or fall silent unseen.
+ * Synchronises a node with the platform's store by polling one small object at a regular interval. The poll
+ * confirms the leadership, and the store's revision shows whether anything else has changed; the
+ * configuration, the targets and the proxies are read again only then. Unlike a watch, polling can't stop
+ * delivering changes unnoticed.
  */
 export class StoreFollower {
   private readRevision: number | undefined;
-  private isAway = false;
+  private isStoreUnavailable = false;
   private isStopped = false;
-  private endRest: () => void = () => undefined;
-  /** The proxies that share the store's groups, this one included. */
-  readonly members: Members;
-  private readonly keptScene: SceneKeeper;
+  private endPause: () => void = () => undefined;
+  /** The proxies that are registered in the store, including this one. */
+  readonly registry: ProxyRegistry;
+  private readonly configTracker: ServingConfigTracker;
   private readonly confirmer: PeerConfirmer;
   private readonly reader: ReaderClient;
-  private sight: StoreSight | undefined;
-  /** Whether the last look was the reader's. */
+  private latestPoll: StorePoll | undefined;
+  /** Whether the last poll was answered by another proxy. */
   private isFollowing = false;
-  /** When this process last heard of the scene, from the store or from whom it follows. */
-  private heard: number | undefined;
-  /** Where it is not listed, this process does not look at the store itself before. */
-  private lookNotBefore = -Infinity;
-
-  constructor(private readonly ports: FollowerPorts) {
-    this.members = new Members(ports);
-    this.keptScene = new SceneKeeper(ports);
+  /** When the store, or the proxy that is polled instead, last answered. */
+  private lastHeardAt: number | undefined;
+  /** The earliest time at which this process, if unlisted, polls the store itself. */
+  private nextPollAt = -Infinity;
+
+  constructor(private readonly ports: StoreFollowerPorts) {
+    this.registry = new ProxyRegistry(ports);
+    this.configTracker = new ServingConfigTracker(ports);
     const { vm, dataCentre } = ports.settings;
-    const { peers, clock, keeper } = ports;
+    const { peers, clock, tracker } = ports;
     this.reader = new ReaderClient({ vm, dataCentre, peers, clock });
-    this.confirmer = new PeerConfirmer({ vm, peers, keeper, members: this.members, clock });
+    this.confirmer = new PeerConfirmer({ vm, peers, tracker, registry: this.registry, clock });
   }
 
-  get scene(): ServingConfig {
-    return this.keptScene.scene;
+  get servingConfig(): ServingConfig {
+    return this.configTracker.servingConfig;
   }
 
-  get isInformed(): boolean {
-    return this.keptScene.isInformed;
+  get isInitialised(): boolean {
+    return this.configTracker.isInitialised;
   }
 
-  /** Whether this process looked at the store itself last, for those that follow it as well. */
-  get isReading(): boolean {
-    return !this.isFollowing && !this.isAway;
+  /** Whether the last poll went to the store itself and was answered; other proxies then poll this one. */
+  get isPollingStore(): boolean {
+    return !this.isFollowing && !this.isStoreUnavailable;
   }
 
-  /** When this process last heard from the store, or from a proxy that it follows. */
+  /** When the store, or the proxy that is polled instead, last answered; undefined before that. */
   get heardAt(): number | undefined {
-    return this.heard;
+    return this.lastHeardAt;
   }
 
-  /** What this process knows, for a peer that starts while the store is away. */
-  encodeScene(): string {
-    return this.keptScene.encode(this.members.list());
+  /** Encodes what this process knows, for a peer that starts while the store is unavailable. */
+  encodeServingConfig(): string {
+    return this.configTracker.encodeForPeer(this.registry.list());
   }
 
-  /** Looks until stopped. */
+  /** Polls until stopped. */
   async run(): Promise<void> {
     const { clock, random } = this.ports;
     while (!this.isStopped) {
-      this.isFollowing = await this.follow();
-      const isAnswered = this.isFollowing || (await this.ask());
-      if (isAnswered) this.heard = clock.now();
-      this.ports.onLook();
-      const paceMs = this.findPace(isAnswered);
-      const restMs = paceMs * (1 - jitterShare + 2 * jitterShare * random.draw());
-      await Promise.race([clock.sleep(restMs), this.waitForWake()]);
+      this.isFollowing = await this.pollThroughProxy();
+      const isAnswered = this.isFollowing || (await this.pollStoreOrSeeds());
+      if (isAnswered) this.lastHeardAt = clock.now();
+      this.ports.onPoll();
+      const delayMs = this.computePollDelayMs(isAnswered);
+      const pauseMs = delayMs * (1 - jitterShare + 2 * jitterShare * random.draw());
+      await Promise.race([clock.sleep(pauseMs), this.waitForWake()]);
     }
   }
 
+  /** Ends polling after the poll or pause in progress. */
   stop(): void {
     this.isStopped = true;
   }
 
   /**
-   * Looks at once. After a step of the time of day, or a suspension, the permission to use primaries is
-   * void until the next look, which callers wait for.
+   * Polls at once. After a step of the wall clock or a suspension of the process, the permit to use primaries
+   * is void until the next poll, which callers wait for.
    */
   wake(): void {
-    this.endRest();
+    this.endPause();
   }
 
   private waitForWake(): Promise<void> {
     return new Promise((resolve) => {
-      this.endRest = resolve;
+      this.endPause = resolve;
     });
   }
 
   /**
-   * Stops, and takes this proxy out of the store. While a process that has ended is listed, each change
-   * of primary waits 1.75 s for its permission to lapse. The permission goes first: nobody waits for a
-   * proxy that is not listed.
+   * Stops, and removes this proxy's entry from the store. While an ended process is listed, each change of
+   * primary waits 1.75 s for its permit to expire. The permit is revoked first, because a change does not wait
+   * for a proxy that is not listed.
    */
   async leave(): Promise<void> {
     this.stop();
-    this.ports.keeper.revokePermit();
-    await this.members.deregister();
+    this.ports.tracker.revokePermit();
+    await this.registry.deregister();
   }
 
-  private findPace(isAnswered: boolean): number {
-    const { settings, keeper } = this.ports;
-    return findPace({
+  private computePollDelayMs(isAnswered: boolean): number {
+    const { settings, tracker } = this.ports;
+    return computePollDelayMs({
       isUnlisted: this.isUnlisted,
       hasPeers: settings.peers !== undefined,
-      isInformed: this.isInformed,
-      isConfirmed: keeper.confirmedAt !== undefined,
+      isInitialised: this.isInitialised,
+      isConfirmed: tracker.confirmedAt !== undefined,
       isFollowing: this.isFollowing,
       isAnswered,
-      isAway: this.isAway,
-      proxies: this.members.list().length,
+      isStoreUnavailable: this.isStoreUnavailable,
+      proxyCount: this.registry.list().length,
       storeReadsPerSecond: settings.storeReadsPerSecond,
       configurationApplyMs: settings.configurationApplyMs,
     });
   }
 
   /**
-   * The store's revision of which everything is known here, and when the question was sent whose answer
-   * showed it to be current. For those that follow this process; what it hears from others of the store's
-   * answers to them is no look: it says nothing of what has changed there.
+   * The store's revision whose data this process has read completely, and when the poll was sent that showed
+   * it to be current. Proxies that poll this one rely on it. Answers of the store that peers report are not
+   * included, because they don't tell what has changed in the store.
    */
-  get known(): StoreSight | undefined {
-    return this.sight;
+  get lastPoll(): StorePoll | undefined {
+    return this.latestPoll;
   }
 
-  /** Learns from another proxy what it knows of the store; false when the store has to be asked. */
-  private async follow(): Promise<boolean> {
-    if (!this.isInformed) return false;
-    if (this.members.isRegistered()) return this.lookThroughReader();
-    return !this.isRegistrationDue() && this.lookThroughUpstream();
+  /** Polls through another proxy; false when the store has to be polled. */
+  private async pollThroughProxy(): Promise<boolean> {
+    if (!this.isInitialised) return false;
+    if (this.registry.isRegistered()) return this.pollThroughReader();
+    return !this.isRegistrationDue() && this.pollThroughUpstream();
   }
 
   /**
-   * Asks the store; where this process is not listed, seldom. Most of a fleet are such, and at a first
-   * start nobody is there to be followed: all of them would ask it all the time. What the seeds have read serves as well, and costs the store nothing.
+   * Polls the store, but only rarely if this process is unlisted. Most of a fleet are unlisted, and at a first
+   * start no proxy is listed that they could poll, so all of them would poll the store continually. In between,
+   * the seeds are asked, whose data serves as well and causes no load on the store.
    */
-  private async ask(): Promise<boolean> {
+  private async pollStoreOrSeeds(): Promise<boolean> {
     const { clock, random } = this.ports;
-    const isSpared = this.isUnlisted && !this.isSeed() && clock.now() < this.lookNotBefore;
-    if (isSpared && !this.isRegistrationDue()) return this.fetchScene();
-    const isAnswered = await this.look();
-    const spareMs = unlistedLookMs * (0.5 + random.draw());
-    this.lookNotBefore = this.isStartingBlind ? -Infinity : clock.now() + spareMs;
+    const isDeferred = this.isUnlisted && !this.isSeed() && clock.now() < this.nextPollAt;
+    if (isDeferred && !this.isRegistrationDue()) return this.fetchFromSeeds();
+    const isAnswered = await this.pollStore();
+    const intervalMs = unlistedPollMs * (0.5 + random.draw());
+    this.nextPollAt = this.isStartingDuringOutage ? -Infinity : clock.now() + intervalMs;
     return isAnswered;
   }
 
-  /** Whether this process has begun while the store is away: it can serve nobody before it is back. */
-  private get isStartingBlind(): boolean {
-    return this.isAway && !this.isInformed;
+  /** Whether this process started while the store is unavailable and can't serve before its return. */
+  private get isStartingDuringOutage(): boolean {
+    return this.isStoreUnavailable && !this.isInitialised;
   }
 
-  /** Whether this process holds no connections, and others run its callers' statements. */
+  /** Whether this process holds no connections to targets, so that others run its callers' statements. */
   get isUnlisted(): boolean {
-    return this.ports.settings.gateway !== undefined && !this.members.isRegistered();
+    return this.ports.settings.gateway !== undefined && !this.registry.isRegistered();
   }
 
-  /** Whether others that start ask this process: it has to know what the store says. */
+  /** Whether starting processes ask this one, so that it has to read the store itself. */
   private isSeed(): boolean {
     const { seeds, peers } = this.ports.settings;
     return seeds.some(({ host, port }) => host === peers?.host && port === peers.port);
   }
 
-  /** Whether this process is to become one that holds connections. */
+  /** Whether this process has to register, to become one that holds connections. */
   private isRegistrationDue(): boolean {
-    if (!this.isInformed) return false;
-    const groups = this.scene.groups.values();
+    if (!this.isInitialised) return false;
+    const groups = this.servingConfig.groups.values();
     const quota = countListedProxyQuota(groups, this.ports.settings.dataCentres);
-    return this.members.isRegistrationDue(quota);
+    return this.registry.isRegistrationDue(quota);
   }
 
   /**
-   * Takes in what a listed proxy knows. This one uses no primaries, so that it needs no permission, and
-   * what it hears late costs a statement one hop more.
+   * Polls through a listed proxy. This process uses no primaries and therefore needs no permit; if its data is
+   * outdated, a statement merely takes one more hop.
    */
-  private async lookThroughUpstream(): Promise<boolean> {
-    const { keeper, clock } = this.ports;
-    const answer = await this.reader.askUpstream(this.members.list(), keeper.latestUpdate);
+  private async pollThroughUpstream(): Promise<boolean> {
+    const { tracker, clock } = this.ports;
+    const answer = await this.reader.askUpstream(this.registry.list(), tracker.latestUpdate);
     switch (answer.type) {
       case "silent":
         return false;
-      case "old":
-        keeper.adopt(answer.answer);
-        this.heard = clock.now();
+      case "stale":
+        tracker.adopt(answer.answer);
+        this.lastHeardAt = clock.now();
         return false;
-      case "look":
-        return this.takeLook(answer.look);
+      case "poll":
+        return this.applyPollResult(answer.poll);
     }
   }
 
   /**
-   * Takes in the last look of the data centre's reader; false when the store has to be asked. A process
-   * that is new, or may use no primaries, asks the store itself: its callers wait for what it brings.
+   * Adopts the last poll of the data centre's reader; false when the store has to be polled. A process without
+   * a confirmation polls the store itself, since its callers wait for the result.
    */
-  private async lookThroughReader(): Promise<boolean> {
-    const { keeper } = this.ports;
-    if (keeper.confirmedAt === undefined) return false;
-    const look = await this.reader.ask(this.members.list(), keeper.latestUpdate);
-    if (look === undefined || !(await this.takeLook(look))) return false;
-    const { confirmedAt, answer } = look;
-    const isCurrent = answer.leadership.version >= keeper.leadership.version;
-    if (confirmedAt !== undefined && isCurrent && this.members.isMemberBefore(confirmedAt)) {
-      keeper.confirm(confirmedAt);
+  private async pollThroughReader(): Promise<boolean> {
+    const { tracker } = this.ports;
+    if (tracker.confirmedAt === undefined) return false;
+    const poll = await this.reader.askReader(this.registry.list(), tracker.latestUpdate);
+    if (poll === undefined || !(await this.applyPollResult(poll))) return false;
+    const { confirmedAt, answer } = poll;
+    const isCurrent = answer.leadership.version >= tracker.leadership.version;
+    if (confirmedAt !== undefined && isCurrent && this.registry.wasRegisteredBefore(confirmedAt)) {
+      tracker.confirm(confirmedAt);
     }
     return true;
   }
 
-  /** Takes in what another proxy has seen of the store. */
-  private async takeLook(look: ReaderLook): Promise<boolean> {
-    const { keeper } = this.ports;
-    const wasListed = this.members.isRegistered();
-    keeper.adopt(look.answer);
-    if (look.revision !== this.readRevision && !(await this.copyScene(look))) return false;
-    if (this.isAway) this.ports.logger.write(leadershipEvents.storeRegained, {});
-    this.isAway = false;
-    this.keptScene.noteStoreAnswer(look.lookedAt);
-    this.sight = { revision: look.revision, askedAt: look.lookedAt };
-    keeper.noteStoreAnswer(look.lookedAt);
-    return this.members.isRegistered() === wasListed;
+  /** Adopts another proxy's poll; false when the store has to be polled after all. */
+  private async applyPollResult(poll: PollResult): Promise<boolean> {
+    const { tracker } = this.ports;
+    const wasListed = this.registry.isRegistered();
+    tracker.adopt(poll.answer);
+    if (poll.revision !== this.readRevision && !(await this.copyFromReader(poll))) return false;
+    if (this.isStoreUnavailable) this.ports.logger.write(leadershipEvents.storeRegained, {});
+    this.isStoreUnavailable = false;
+    this.configTracker.recordStoreAnswer(poll.polledAt);
+    this.latestPoll = { revision: poll.revision, requestedAt: poll.polledAt };
+    tracker.noteStoreAnswer(poll.polledAt);
+    return this.registry.isRegistered() === wasListed;
   }
 
-  /** Takes over what the reader has read of the store. */
-  private copyScene({ reader, revision }: ReaderLook): Promise<boolean> {
+  /** Adopts the configuration, targets and proxies that the reader has read. */
+  private copyFromReader({ reader, revision }: PollResult): Promise<boolean> {
     return this.copyFrom(reader, revision);
   }
 
   private async copyFrom({ address }: Proxy, revision: number): Promise<boolean> {
     const text = await this.ports.peers.fetchScene(address, peerTimeoutMs);
-    const proxies = this.keptScene.takeSnapshot(text);
+    const proxies = this.configTracker.updateFromPeer(text);
     if (proxies === undefined) return false;
-    this.members.take(proxies);
+    this.registry.applyListing(proxies);
     this.readRevision = revision;
-    this.keptScene.publish();
+    this.configTracker.publish();
     return true;
   }
 
   /**
-   * Takes over what a peer has read of the store, which turns this process away. Callers whose keys were
-   * taken away meanwhile would go on here until the store answers again. It is no look of this process's:
-   * nobody follows it, and the next answer of the store is compared with it.
+   * Adopts the newest data that a peer has read while the store rejects this process's requests. Otherwise
+   * callers whose keys have been revoked would be served here until the store answers again. This doesn't
+   * count as a poll: other proxies don't rely on it, and the store's next answer is compared with it.
    */
-  private async copyNewest(answers: readonly LeadershipAnswer[]): Promise<void> {
-    const newest = findNewest(answers);
+  private async copyFromNewestPeer(answers: readonly LeadershipAnswer[]): Promise<void> {
+    const newest = findNewestAnswer(answers);
     const { storeRevision: revision, vm } = newest ?? {};
     if (revision === undefined || revision <= (this.readRevision ?? 0)) return;
-    const peer = this.members.list().find((proxy) => proxy.vm === vm);
+    const peer = this.registry.list().find((proxy) => proxy.vm === vm);
     if (peer !== undefined) await this.copyFrom(peer, revision);
   }
 
-  private async look(): Promise<boolean> {
-    const { store, clock, keeper, logger } = this.ports;
+  private async pollStore(): Promise<boolean> {
+    const { store, clock, tracker, logger } = this.ports;
     const askedAt = clock.now();
-    // Before the operators have written any configuration there is nothing else to be read.
-    const [beat, routes] = await Promise.all([store.readBeat(), this.readFirstRoutes()]);
-    if (beat.type !== "found") {
-      if (!this.isAway) logger.write(leadershipEvents.storeLost, { reason: describe(beat) });
-      this.isAway = true;
-      if (!this.isInformed) await this.fetchScene();
-      if (!this.isUnlisted) await this.copyNewest(await this.confirmer.ask());
+    // Until the operators have written a configuration, nothing else is read.
+    const [status, routes] = await Promise.all([store.readStatus(), this.readFirstRoutes()]);
+    if (status.type !== "found") {
+      if (!this.isStoreUnavailable)
+        logger.write(leadershipEvents.storeLost, { reason: describe(status) });
+      this.isStoreUnavailable = true;
+      if (!this.isInitialised) await this.fetchFromSeeds();
+      if (!this.isUnlisted) await this.copyFromNewestPeer(await this.confirmer.askPeers());
       return false;
     }
     if (routes?.type === "absent") return false;
-    if (this.isAway) logger.write(leadershipEvents.storeRegained, {});
-    this.isAway = false;
-    this.keptScene.noteStoreAnswer(askedAt);
-    if (beat.value.leadership !== undefined) {
-      keeper.adopt({ leadership: beat.value.leadership, promoted: [] });
+    if (this.isStoreUnavailable) logger.write(leadershipEvents.storeRegained, {});
+    this.isStoreUnavailable = false;
+    this.configTracker.recordStoreAnswer(askedAt);
+    if (status.value.leadership !== undefined) {
+      tracker.adopt({ leadership: status.value.leadership, promoted: [] });
     }
-    const isListed = await this.readChanges(beat.value, routes);
-    const { revision } = beat.value;
-    if (this.readRevision === revision) this.sight = { revision, askedAt };
-    keeper.noteStoreAnswer(askedAt);
-    if (isListed && this.members.isMemberBefore(askedAt)) keeper.confirm(askedAt);
-    // Not waited for: while the store is slow, calls for a rack of them would hold up the next look.
-    void this.members.removeMissed();
-    // One proxy does it for all.
-    if (isListed && this.members.isFirst()) void this.keptScene.updateRecords();
+    const isListed = await this.readChanges(status.value, routes);
+    const { revision } = status.value;
+    if (this.readRevision === revision) this.latestPoll = { revision, requestedAt: askedAt };
+    tracker.noteStoreAnswer(askedAt);
+    if (isListed && this.registry.wasRegisteredBefore(askedAt)) tracker.confirm(askedAt);
+    // Not awaited: while the store is slow, removing a whole rack's entries would delay the next poll.
+    void this.registry.removeMissed();
+    // Only one proxy does this.
+    if (isListed && this.registry.isCoordinator()) void this.configTracker.updateRecords();
     return true;
   }
 
-  /** The configuration, by a process that knows none; it waits for nothing else. */
+  /** Reads the configuration if none is known yet; it is needed before anything else. */
   private readFirstRoutes(): Promise<StoreRead<RouteTable> | undefined> {
-    if (this.keptScene.hasRoutes) return Promise.resolve(undefined);
+    if (this.configTracker.hasRoutes) return Promise.resolve(undefined);
     return this.ports.store.readRoutes();
   }
 
-  /** Reads what has changed; false when it is not known which proxies there are. */
+  /** Reads everything again if anything has changed; false when the proxies could not be listed. */
   private async readChanges(
-    { revision }: StoreBeat,
+    { revision }: StoreStatus,
     firstRoutes: StoreRead<RouteTable> | undefined,
   ): Promise<boolean> {
-    const isSettled = this.members.isRegistered() || !this.isRegistrationDue();
-    const isSame = revision === this.readRevision && this.isInformed && isSettled;
-    if (isSame && !this.keptScene.isAwaitingReturn) return true;
+    const isSettled = this.registry.isRegistered() || !this.isRegistrationDue();
+    const isSame = revision === this.readRevision && this.isInitialised && isSettled;
+    if (isSame && !this.configTracker.isInGracePeriod) return true;
     const { store } = this.ports;
     const [routes, targets, proxies] = await Promise.all([
       firstRoutes ?? store.readRoutes(),
       store.readTargets(),
       store.listProxies(),
-      this.keptScene.loadRecords(),
+      this.configTracker.loadRecords(),
     ]);
-    if (routes.type === "found") this.keptScene.takeRoutes(routes.value);
+    if (routes.type === "found") this.configTracker.updateRoutes(routes.value);
     if (routes.type === "unavailable") {
       this.ports.logger.write(nodeEvents.configurationUnread, { reason: routes.reason });
     }
-    if (targets.type === "found") this.keptScene.takeTargets(targets.value);
-    if (proxies.type === "found") this.members.take(proxies.value);
-    this.keptScene.publish();
-    if (proxies.type === "found" && this.isRegistrationDue()) await this.members.register();
-    const isWhole = [routes, targets, proxies].every((read) => read.type !== "unavailable");
-    this.readRevision = isWhole ? revision : undefined;
-    this.keptScene.publish();
+    if (targets.type === "found") this.configTracker.updateTargets(targets.value);
+    if (proxies.type === "found") this.registry.applyListing(proxies.value);
+    this.configTracker.publish();
+    if (proxies.type === "found" && this.isRegistrationDue()) await this.registry.register();
+    const isComplete = [routes, targets, proxies].every((read) => read.type !== "unavailable");
+    this.readRevision = isComplete ? revision : undefined;
+    this.configTracker.publish();
     return proxies.type === "found";
   }
 
-  /** A start without the store, or beside many others: what a seed knows serves until more is known. */
-  private async fetchScene(): Promise<boolean> {
+  /**
+   * Adopts what a seed knows, at a start while the store is unavailable or many other processes start. False
+   * when no seed gives usable data.
+   */
+  private async fetchFromSeeds(): Promise<boolean> {
     const { settings, peers, logger, random } = this.ports;
     const first = Math.floor(random.draw() * settings.seeds.length);
     const seeds = [...settings.seeds.slice(first), ...settings.seeds.slice(0, first)];
     for (const seed of seeds) {
       const text = await peers.fetchScene(seed, peerTimeoutMs);
-      const proxies = this.keptScene.takeSnapshot(text);
+      const proxies = this.configTracker.updateFromPeer(text);
       if (proxies === undefined) continue;
-      // A seed may be cut off and know less than this process did: the store is read anew.
+      // The seed may be unable to reach the store and have older data, so everything is read again.
       this.readRevision = undefined;
-      this.members.copy(proxies);
+      this.registry.applyPeerListing(proxies);
       logger.write(nodeEvents.sceneFetched, { seed: `${seed.host}:${seed.port}` });
-      this.keptScene.publish();
+      this.configTracker.publish();
       return true;
     }
     return false;
   }
 }
 
-/** The answer of whoever knows the newest state of the store. */
-function findNewest(answers: readonly LeadershipAnswer[]): LeadershipAnswer | undefined {
+/** The answer with the highest store revision. */
+function findNewestAnswer(answers: readonly LeadershipAnswer[]): LeadershipAnswer | undefined {
   return answers.reduce<LeadershipAnswer | undefined>(
     (newest, answer) =>
       (answer.storeRevision ?? -1) > (newest?.storeRevision ?? -1) ? answer : newest,
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -23,101 +23,102 @@
 import { StoreFollower } from "./follower.js";
 import { Forwarding } from "./forwarding.js";
 import type { NodeAdapter } from "./ports.js";
-import { TargetQuestioner } from "./questioner.js";
-import { ProxyWatch } from "./watch.js";
+import { TargetStatusClient } from "./target-status.js";
+import { ProxyLivenessMonitor } from "./proxy-liveness.js";
 import { planDrain, type DrainPlan } from "./drain.js";
 import { NodeRates } from "./rates.js";
 import type { NodeSettings } from "./settings.js";
 
-/** What a node is built from. */
+/** The settings and dependencies of a node. */
 export interface NodeOptions {
   readonly settings: NodeSettings;
   readonly adapter: NodeAdapter;
   readonly clock: Clock;
   readonly random: Random;
-  /** The time of day, in milliseconds, to compare with the steady clock. */
+  /** The wall clock, in milliseconds, to compare with the monotonic clock. */
   readonly wallClock: () => number;
   readonly logger: Logger;
+  /** Distinguishes this process from earlier ones on the same VM. */
   readonly incarnation: string;
-  /** Where metrics are served besides the readiness address. */
+  /** Where metrics are served in addition to the readiness address. */
   readonly metrics?: Address;
 }
 
 /**
- * Unconfirmed for this long a node tells the balancer so, in milliseconds: a look at the store, the next
- * one and the peers have failed then. The balancer takes two answers more to heed it, while callers are
- * refused here; before, it was told only after the permission had lapsed.
+ * A node that has not been confirmed for this long reports that it is not ready, in milliseconds. Two polls
+ * and the requests to peers have failed by then. The balancer stops sending callers only after two more answers,
+ * and callers are refused in the meantime, so the node doesn't wait until its permit expires.
  */
-const unpermittedMs = 1300;
+const maxUnconfirmedMs = 1300;
 /**
- * Without a word from anybody for this long a node that forwards statements tells the balancer so, in
- * milliseconds: two questions and a look at the store have failed then.
+ * An unlisted node that has had no answer for this long reports that it is not ready, in milliseconds. Two
+ * requests to other proxies and one poll of the store have failed by then.
  */
-const unheardMs = 2500;
-/** The balancer asks once a second and believes two answers; only then do callers come elsewhere. */
-const passedByMs = 2300;
+const maxSilenceMs = 2500;
+/** In milliseconds: the balancer asks once a second and sends callers elsewhere after two answers. */
+const balancerReactionMs = 2300;
 
-/** One node that serves callers by direct connections to targets. */
+/** A node that serves callers over direct connections to targets. */
 export class Node {
   private readonly owned = new DisposableStore();
   private readonly metrics: Metrics;
-  private readonly keeper: LeadershipTracker;
-  private readonly questioner: TargetQuestioner;
+  private readonly tracker: LeadershipTracker;
+  private readonly targetStatus: TargetStatusClient;
   private readonly changer: PrimaryChanger;
   private readonly follower: StoreFollower;
   private readonly directPorts: DirectPorts;
   private readonly groups: GroupDirectory;
   private readonly callers: CallerRegistry;
   private readonly forwarding: Forwarding;
-  private readonly watch: ProxyWatch;
+  private readonly proxyLiveness: ProxyLivenessMonitor;
   private readonly rates: NodeRates;
   private readonly server: LineServer;
   private readonly drainer: DrainRunner;
   private readonly drainPlan: DrainPlan;
   private wasReady = false;
-  private askedForGatewaysAt = -Infinity;
+  private gatewayRefreshAt = -Infinity;
   private readonly probing = new Set<string>();
-  private moveTimer: NodeJS.Timeout | undefined;
-  private missTimer: NodeJS.Timeout | undefined;
+  private idleCloseTimer: NodeJS.Timeout | undefined;
+  private primaryCheckTimer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: NodeOptions) {
     const { settings, adapter, clock, random, logger } = options;
     this.metrics = createMetrics({ process: true });
     this.drainPlan = planDrain(settings.graceMs);
-    this.keeper = new LeadershipTracker({
+    this.tracker = new LeadershipTracker({
       clock,
       logger,
       stallDetector: new StallDetector({ monotonic: () => clock.now(), wall: options.wallClock }),
       listTargets: (group) => this.listTargets(group),
-      onStall: () => this.noteStall(),
-      onContactFailure: () => this.lookSoon(),
+      onStall: () => this.handleStall(),
+      onContactFailure: () => this.schedulePrimaryCheck(),
       onSuperseded: (group, target) => this.groups.find(group)?.evict(target),
       onSilence: (group, target, since) => void this.probe(group, target, since),
     });
-    this.questioner = new TargetQuestioner({
+    this.targetStatus = new TargetStatusClient({
       adapter,
       clock,
       logger,
       listTargets: (group) => this.listTargets(group),
-      hasReached: (group, target, since) => this.keeper.hasReached(group, target, since),
+      hasReached: (group, target, since) => this.tracker.hasReached(group, target, since),
     });
     const peers = new DirectPeerClient(settings.vm, logger);
     this.follower = new StoreFollower({
       settings,
       store: this.owned.add(adapter.store),
       peers,
-      keeper: this.keeper,
+      tracker: this.tracker,
       clock,
       random,
       logger,
-      onScene: (scene) => this.noteScene(scene),
-      onLook: () => this.noteLook(),
+      onServingConfig: (config) => this.applyServingConfig(config),
+      onPoll: () => this.handlePoll(),
     });
-    this.watch = new ProxyWatch({
+    this.proxyLiveness = new ProxyLivenessMonitor({
       vm: settings.vm,
       dataCentre: settings.dataCentre,
       peers,
-      keeper: this.keeper,
+      tracker: this.tracker,
       clock,
       logger,
       markMissed: (proxy) => adapter.store.markMissed(proxy),
@@ -127,27 +128,27 @@
         settings,
         clock,
         logger,
-        listProxies: () => this.follower.members.list(),
-        isListed: () => this.follower.members.isRegistered(),
+        listProxies: () => this.follower.registry.list(),
+        isListed: () => this.follower.registry.isRegistered(),
         isLeaving: () => this.drainer.isLeaving(),
-        isPermitted: () => this.keeper.isPermitted,
-        listGroups: () => [...this.follower.scene.groups.keys()],
-        findGroup: (group) => this.follower.scene.groups.get(group),
-        findLeader: (group) => this.keeper.findLeader(group),
-        onNobody: () => this.askForGateways(),
+        isPermitted: () => this.tracker.isPermitted,
+        listGroups: () => [...this.follower.servingConfig.groups.keys()],
+        findGroup: (group) => this.follower.servingConfig.groups.get(group),
+        findLeader: (group) => this.tracker.findLeader(group),
+        onNoneAccepted: () => this.refreshGateways(),
       }),
     );
     this.rates = this.owned.add(
       new NodeRates({
         settings,
         peers,
-        keeper: this.keeper,
-        members: () => this.follower.members,
-        findLookedAt: () => this.follower.known?.askedAt,
+        tracker: this.tracker,
+        getRegistry: () => this.follower.registry,
+        findPolledAt: () => this.follower.lastPoll?.requestedAt,
         clock,
         random,
         logger,
-        scene: () => this.follower.scene,
+        getServingConfig: () => this.follower.servingConfig,
       }),
     );
     this.changer = new PrimaryChanger(
@@ -159,19 +160,19 @@
           write: (document, version) => adapter.store.writeLeadership(document, version),
         },
         peers,
-        askTarget: (question, timeoutMs) => this.questioner.ask(question, timeoutMs),
+        askTarget: (question, timeoutMs) => this.targetStatus.ask(question, timeoutMs),
         promote: adapter.promote,
         clock,
         random,
         logger,
-        listProxies: () => this.follower.members.list(),
-        refreshProxies: () => this.follower.members.refresh(),
+        listProxies: () => this.follower.registry.list(),
+        refreshProxies: () => this.follower.registry.refresh(),
         markMissed: (proxy) => adapter.store.markMissed(proxy),
-        listGroupProxies: (group) => this.forwarding.listHolders(group),
+        listGroupProxies: (group) => this.forwarding.listGroupProxies(group),
         listTargets: (group) => this.listTargets(group),
         listGroups: () => this.forwarding.listOwnGroups(),
       },
-      this.keeper,
+      this.tracker,
     );
     this.directPorts = this.createDirectPorts();
     this.groups = this.owned.add(new GroupDirectory(this.directPorts));
@@ -185,7 +186,7 @@
       new LineServer({
         address: settings.callers,
         maxLineBytes: adapter.maxLineBytes,
-        findLineTimeoutMs: () => this.follower.scene.lineTimeoutMs,
+        findLineTimeoutMs: () => this.follower.servingConfig.lineTimeoutMs,
         accept: (connection) => this.callers.accept(connection),
       }),
     );
@@ -202,7 +203,7 @@
     });
   }
 
-  /** Begins to serve. */
+  /** Starts all servers and polling. */
   async start(): Promise<void> {
     const { settings, logger, metrics } = this.options;
     await this.listenHealth(settings.readiness);
@@ -214,19 +215,19 @@
     void this.follower.run();
   }
 
-  /** Stops taking callers and waits until nothing is in flight, within the grace of the platform. */
+  /** Stops accepting callers and waits until nothing is in flight, within the platform's grace period. */
   async drain(): Promise<void> {
     const { clock } = this.options;
     const ended = this.drainer.drain();
-    await Promise.race([ended, clock.sleep(this.drainPlan.transactionMs)]);
+    await Promise.race([ended, clock.sleep(this.drainPlan.rollBackAfterMs)]);
     this.callers.endTransactions();
-    this.forwarding.endTransactions();
+    this.forwarding.rollBackTransactions();
     await ended;
     this.rates.stop();
     await this.follower.leave();
   }
 
-  /** Takes what can change without a restart from new settings. */
+  /** Applies the settings that can change without a restart: the address of the store. */
   setSettings(settings: NodeSettings): void {
     this.options.adapter.store.setAddress(settings.store);
     this.options.logger.write(nodeEvents.settingsRead, { vm: settings.vm });
@@ -243,23 +244,23 @@
     return {
       dialer: adapter.dialer,
       dataCentre: this.options.settings.dataCentre,
-      primaries: this.keeper,
+      primaries: this.tracker,
       clock,
       random,
       logger,
-      getServingConfig: () => this.follower.scene,
-      findShareRule: (group, dataCentre) => this.forwarding.findHolding(group, dataCentre),
-      rates: this.rates.gate,
+      getServingConfig: () => this.follower.servingConfig,
+      findShareRule: (group, dataCentre) => this.forwarding.findShareRule(group, dataCentre),
+      rates: this.rates.limiter,
       onStatement: (sample) => this.recordStatement(sample),
     };
   }
 
-  private noteLook(): void {
-    const { members, isReading } = this.follower;
-    this.rates.look();
-    if (!members.isRegistered()) return;
+  private handlePoll(): void {
+    const { registry, isPollingStore } = this.follower;
+    this.rates.refresh();
+    if (!registry.isRegistered()) return;
     this.changer.checkGroups();
-    if (this.forwarding.isOn) this.watch.look(members.list(), isReading);
+    if (this.forwarding.isEnabled) this.proxyLiveness.checkProxies(registry.list(), isPollingStore);
   }
 
   private recordStatement({ outcome, effect, role, group, ms }: StatementSample): void {
@@ -287,112 +288,115 @@
     const { peers } = this.options.settings;
     if (peers === undefined) return;
     const server = new DirectPeerServer(peers, {
-      receiveLeadership: (from, word) => this.takeWord(from, word),
-      askTarget: (question) => this.questioner.ask(question, peerAskMs),
-      encodeScene: () => this.follower.encodeScene(),
-      grantTokens: (team, wanted) => this.rates.give(team, wanted),
+      receiveLeadership: (from, update) => this.applyUpdate(from, update),
+      askTarget: (question) => this.targetStatus.ask(question, peerQuestionTimeoutMs),
+      encodeScene: () => this.follower.encodeServingConfig(),
+      grantTokens: (team, wanted) => this.rates.grantTokens(team, wanted),
     });
     await this.owned.add(server).listen();
   }
 
-  private takeWord(from: string, word: LeadershipUpdate): LeadershipAnswer {
-    this.keeper.adopt(word);
-    this.watch.hear(from);
+  private applyUpdate(from: string, update: LeadershipUpdate): LeadershipAnswer {
+    this.tracker.adopt(update);
+    this.proxyLiveness.recordContact(from);
     const { clock, settings } = this.options;
     const findAge = (at: number | undefined) => (at === undefined ? undefined : clock.now() - at);
     return {
-      ...this.keeper.latestUpdate,
+      ...this.tracker.latestUpdate,
       vm: settings.vm,
-      listsAsker: this.follower.members.has(from),
-      confirmedAgoMs: findAge(this.keeper.confirmedAt),
-      storeAgoMs: findAge(this.keeper.lastAnsweredStoreQueryAt),
-      storeRevision: this.follower.known?.revision,
-      lookedAgoMs: findAge(this.follower.known?.askedAt),
+      listsAsker: this.follower.registry.hasListed(from),
+      confirmedAgoMs: findAge(this.tracker.confirmedAt),
+      storeAgoMs: findAge(this.tracker.lastAnsweredStoreQueryAt),
+      storeRevision: this.follower.lastPoll?.revision,
+      lookedAgoMs: findAge(this.follower.lastPoll?.requestedAt),
     };
   }
 
-  /** Ready once the scene is known, and as long as primaries may be used. */
+  /**
+   * Whether the balancer should send callers here. A listed node must know the configuration and have been
+   * confirmed recently; an unlisted one must know the configuration and a gateway, and have had an answer.
+   */
   private isReady(): boolean {
     const { clock, logger } = this.options;
     const now = clock.now();
-    const { confirmedAt } = this.keeper;
-    const { heardAt, members, isUnlisted } = this.follower;
-    const isPermitted = confirmedAt !== undefined && now - confirmedAt < unpermittedMs;
-    // Nobody could run a statement for it: callers that came now would all be refused.
-    const hasOthers = members.list().some(({ isMissed }) => isMissed !== true);
-    const isInTouch = hasOthers && heardAt !== undefined && now - heardAt < unheardMs;
-    const isReady = this.follower.isInformed && (isUnlisted ? isInTouch : isPermitted);
+    const { confirmedAt } = this.tracker;
+    const { heardAt, registry, isUnlisted } = this.follower;
+    const isPermitted = confirmedAt !== undefined && now - confirmedAt < maxUnconfirmedMs;
+    // Without another listed proxy, no gateway could run a statement and all callers would be refused.
+    const hasOthers = registry.list().some(({ isMissed }) => isMissed !== true);
+    const isInTouch = hasOthers && heardAt !== undefined && now - heardAt < maxSilenceMs;
+    const isReady = this.follower.isInitialised && (isUnlisted ? isInTouch : isPermitted);
     if (isReady !== this.wasReady) {
       this.wasReady = isReady;
       logger.write(nodeEvents.readinessChanged, { isReady });
-      this.planMove(isReady);
+      this.scheduleIdleClose(isReady);
     }
     return isReady;
   }
 
   /**
-   * Closes idle sessions once the balancer passes this node by: they come back through another one,
-   * and would otherwise be refused here for as long as the node is cut off.
+   * Closes idle sessions once the balancer no longer sends callers here. They reconnect through another node;
+   * their statements would otherwise be refused for as long as this node is not ready.
    */
-  private planMove(isReady: boolean): void {
-    clearTimeout(this.moveTimer);
+  private scheduleIdleClose(isReady: boolean): void {
+    clearTimeout(this.idleCloseTimer);
     if (isReady) return;
-    this.moveTimer = setTimeout(() => this.callers.closeIdleNow(), passedByMs).unref();
+    this.idleCloseTimer = setTimeout(() => this.callers.closeIdleNow(), balancerReactionMs).unref();
   }
 
-  private noteScene(scene: ServingConfig): void {
-    this.groups.update(scene);
-    this.rates.look();
+  private applyServingConfig(config: ServingConfig): void {
+    this.groups.update(config);
+    this.rates.refresh();
     this.callers.endRevoked();
-    this.metrics.setRevision(scene.revision);
+    this.metrics.setRevision(config.revision);
   }
 
-  /** Looks at the primaries once a miss is old enough to count, whenever the next look is due. */
-  private lookSoon(): void {
-    this.missTimer ??= setTimeout(() => {
-      this.missTimer = undefined;
+  /** Checks the primaries when a failure is old enough to raise suspicion, without awaiting the next poll. */
+  private schedulePrimaryCheck(): void {
+    this.primaryCheckTimer ??= setTimeout(() => {
+      this.primaryCheckTimer = undefined;
       this.changer.checkGroups();
-    }, missLookMs).unref();
+    }, primaryCheckDelayMs).unref();
   }
 
-  /** Asks at once who holds connections: a node that forwards hears of that by its own pace otherwise. */
-  private askForGateways(): void {
+  /** Polls at once for the current gateways; an unlisted node would otherwise wait for its next poll. */
+  private refreshGateways(): void {
     const now = this.options.clock.now();
-    if (!this.follower.isUnlisted || now - this.askedForGatewaysAt < askForGatewaysMs) return;
-    this.askedForGatewaysAt = now;
+    if (!this.follower.isUnlisted || now - this.gatewayRefreshAt < gatewayRefreshIntervalMs) return;
+    this.gatewayRefreshAt = now;
     this.follower.wake();
   }
 
-  /** Tries a new connection to a primary that is silent, and looks at once if that stays silent too. */
+  /** Tries a new connection to a silent primary, and checks the primaries at once if that fails too. */
   private async probe(group: string, target: string, since: number): Promise<void> {
     if (this.probing.has(group)) return;
     this.probing.add(group);
-    const isReached = await this.questioner.probe(group, target);
+    const isReached = await this.targetStatus.probe(group, target);
     this.probing.delete(group);
-    this.keeper.noteProbeResult(group, target, since, isReached);
+    this.tracker.noteProbeResult(group, target, since, isReached);
     if (!isReached) this.changer.checkGroups();
   }
 
-  private noteStall(): void {
+  private handleStall(): void {
     this.groups.forgetMarks();
-    this.rates.noteStall();
+    this.rates.handleStall();
     this.follower.wake();
   }
 
   private listTargets(group: string) {
-    return this.follower.scene.groups.get(group)?.targets ?? [];
+    return this.follower.servingConfig.groups.get(group)?.targets ?? [];
   }
 
   private countInFlight(): number {
     return (
-      this.callers.countBusy() + this.forwarding.countBusy() + (this.changer.isChanging ? 1 : 0)
+      this.callers.countBusy() + this.forwarding.countActive() + (this.changer.isChanging ? 1 : 0)
     );
   }
 }
 
-/** Between two such questions, in milliseconds: a whole gateway's callers may be refused at once. */
-const askForGatewaysMs = 200;
-/** A little longer than a primary must have been missing to be suspected. */
-const missLookMs = 270;
-/** A peer's question about a target: as long as this process would wait for its own. */
-const peerAskMs = 200;
+/** Shortest interval between such polls, in milliseconds: all callers of a gateway may be refused at once. */
+const gatewayRefreshIntervalMs = 200;
+/** In milliseconds; slightly longer than a primary must have been failing to be suspected. */
+const primaryCheckDelayMs = 270;
+/** Timeout of a peer's request about a target, in milliseconds: the same as for this process's own. */
+const peerQuestionTimeoutMs = 200;
--- a/src/node/recorder.ts
+++ b/src/node/recorder.ts
@@ -1,5 +1,5 @@
 import {
-  findRecordChanges,
+  findOutdatedRecords,
   type FeedState,
   type GroupRecord,
   type PlatformFeed,
@@ -7,64 +7,65 @@
 import { nodeEvents } from "../log/events/node.js";
 import type { Logger } from "../log/index.js";
 
-/** What a recorder needs. */
+/** The dependencies of `TargetRecorder`. */
 export interface RecorderPorts {
-  readonly store: Pick<PlatformFeed, "readRecords" | "writeRecord">;
+  readonly store: Pick<PlatformFeed, "readGroupRecords" | "writeGroupRecord">;
   readonly logger: Logger;
 }
 
 /**
- * Keeps the records of the groups' targets in the store. All proxies read them as they start; one, which
- * the caller chooses, writes them. Two that write at once meet in a conflict and read again.
+ * Maintains the records of the groups' targets in the store. Every proxy reads them when it starts; one
+ * proxy, chosen by the caller, writes them. If two write at once, one gets a conflict and reads again.
  */
 export class TargetRecorder {
   private records: readonly GroupRecord[] | undefined;
   private isWriting = false;
-  /** The targets as they were when this was asked last, and those that the records say. */
-  private seen: FeedState["targets"] | undefined;
-  private recorded: FeedState["targets"] | undefined;
+  /** The targets that the last call of `update` was given. */
+  private previousTargets: FeedState["targets"] | undefined;
+  /** The targets that the stored records agree with. */
+  private recordedTargets: FeedState["targets"] | undefined;
 
   constructor(private readonly ports: RecorderPorts) {}
 
-  /** The records as they were last read or written; absent before they were. */
-  get known(): readonly GroupRecord[] | undefined {
+  /** The records as last read or written; undefined before that and after a failed write. */
+  get knownRecords(): readonly GroupRecord[] | undefined {
     return this.records;
   }
 
   /** Reads the records unless they are known. */
   async load(): Promise<void> {
     if (this.records !== undefined) return;
-    const read = await this.ports.store.readRecords();
+    const read = await this.ports.store.readGroupRecords();
     if (read.type !== "unavailable") this.records = read.type === "found" ? read.value : [];
   }
 
   /**
-   * Writes the records that are not what is listed, once that has stayed the same from one call to the
-   * next. Each write makes all proxies read the store anew, and at a start entries come one by one.
+   * Writes the records that differ from the listed targets, once these are the same as in the previous
+   * call. Each write makes every proxy read the store again, and entries appear one by one at a start.
    */
   async update(state: FeedState): Promise<void> {
     const { targets } = state;
-    const isSettled = targets === this.seen;
-    this.seen = targets;
-    if (!isSettled || targets === this.recorded || this.isWriting) return;
+    const isSettled = targets === this.previousTargets;
+    this.previousTargets = targets;
+    if (!isSettled || targets === this.recordedTargets || this.isWriting) return;
     this.isWriting = true;
     await this.load();
-    for (const change of findRecordChanges(state, this.records ?? [])) await this.write(change);
-    if (this.records !== undefined) this.recorded = targets;
+    for (const change of findOutdatedRecords(state, this.records ?? [])) await this.write(change);
+    if (this.records !== undefined) this.recordedTargets = targets;
     this.isWriting = false;
   }
 
   private async write(change: GroupRecord): Promise<void> {
     const { group, targets } = change;
     if (this.records === undefined) return;
-    const written = await this.ports.store.writeRecord(change);
+    const written = await this.ports.store.writeGroupRecord(change);
     const outcome = written.type;
     this.ports.logger.write(nodeEvents.recordWritten, { group, targets: targets.length, outcome });
-    // Another proxy has written it, or may have been this one's own write: it is read again.
+    // After a failure the record may have been written by another proxy or by this one: it is read again.
     this.records =
       written.type === "written"
         ? [
-            ...this.records.filter((known) => known.group !== group),
+            ...this.records.filter((record) => record.group !== group),
             { group, targets, version: written.object.version },
           ]
         : undefined;
--- a/src/node/questioner.ts
+++ b/src/node/target-status.ts
@@ -7,61 +7,65 @@
 import type { TargetLink } from "../statement/index.js";
 import type { NodeAdapter } from "./ports.js";
 
-/** What a questioner needs. */
-export interface QuestionerPorts {
+/** The dependencies of `TargetStatusClient`. */
+export interface TargetStatusClientPorts {
   readonly adapter: Pick<NodeAdapter, "dialer" | "parseReport">;
   readonly clock: Clock;
   readonly logger: Logger;
   readonly listTargets: (group: string) => readonly AnnouncedTarget[];
-  /** Whether a group's primary has answered a statement of this node since `since`. */
+  /** Whether the target, as the group's primary, has answered a statement of this node since `since`. */
   readonly hasReached: (group: string, target: string, since: number) => boolean;
 }
 
-/** A probe opens a connection, 12 ms and one of the target's slots, behind what those slots work on. */
-const probeMs = 200;
-/** Between two tries to ask a target whose slots are all taken: the shortest work. */
-const busyPauseMs = 5;
+/**
+ * In milliseconds. Opening a connection takes 12 ms and one of the target's slots, after any wait for
+ * the statements that occupy the slots.
+ */
+const probeTimeoutMs = 200;
+/** Pause before a target with no free slot is asked again, in milliseconds: the shortest statement. */
+const busyRetryMs = 5;
 
-/** Asks targets over fresh connections: one in use may be silent while the target lives. */
-export class TargetQuestioner {
-  constructor(private readonly ports: QuestionerPorts) {}
+/** Asks targets over new connections, since an existing one may be dead while its target is alive. */
+export class TargetStatusClient {
+  constructor(private readonly ports: TargetStatusClientPorts) {}
 
-  /** Whether a target takes a connection, or refuses one: both are signs of life. */
+  /** Whether a target accepts or refuses a connection; either shows that it is alive. */
   async probe(group: string, name: string): Promise<boolean> {
-    const target = this.find(group, name);
+    const target = this.findTarget(group, name);
     if (target === undefined) return false;
     try {
-      const link = await this.ports.adapter.dialer.open(group, target, probeMs, undefined);
+      const link = await this.ports.adapter.dialer.open(group, target, probeTimeoutMs, undefined);
       link.close();
       return true;
     } catch (error) {
       const isRefused = error instanceof LinkError && error.kind === "refused";
-      if (!isRefused) this.noteSilent(group, name, error);
+      if (!isRefused) this.logSilent(group, name, error);
       return isRefused;
     }
   }
 
+  /** Reads a target's status, or demotes it; `alive` when it only showed that it is running. */
   async ask(question: TargetQuestion, timeoutMs: number): Promise<TargetAnswer> {
     const { group, target, demoteRound } = question;
-    const listed = this.find(group, target);
+    const listed = this.findTarget(group, target);
     if (listed === undefined) return { type: "silent" };
     const { adapter, clock, hasReached } = this.ports;
     const askedAt = clock.now();
     try {
       const link = await adapter.dialer.open(group, listed, timeoutMs, undefined);
       try {
-        return await this.askOn(link, demoteRound, askedAt + timeoutMs);
+        return await this.askOverLink(link, demoteRound, askedAt + timeoutMs);
       } finally {
         link.close();
       }
     } catch (error) {
-      this.noteSilent(group, target, error);
+      this.logSilent(group, target, error);
       return { type: hasReached(group, target, askedAt) ? "alive" : "silent" };
     }
   }
 
-  /** The target refuses while all its slots are taken: asked again until the time is over. */
-  private async askOn(
+  /** Repeats the command until `until` while the target refuses it for want of a free slot. */
+  private async askOverLink(
     link: TargetLink,
     demoteRound: number | undefined,
     until: number,
@@ -73,7 +77,7 @@
         : ({ type: "demote", round: demoteRound } as const);
     for (;;) {
       const result = await link.run(command, until - clock.now());
-      // It has just taken the connection.
+      // The target has just accepted the connection.
       if (result.type === "broken") return { type: "alive" };
       const { end } = result.reply;
       if (end.type === "complete") {
@@ -81,16 +85,16 @@
         return report === undefined ? { type: "silent" } : { type: "report", report };
       }
       if (end.code !== "busy") return { type: "silent" };
-      if (clock.now() + busyPauseMs >= until) return { type: "alive" };
-      await clock.sleep(busyPauseMs);
+      if (clock.now() + busyRetryMs >= until) return { type: "alive" };
+      await clock.sleep(busyRetryMs);
     }
   }
 
-  private find(group: string, name: string): AnnouncedTarget | undefined {
+  private findTarget(group: string, name: string): AnnouncedTarget | undefined {
     return this.ports.listTargets(group).find((target) => target.name === name);
   }
 
-  private noteSilent(group: string, target: string, error: unknown): void {
+  private logSilent(group: string, target: string, error: unknown): void {
     this.ports.logger.write(nodeEvents.targetSilent, { group, target, reason: String(error) });
   }
 }
--- a/test/node/follower.test.ts
+++ b/test/node/follower.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import type { AnnouncedTarget } from "../../src/direct/index.js";
 import { DirectPeerClient } from "../../src/directpeer/index.js";
-import { encodeSnapshot, firstFeedState } from "../../src/feed/index.js";
+import { encodeSnapshot, initialFeedState } from "../../src/feed/index.js";
 import { emptyLeadership, LeadershipTracker, StallDetector } from "../../src/leadership/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import type { NodeSettings, NodeStore } from "../../src/node/index.js";
@@ -21,7 +21,7 @@
   dataCentres: 1,
   seeds: [],
   store: address,
-  duty: address,
+  promotionAddress: address,
   graceMs: 6000,
   targetDrainMs: 7000,
   configurationApplyMs: 3000,
@@ -32,11 +32,11 @@
 const found = <T>(value: T) => Promise.resolve({ type: "found", value } as const);
 const done = () => Promise.resolve(true);
 
-/** A store that lists this proxy and nothing else, and counts the looks at it. */
+/** A store that lists only this proxy, and counts the polls. */
 class CountingStore implements NodeStore {
-  looks = 0;
-  readBeat: NodeStore["readBeat"] = () => {
-    this.looks += 1;
+  polls = 0;
+  readStatus: NodeStore["readStatus"] = () => {
+    this.polls += 1;
     const leadership = { version: 1, document: emptyLeadership };
     return found({ leadership, revision: 7 });
   };
@@ -49,11 +49,11 @@
       transactionIdleMs: 3000,
       lineTimeoutMs: 3000,
     });
-  readTargets: NodeStore["readTargets"] = () => found({ targets: [], refused: [] });
-  readRecords = () => found([]);
+  readTargets: NodeStore["readTargets"] = () => found({ targets: [], invalidEntries: [] });
+  readGroupRecords = () => found([]);
   listProxies: NodeStore["listProxies"] = () => found([{ vm: "vm-0", address, dataCentre: "a" }]);
   writeLeadership = () => Promise.resolve({ type: "conflict" } as const);
-  writeRecord = () => Promise.resolve({ type: "conflict" } as const);
+  writeGroupRecord = () => Promise.resolve({ type: "conflict" } as const);
   register = done;
   deregister = done;
   markMissed = () => Promise.resolve();
@@ -62,22 +62,22 @@
   dispose = () => undefined;
 }
 
-/** A store that answers nothing until `backAt`. */
-class AwayStore extends CountingStore {
+/** A store that is unavailable until `availableAt`. */
+class UnavailableStore extends CountingStore {
   constructor(
     private readonly clock: FakeClock,
-    private readonly backAt: number,
+    private readonly availableAt: number,
   ) {
     super();
   }
 
-  override readBeat: NodeStore["readBeat"] = () => {
-    this.looks += 1;
-    if (this.clock.time < this.backAt) return unavailable();
+  override readStatus: NodeStore["readStatus"] = () => {
+    this.polls += 1;
+    if (this.clock.time < this.availableAt) return unavailable();
     return found({ leadership: { version: 1, document: emptyLeadership }, revision: 7 });
   };
   override readRoutes: NodeStore["readRoutes"] = () =>
-    this.clock.time < this.backAt
+    this.clock.time < this.availableAt
       ? unavailable()
       : found({
           revision: 1,
@@ -92,12 +92,12 @@
   return Promise.resolve({ type: "unavailable", reason: "away" } as const);
 }
 
-// All nodes lose their power and start again while the store is away. Every caller waits for its return;
-// nodes that forward statements spare the store otherwise, and must not now.
-test("a node that starts while the store is away knows the scene soon after its return", async () => {
+// All nodes restart after a power failure while the store is unavailable, and all callers wait for its return.
+// Unlisted nodes normally poll the store rarely; in this case they must not.
+test("a node that starts during an outage of the store is initialised soon after its return", async () => {
   const clock = new FakeClock();
-  const store = new AwayStore(clock, 1000);
-  const keeper = new LeadershipTracker({
+  const store = new UnavailableStore(clock, 1000);
+  const tracker = new LeadershipTracker({
     clock,
     logger: silentLogger,
     stallDetector: new StallDetector({ monotonic: () => clock.now(), wall: () => clock.now() }),
@@ -111,28 +111,28 @@
     settings: { ...settings, vm: "vm-1", gateway: address },
     store,
     peers: new DirectPeerClient("vm-1", silentLogger),
-    keeper,
+    tracker,
     clock,
     random: makeRandom(1),
     logger: silentLogger,
-    onScene: () => undefined,
-    onLook: () => undefined,
+    onServingConfig: () => undefined,
+    onPoll: () => undefined,
   });
   void follower.run();
   await clock.advance(1200);
-  expect(follower.isInformed).toBe(true);
-  expect(store.looks).toBeLessThan(12);
+  expect(follower.isInitialised).toBe(true);
+  expect(store.polls).toBeLessThan(12);
   follower.stop();
 });
 
-/** Peers that are silent, but for the seed's word. */
+/** Peers that answer nothing but a seed's request for the configuration. */
 class SeedPeers extends DirectPeerClient {
-  constructor(private readonly scene: () => string) {
+  constructor(private readonly getSnapshot: () => string) {
     super("vm-1", silentLogger);
   }
 
   override share = () => Promise.resolve(undefined);
-  override fetchScene = () => Promise.resolve(this.scene());
+  override fetchScene = () => Promise.resolve(this.getSnapshot());
 }
 
 const target = (name: string): AnnouncedTarget => ({
@@ -144,10 +144,10 @@
   announcedRole: "primary",
 });
 
-// A node that forwards statements has read the store, and asks a seed since nobody answers it. The seed is
-// cut off and knows of a target that is gone. Nothing changes in the store; the node's next look there has
-// to bring the targets of today back all the same.
-test("what a seed says never outlives the next look at the store", async () => {
+// An unlisted node has read the store, and asks a seed since no listed proxy answers. The seed can't reach the
+// store and has an outdated list of targets. Although nothing changes in the store, the node's next poll has
+// to restore the current targets.
+test("a seed's data is replaced at the next poll of the store", async () => {
   const clock = new FakeClock();
   const store = new CountingStore();
   const routes = {
@@ -160,11 +160,16 @@
   const full = Array.from({ length: 8 }, (_, i) => ({ vm: `vm-9${i}`, address, dataCentre: "a" }));
   store.readRoutes = () => found(routes);
   store.readTargets = () =>
-    found({ targets: [{ group: "ledger", target: target("today") }], refused: [] });
+    found({ targets: [{ group: "ledger", target: target("today") }], invalidEntries: [] });
   store.listProxies = () => found(full);
   const old = new Map([["gone", { group: "ledger", target: target("gone") }]]);
-  const scene = encodeSnapshot({ ...firstFeedState, routes, targets: old, hasTargets: true });
-  const keeper = new LeadershipTracker({
+  const scene = encodeSnapshot({
+    ...initialFeedState,
+    routes,
+    targets: old,
+    hasTargetListing: true,
+  });
+  const tracker = new LeadershipTracker({
     clock,
     logger: silentLogger,
     stallDetector: new StallDetector({ monotonic: () => clock.now(), wall: () => clock.now() }),
@@ -178,33 +183,33 @@
     settings: { ...settings, vm: "vm-1", gateway: address, seeds: [{ host: "10.0.0.9", port: 1 }] },
     store,
     peers: new SeedPeers(() => JSON.stringify({ scene, proxies: full })),
-    keeper,
+    tracker,
     clock,
     random: makeRandom(1),
     logger: silentLogger,
-    onScene: () => undefined,
-    onLook: () => undefined,
+    onServingConfig: () => undefined,
+    onPoll: () => undefined,
   });
-  const list = () => follower.scene.groups.get("ledger")?.targets.map(({ name }) => name);
+  const list = () => follower.servingConfig.groups.get("ledger")?.targets.map(({ name }) => name);
   void follower.run();
   await clock.advance(100);
   expect(list()).toEqual(["today"]);
   for (let ms = 0; ms < 4000 && list()?.[0] === "today"; ms += 50) await clock.advance(50);
   expect(list()).toEqual(["gone"]);
-  const { looks } = store;
-  for (let ms = 0; ms < 6000 && store.looks === looks; ms += 50) await clock.advance(50);
+  const { polls } = store;
+  for (let ms = 0; ms < 6000 && store.polls === polls; ms += 50) await clock.advance(50);
   await flushTasks();
   expect(list()).toEqual(["today"]);
   follower.stop();
 });
 
-// The time of day jumps. Nothing that was confirmed before counts any more, and callers of primaries wait
-// until the next look; it comes at once, not with the usual pause of 0.7 s.
-test("a proxy that is woken looks at the store at once", async () => {
+// The wall clock jumps, which voids the confirmation, and callers of primaries wait for the next poll. It
+// takes place at once instead of after the usual delay of 0.7 s.
+test("a proxy that is woken polls the store at once", async () => {
   const clock = new FakeClock();
   const store = new CountingStore();
   let wall = 0;
-  const keeper = new LeadershipTracker({
+  const tracker = new LeadershipTracker({
     clock,
     logger: silentLogger,
     stallDetector: new StallDetector({
@@ -221,22 +226,22 @@
     settings,
     store,
     peers: new DirectPeerClient("vm-0", silentLogger),
-    keeper,
+    tracker,
     clock,
     random: makeRandom(1),
     logger: silentLogger,
-    onScene: () => undefined,
-    onLook: () => undefined,
+    onServingConfig: () => undefined,
+    onPoll: () => undefined,
   });
   void follower.run();
   await clock.advance(300);
-  const before = store.looks;
-  expect(keeper.confirmedAt).toBeDefined();
+  const before = store.polls;
+  expect(tracker.confirmedAt).toBeDefined();
   wall = 5000;
-  expect(keeper.confirmedAt).toBeUndefined();
+  expect(tracker.confirmedAt).toBeUndefined();
   clock.jumpAhead(1);
   await flushTasks();
-  expect(store.looks).toBe(before + 1);
-  expect(keeper.confirmedAt).toBeDefined();
+  expect(store.polls).toBe(before + 1);
+  expect(tracker.confirmedAt).toBeDefined();
   follower.stop();
 });
