--- a/test/node/reader.test.ts
+++ b/test/node/reader.test.ts
@@ -32,7 +32,7 @@
   expect(chooseReader("x", proxies, isNoneAvoided)).toBeUndefined();
 });
 
-const word = {
+const update = {
   leadership: { version: 3, document: { holder: undefined, groups: {} } },
   promoted: [],
 };
