--- a/bench/fleet/node.ts
+++ b/bench/fleet/node.ts
@@ -2,7 +2,7 @@
 import { ConfigurationKeeper, MembershipKeeper } from "../../src/fleet/index.js";
 import { silentLogger } from "../../src/log/index.js";
 import { DisposableStore, type Clock, type Vm } from "../../src/model/index.js";
-import { ConnectPeerClient, PeerLinks, PeerServer } from "../../src/peer/index.js";
+import { ConnectPeerClient, PeerConnections, PeerServer } from "../../src/peer/index.js";
 import { HttpObjectStore } from "../../src/platform/index.js";
 import { createSystemRandom } from "../../src/system/index.js";
 
@@ -17,9 +17,9 @@
     const random = createSystemRandom();
     const logger = silentLogger;
     const store = this.owned.add(new HttpObjectStore({ url }));
-    const links = this.owned.add(new PeerLinks({ clock }));
+    const links = this.owned.add(new PeerConnections({ clock }));
     const peers = new ConnectPeerClient({
-      links,
+      connections: links,
       getHello: () => this.membership.describe(),
       onHello: (hello) => {
         this.membership.hear(hello);
--- a/src/gateway/liveness.ts
+++ b/src/gateway/liveness.ts
@@ -1,4 +1,4 @@
-import { startTimer } from "../peer/patience.js";
+import { startStallTolerantTimer } from "../peer/stall-tolerant-timer.js";
 
 /** How a dead connection is detected. Times are in milliseconds. */
 export interface LivenessOptions {
@@ -39,7 +39,7 @@
 
   private waitForData(): void {
     this.hasReceived = false;
-    this.stopTimer = startTimer(this.options.probeAfterMs, () => {
+    this.stopTimer = startStallTolerantTimer(this.options.probeAfterMs, () => {
       if (this.hasReceived) this.waitForData();
       else this.probe();
     });
@@ -47,7 +47,7 @@
 
   private probe(): void {
     this.options.sendProbe();
-    this.stopTimer = startTimer(this.options.probeTimeoutMs, () => {
+    this.stopTimer = startStallTolerantTimer(this.options.probeTimeoutMs, () => {
       if (this.hasReceived) this.waitForData();
       else this.options.onTimeout();
     });
--- a/src/load/arrivals.ts
+++ b/src/load/arrivals.ts
@@ -3,14 +3,14 @@
 import type { Random } from "../model/index.js";
 
 /** Builds a seeded source of randomness; each `stream` of one seed is another one. */
-export function buildRandom(seed: number, stream: number): Random {
+export function createRandom(seed: number, stream: number): Random {
   const generator = xoroshiro128plus(seed);
   for (let i = 0; i < stream; i++) generator.jump();
   return { draw: () => uniformFloat64(generator) };
 }
 
 /** Lists the times of Poisson arrivals up to `endMs`, in milliseconds from the start. */
-export function* listArrivals(random: Random, rate: number, endMs: number): Generator<number> {
+export function* generateArrivals(random: Random, rate: number, endMs: number): Generator<number> {
   const meanMs = 1000 / rate;
   for (let at = drawGap(random, meanMs); at < endMs; at += drawGap(random, meanMs)) yield at;
 }
--- a/src/load/index.ts
+++ b/src/load/index.ts
@@ -1,4 +1,4 @@
 export { formatReport } from "./report.js";
 export { type LoadReport, runLoad, SetUpError } from "./run.js";
 export { type LoadSettings, loadLoadSettings, type Population } from "./settings.js";
-export { type TallyReport, type Times } from "./tally.js";
+export { type TallyReport, type LatencySummary } from "./tally.js";
--- a/src/load/ledger.ts
+++ b/src/load/ledger.ts
@@ -16,17 +16,17 @@
 
   constructor(readonly session: string) {}
 
-  noteLanded(): void {
+  recordCommitted(): void {
     this.landed += 1;
   }
 
   /** Its outcome stays unknown. */
-  noteOpen(): void {
+  recordUncertain(): void {
     this.open += 1;
   }
 
   /** Checks a count that the session read. */
-  check(count: number): Violation | undefined {
+  checkCount(count: number): Violation | undefined {
     const { session, landed, open } = this;
     const detail = `read ${count}, ${landed} landed, ${open} may have`;
     if (count < landed) return { invariant: "readYourWrites", session, detail };
--- a/src/load/crowd.ts
+++ b/src/load/population-runner.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Random } from "../model/index.js";
-import { listArrivals, pickWeighted } from "./arrivals.js";
+import { generateArrivals, pickWeighted } from "./arrivals.js";
 import type { Violation } from "./ledger.js";
 import type { Population } from "./settings.js";
 import { Tally } from "./tally.js";
@@ -14,7 +14,7 @@
 }
 
 /** When a run begins, counts and ends, on the clock of `performance.now`. */
-export interface Span {
+export interface RunSchedule {
   readonly startAt: number;
   readonly warmUpMs: number;
   readonly durationMs: number;
@@ -24,7 +24,7 @@
  * The callers of one population. Requests arrive at their own times whether or not a caller is
  * free; one that finds none waits, and its latency counts from when it arrived.
  */
-export class Crowd {
+export class PopulationRunner {
   readonly tallies: Readonly<Record<WorkName, Tally>>;
   private readonly idle: Caller[];
   private readonly waiting: Arrival[] = [];
@@ -46,14 +46,14 @@
   }
 
   /** Requests that have arrived and not ended. */
-  get unfinished(): number {
+  get unfinishedCount(): number {
     return this.waiting.length + this.running;
   }
 
   /** Lets requests arrive until the span is over; those in flight may go on. */
-  async run(span: Span): Promise<void> {
+  async run(span: RunSchedule): Promise<void> {
     const endMs = span.warmUpMs + span.durationMs;
-    for (const at of listArrivals(this.random, this.population.rate, endMs)) {
+    for (const at of generateArrivals(this.random, this.population.rate, endMs)) {
       const work = pickWeighted(this.random, this.population.work, workNames);
       const peer = this.callers[Math.floor(this.random.draw() * this.callers.length)];
       const ms = span.startAt + at - performance.now();
@@ -63,7 +63,7 @@
     }
   }
 
-  private begin(span: Span): void {
+  private begin(span: RunSchedule): void {
     for (;;) {
       const caller = this.waiting.length > 0 ? this.idle.shift() : undefined;
       const arrival = caller === undefined ? undefined : this.waiting.shift();
@@ -73,7 +73,11 @@
     }
   }
 
-  private async serve(caller: Caller, { at, work, peer }: Arrival, span: Span): Promise<void> {
+  private async serve(
+    caller: Caller,
+    { at, work, peer }: Arrival,
+    span: RunSchedule,
+  ): Promise<void> {
     const sentAt = performance.now();
     const result = await runWork(work, caller, peer ?? caller);
     const now = performance.now();
--- a/src/load/run.ts
+++ b/src/load/run.ts
@@ -1,6 +1,6 @@
 import { setTimeout as sleep } from "node:timers/promises";
-import { buildRandom } from "./arrivals.js";
-import { Crowd } from "./crowd.js";
+import { createRandom } from "./arrivals.js";
+import { PopulationRunner } from "./population-runner.js";
 import { SessionLedger, type Violation } from "./ledger.js";
 import { LoadSession } from "./session.js";
 import type { LoadSettings, Population } from "./settings.js";
@@ -46,8 +46,8 @@
   try {
     await setUp(settings, groups);
     const crowds = settings.populations.map((population, i) => {
-      const random = buildRandom(settings.seed, i);
-      return new Crowd(population, groups[i] ?? [], random, onViolation);
+      const random = createRandom(settings.seed, i);
+      return new PopulationRunner(population, groups[i] ?? [], random, onViolation);
     });
     const startAt = performance.now();
     const unfinished = await runCrowds(settings, crowds, startAt);
@@ -104,12 +104,12 @@
     await sleep(setUpPauseMs);
     answer = await ask();
   }
-  if (answer.type !== "landed") throw new SetUpError(`set-up failed: ${answer.state}`);
+  if (answer.type !== "landed") throw new SetUpError(`set-up failed: ${answer.errorCode}`);
 }
 
 async function runCrowds(
   settings: LoadSettings,
-  crowds: readonly Crowd[],
+  crowds: readonly PopulationRunner[],
   startAt: number,
 ): Promise<number> {
   const span = {
@@ -118,7 +118,7 @@
     durationMs: settings.duration,
   };
   await Promise.all(crowds.map((c) => c.run(span)));
-  const countOpen = () => crowds.reduce((sum, c) => sum + c.unfinished, 0);
+  const countOpen = () => crowds.reduce((sum, c) => sum + c.unfinishedCount, 0);
   const giveUpAt = performance.now() + drainMs;
   while (countOpen() > 0 && performance.now() < giveUpAt) await sleep(drainStepMs);
   return countOpen();
--- a/src/load/session.ts
+++ b/src/load/session.ts
@@ -1,9 +1,9 @@
 import pg from "pg";
 import type { Address } from "../model/index.js";
-import { classifyState, type Answer } from "./answer.js";
+import { classifySqlState, type AttemptOutcome } from "./outcome.js";
 
 /** Who a session is and where it may connect. */
-export interface SessionOptions {
+export interface LoadSessionOptions {
   readonly name: string;
   readonly team: string;
   readonly group: string;
@@ -25,20 +25,20 @@
   private entry: number;
 
   constructor(
-    readonly options: SessionOptions,
+    readonly options: LoadSessionOptions,
     place: number,
   ) {
     this.entry = place % options.entries.length;
   }
 
   /** Sends one statement and waits for its answer. Never rejects. */
-  async ask(text: string): Promise<Answer> {
+  async runStatement(text: string): Promise<AttemptOutcome> {
     this.countRequest();
     let client: pg.Client;
     try {
       client = this.client ?? (await this.connect());
     } catch (error) {
-      return { type: "notRun", state: `connect ${readState(error) ?? "failed"}` };
+      return { type: "notRun", errorCode: `connect ${readState(error) ?? "failed"}` };
     }
     return this.send(client, text);
   }
@@ -49,14 +49,14 @@
     await client?.end().catch(() => undefined);
   }
 
-  private async send(client: pg.Client, text: string): Promise<Answer> {
+  private async send(client: pg.Client, text: string): Promise<AttemptOutcome> {
     try {
       const { rows, rowCount } = await client.query<unknown[]>({ text, rowMode: "array" });
       return { type: "landed", rows, count: rowCount ?? 0 };
     } catch (error) {
       const state = readState(error);
       if (state === undefined) this.drop(client);
-      return { type: classifyState(state), state: state ?? "connection lost" };
+      return { type: classifySqlState(state), errorCode: state ?? "connection lost" };
     }
   }
 
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -1,9 +1,9 @@
 import { build, type Histogram } from "hdr-histogram-js";
-import { answerClasses, type AnswerClass } from "./answer.js";
+import { outcomeTypes, type OutcomeType } from "./outcome.js";
 import type { WorkResult } from "./work.js";
 
 /** Times of one sort of requests, in milliseconds. */
-export interface Times {
+export interface LatencySummary {
   readonly count: number;
   readonly p50: number;
   readonly p90: number;
@@ -15,15 +15,15 @@
 export interface TallyReport {
   readonly population: string;
   readonly work: string;
-  readonly counts: Readonly<Record<AnswerClass, number>>;
+  readonly counts: Readonly<Record<OutcomeType, number>>;
   readonly states: Readonly<Record<string, number>>;
   readonly repeats: number;
   /** Landed requests, from the time at which they were meant to start. */
-  readonly latency: Times;
+  readonly latency: LatencySummary;
   /** Landed requests, from the time at which they were sent. */
-  readonly service: Times;
+  readonly service: LatencySummary;
   /** Refused requests, from the time at which they were sent. */
-  readonly refusal: Times;
+  readonly refusal: LatencySummary;
   /** The longest time between two requests that landed one after the other, in milliseconds. */
   readonly longestGapMs: number;
 }
@@ -33,7 +33,7 @@
 
 /** Counts and times the requests of one kind. */
 export class Tally {
-  private readonly counts: Record<AnswerClass, number> = {
+  private readonly counts: Record<OutcomeType, number> = {
     landed: 0,
     notRun: 0,
     mayHaveRun: 0,
@@ -56,8 +56,8 @@
   record(result: WorkResult, now: number, latencyMs: number, serviceMs: number): void {
     this.counts[result.type] += 1;
     this.repeats += result.repeats;
-    if (result.state !== undefined) {
-      this.states[result.state] = (this.states[result.state] ?? 0) + 1;
+    if (result.errorCode !== undefined) {
+      this.states[result.errorCode] = (this.states[result.errorCode] ?? 0) + 1;
     }
     if (result.type === "landed") {
       recordMs(this.latency, latencyMs);
@@ -89,7 +89,7 @@
 
 /** How many requests a report covers. */
 export function countRequests({ counts }: TallyReport): number {
-  return answerClasses.reduce((sum, c) => sum + counts[c], 0);
+  return outcomeTypes.reduce((sum, c) => sum + counts[c], 0);
 }
 
 function buildHistogram(): Histogram {
@@ -104,7 +104,7 @@
   histogram.recordValue(Math.round(Math.min(longestMs, Math.max(0, ms)) * microseconds));
 }
 
-function summarise(histogram: Histogram): Times {
+function summarise(histogram: Histogram): LatencySummary {
   const find = (percentile: number) => histogram.getValueAtPercentile(percentile) / microseconds;
   return {
     count: histogram.totalCount,
--- a/src/load/work.ts
+++ b/src/load/work.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from "node:timers/promises";
-import type { Answer, AnswerClass } from "./answer.js";
+import type { AttemptOutcome, OutcomeType } from "./outcome.js";
 import type { SessionLedger, Violation } from "./ledger.js";
 import type { LoadSession } from "./session.js";
 
@@ -11,9 +11,9 @@
 
 /** How one request ended after all its attempts. */
 export interface WorkResult {
-  readonly type: AnswerClass;
+  readonly type: OutcomeType;
   /** The last SQLSTATE or word, when it did not land. */
-  readonly state?: string;
+  readonly errorCode?: string;
   readonly repeats: number;
   readonly violation?: Violation;
 }
@@ -31,15 +31,15 @@
 const repeatPauseMs = 50;
 
 /** Builds the table, once for each group. */
-export function createTable(caller: Caller): Promise<Answer> {
-  return caller.session.ask(
+export function createTable(caller: Caller): Promise<AttemptOutcome> {
+  return caller.session.runStatement(
     `CREATE TABLE IF NOT EXISTS ${table} (session text PRIMARY KEY, reservations int NOT NULL)`,
   );
 }
 
 /** Puts the caller's own row in. */
-export function registerCaller({ ledger, session }: Caller): Promise<Answer> {
-  return session.ask(
+export function registerCaller({ ledger, session }: Caller): Promise<AttemptOutcome> {
+  return session.runStatement(
     `INSERT INTO ${table} VALUES ('${ledger.session}', 0) ON CONFLICT DO NOTHING /* kind='setup' */`,
   );
 }
@@ -66,36 +66,38 @@
   const text =
     `UPDATE ${table} SET reservations = reservations + 1 WHERE session = '${ledger.session}'` +
     ` /* idempotency_key='${key}',kind='reservation' */`;
-  let answer = await session.ask(text);
+  let answer = await session.runStatement(text);
   let repeats = 0;
   const isOpen = answer.type === "mayHaveRun";
   while (isOpen && answer.type !== "landed" && repeats < caller.attempts - 1) {
     await sleep(repeatPauseMs);
     repeats += 1;
-    answer = await session.ask(text);
+    answer = await session.runStatement(text);
   }
   if (answer.type === "landed") {
-    ledger.noteLanded();
+    ledger.recordCommitted();
     return { type: "landed", repeats };
   }
-  if (isOpen) ledger.noteOpen();
-  return { type: isOpen ? "mayHaveRun" : answer.type, state: answer.state, repeats };
+  if (isOpen) ledger.recordUncertain();
+  return { type: isOpen ? "mayHaveRun" : answer.type, errorCode: answer.errorCode, repeats };
 }
 
 /** Reads the caller's own count and checks it. */
 export async function readOwn({ ledger, session }: Caller): Promise<WorkResult> {
-  const answer = await session.ask(
+  const answer = await session.runStatement(
     `SELECT reservations FROM ${table} WHERE session = '${ledger.session}' /* kind='ownRead' */`,
   );
-  if (answer.type !== "landed") return { type: answer.type, state: answer.state, repeats: 0 };
-  const violation = ledger.check(Number(answer.rows[0]?.[0] ?? -1));
+  if (answer.type !== "landed")
+    return { type: answer.type, errorCode: answer.errorCode, repeats: 0 };
+  const violation = ledger.checkCount(Number(answer.rows[0]?.[0] ?? -1));
   return { type: "landed", repeats: 0, ...(violation === undefined ? {} : { violation }) };
 }
 
 async function readPeer({ session }: Caller, peer: Caller): Promise<WorkResult> {
-  const answer = await session.ask(
+  const answer = await session.runStatement(
     `SELECT reservations FROM ${table} WHERE session = '${peer.ledger.session}' /* kind='browse' */`,
   );
-  if (answer.type !== "landed") return { type: answer.type, state: answer.state, repeats: 0 };
+  if (answer.type !== "landed")
+    return { type: answer.type, errorCode: answer.errorCode, repeats: 0 };
   return { type: "landed", repeats: 0 };
 }
--- a/src/peer/answer-buffer.ts
+++ b/src/peer/answer-buffer.ts
@@ -31,14 +31,14 @@
   };
 
   /** Hands over the end of an answer, to travel with its outcome. */
-  takeLast(): Uint8Array {
+  takeRemaining(): Uint8Array {
     const chunk = this.take();
     this.waitingBytes += chunk.length;
     return chunk;
   }
 
   /** So many bytes have left the process. */
-  release(bytes: number): void {
+  recordSent(bytes: number): void {
     this.waitingBytes -= bytes;
     if (this.waitingBytes <= maxWaitingBytes) this.wake();
   }
--- a/src/peer/client-stream.ts
+++ b/src/peer/client-stream.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import type { Clock, MessageSink, Outcome, PeerHello, Request, Vm } from "../model/index.js";
-import { decodeHello, decodeVm, encodeHello, malformed } from "./codec.js";
+import { decodeHello, decodeVm, encodeHello, createMalformedError } from "./codec.js";
 import { decodeOutcome } from "./codec-outcome.js";
 import { encodeRequest } from "./codec-request.js";
 import {
@@ -8,9 +8,9 @@
   ConverseRequestSchema,
   type ConverseResponse,
 } from "./gen/radishwalk/peer/v1/peer_pb.js";
-import type { Link } from "./links.js";
+import type { PeerConnection } from "./connections.js";
 import { splitMessages } from "./messages.js";
-import { startTimer } from "./patience.js";
+import { startStallTolerantTimer } from "./stall-tolerant-timer.js";
 import { AsyncQueue } from "./queue.js";
 
 /** One batch to be run at a peer. */
@@ -22,11 +22,11 @@
 }
 
 /** How a batch's trip to a peer ended. */
-export type TripResult =
+export type BatchResult =
   | { readonly type: "outcome"; readonly outcome: Outcome }
   | { readonly type: "redirect"; readonly owner?: Vm }
   /** `sent` tells whether the batch may have reached the peer. */
-  | { readonly type: "broken"; readonly sent: boolean; readonly reason: string };
+  | { readonly type: "broken"; readonly isSent: boolean; readonly reason: string };
 
 /** What a stream needs from outside. */
 export interface StreamOptions {
@@ -40,7 +40,7 @@
 interface Trip {
   readonly item: ConverseRequest;
   readonly sink: MessageSink;
-  readonly end: (result: TripResult) => void;
+  readonly end: (result: BatchResult) => void;
   isSent: boolean;
 }
 
@@ -53,7 +53,7 @@
   private idleTimer: NodeJS.Timeout | undefined;
 
   constructor(
-    readonly link: Link,
+    readonly connection: PeerConnection,
     private readonly options: StreamOptions,
   ) {
     // An item handed over may be on its way; one still in the queue never will be after `drop`.
@@ -61,7 +61,7 @@
       if (this.trip?.item === item) this.trip.isSent = true;
     });
     const { signal } = this.abort;
-    void this.read(link.client.converse(this.requests, { signal }));
+    void this.read(connection.client.converse(this.requests, { signal }));
   }
 
   /** Whether another batch can be sent. */
@@ -70,27 +70,27 @@
   }
 
   /** Finishes the stream by itself after `ms`, unless it is used before. */
-  startIdle(ms: number, onFinish: () => void): void {
+  startIdleTimer(ms: number, onFinish: () => void): void {
     this.idleTimer = setTimeout(() => {
       onFinish();
       this.finish();
     }, ms).unref();
   }
 
-  stopIdle(): void {
+  stopIdleTimer(): void {
     clearTimeout(this.idleTimer);
   }
 
   /** Runs one batch. Never rejects. One at a time. */
-  run(batch: Batch, sink: MessageSink, signal: AbortSignal): Promise<TripResult> {
+  run(batch: Batch, sink: MessageSink, signal: AbortSignal): Promise<BatchResult> {
     const { failure } = this;
     if (failure !== undefined) {
-      return Promise.resolve({ type: "broken", sent: false, reason: failure });
+      return Promise.resolve({ type: "broken", isSent: false, reason: failure });
     }
     return new Promise((resolve) => {
-      const stopTimer = startTimer(this.options.connectMs, () => this.checkSent());
+      const stopTimer = startStallTolerantTimer(this.options.connectMs, () => this.checkSent());
       const onAbort = (): void => this.close("the request was given up");
-      const end = (result: TripResult): void => {
+      const end = (result: BatchResult): void => {
         stopTimer();
         signal.removeEventListener("abort", onAbort);
         this.trip = undefined;
@@ -114,8 +114,8 @@
   close(reason = "the stream was closed"): void {
     if (this.failure !== undefined) return;
     this.failure = reason;
-    this.requests.drop();
-    this.trip?.end({ type: "broken", sent: this.trip.isSent, reason });
+    this.requests.discard();
+    this.trip?.end({ type: "broken", isSent: this.trip.isSent, reason });
     this.abort.abort();
   }
 
@@ -144,7 +144,7 @@
   private async take({ hello, answer, step }: ConverseResponse): Promise<void> {
     this.options.onHello(decodeHello(hello));
     const { trip } = this;
-    if (trip === undefined) throw malformed("an answer to no batch");
+    if (trip === undefined) throw createMalformedError("an answer to no batch");
     for (const message of splitMessages(answer)) await trip.sink(message);
     switch (step.case) {
       case "outcome":
--- a/src/peer/client.ts
+++ b/src/peer/client.ts
@@ -11,11 +11,11 @@
 import { decodeHello, encodeHello, encodeVm } from "./codec.js";
 import { decodeControlResult } from "./codec-status.js";
 import type { Hello, Peer } from "./gen/radishwalk/peer/v1/peer_pb.js";
-import type { PeerLinks } from "./links.js";
+import type { PeerConnections } from "./connections.js";
 
 /** What a `ConnectPeerClient` is built from. */
 export interface PeerClientOptions {
-  readonly links: PeerLinks;
+  readonly connections: PeerConnections;
   readonly getHello: () => PeerHello;
   readonly onHello?: (hello: PeerHello) => void;
 }
@@ -117,9 +117,9 @@
     ask: (client: Client<typeof Peer>) => Promise<R>,
   ): Promise<R> {
     try {
-      return await ask(this.options.links.open(vm.peer).client);
+      return await ask(this.options.connections.get(vm.peer).client);
     } catch (error) {
-      this.options.links.renew(vm.peer);
+      this.options.connections.replace(vm.peer);
       return toFailure(error instanceof Error ? error.message : String(error));
     }
   }
--- a/src/peer/codec-outcome.ts
+++ b/src/peer/codec-outcome.ts
@@ -1,6 +1,6 @@
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import type { NotRunReason, Outcome, Verdict } from "../model/index.js";
-import { decodeMark, encodeMark, findWord, malformed } from "./codec.js";
+import { decodeMark, encodeMark, findKey, createMalformedError } from "./codec.js";
 import {
   type Answered,
   AnsweredSchema,
@@ -57,7 +57,7 @@
       return { type: "failed", message, verdict: decodeVerdict(result.value) };
     }
     case undefined:
-      throw malformed("an outcome without a result");
+      throw createMalformedError("an outcome without a result");
   }
 }
 
@@ -74,7 +74,7 @@
 function decodeAnswered({ status, target, byPrimary, mark }: Answered): Outcome {
   return {
     type: "answered",
-    status: findWord(statuses, status),
+    status: findKey(statuses, status),
     servedBy: { target, role: byPrimary ? "primary" : "replica" },
     ...(mark === undefined ? {} : { mark: decodeMark(mark) }),
   };
@@ -99,13 +99,13 @@
   switch (verdict.case) {
     case "notRun": {
       const { reason, retryAfterMs } = verdict.value;
-      return { type: "notRun", reason: findWord(reasons, reason), retryAfterMs };
+      return { type: "notRun", reason: findKey(reasons, reason), retryAfterMs };
     }
     case "mayHaveRun":
       return { type: "mayHaveRun", reason: verdict.value.reason };
     case "ran":
       return { type: "ran" };
     case undefined:
-      throw malformed("a failure without a verdict");
+      throw createMalformedError("a failure without a verdict");
   }
 }
--- a/src/peer/codec-request.ts
+++ b/src/peer/codec-request.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import type { Request, Route, ServeAction } from "../model/index.js";
-import { decodeMark, demand, encodeMark, findWord } from "./codec.js";
+import { decodeMark, requireField, encodeMark, findKey } from "./codec.js";
 import {
   Acknowledgement,
   type Action,
@@ -61,11 +61,11 @@
       kind,
       tables,
       transaction,
-      plan: findWord(plans, message.plan),
-      effect: findWord(effects, message.effect),
+      plan: findKey(plans, message.plan),
+      effect: findKey(effects, message.effect),
     },
     rule,
-    action: decodeAction(demand(message.action, "action")),
+    action: decodeAction(requireField(message.action, "action")),
     deadlineAt: now + message.timeLeftMs,
     ...(mark === undefined ? {} : { mark: decodeMark(mark) }),
     ...(digest === "" ? {} : { idempotency: { key, digest } }),
@@ -88,15 +88,15 @@
   return {
     type: "serve",
     route: decodeRoute(message),
-    priority: findWord(priorities, message.priority),
+    priority: findKey(priorities, message.priority),
     deadlineMs: message.deadlineMs,
     maxQueueMs: message.maxQueueMs,
     retry: { attempts: message.attempts },
-    acknowledgement: findWord(acknowledgements, message.acknowledgement),
+    acknowledgement: findKey(acknowledgements, message.acknowledgement),
   };
 }
 
 function decodeRoute({ route, maxAgeMs }: Action): Route {
-  const type = findWord(routes, route);
+  const type = findKey(routes, route);
   return type === "stale" ? { type, maxAgeMs } : { type };
 }
--- a/src/peer/codec-status.ts
+++ b/src/peer/codec-status.ts
@@ -1,6 +1,13 @@
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import type { ControlResult, TargetStatus } from "../model/index.js";
-import { decodeMark, decodeTerm, demand, encodeMark, encodeTerm, malformed } from "./codec.js";
+import {
+  decodeMark,
+  decodeTerm,
+  requireField,
+  encodeMark,
+  encodeTerm,
+  createMalformedError,
+} from "./codec.js";
 import {
   type CheckTargetResponse,
   type CheckTargetResponseSchema,
@@ -32,7 +39,7 @@
     case "unreachable":
       return { type: "unreachable", reason: result.value };
     case undefined:
-      throw malformed("a check without a result");
+      throw createMalformedError("a check without a result");
   }
 }
 
@@ -51,7 +58,7 @@
   return {
     target: message.target,
     role: message.primary ? "primary" : "replica",
-    mark: decodeMark(demand(message.mark, "mark")),
+    mark: decodeMark(requireField(message.mark, "mark")),
     lineage: message.lineage.map(({ term, start }) => ({ term: decodeTerm(term), start })),
     fencedAt: decodeTerm(message.fencedAt),
     ...(message.follows === "" ? {} : { follows: message.follows }),
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -20,23 +20,23 @@
 } as const;
 
 /** Two-way mapping between words of the model and numbers of the protocol. */
-export function findWord<W extends string, N extends number>(
+export function findKey<W extends string, N extends number>(
   words: Readonly<Record<W, N>>,
   value: number,
 ): W {
   const found = Object.entries(words).find(([, known]) => known === value);
-  if (found === undefined) throw malformed(`unknown value ${value}`);
+  if (found === undefined) throw createMalformedError(`unknown value ${value}`);
   return found[0] as W;
 }
 
 /** A message that no peer of this version sends. */
-export function malformed(what: string): ConnectError {
+export function createMalformedError(what: string): ConnectError {
   return new ConnectError(`malformed message: ${what}`, Code.InvalidArgument);
 }
 
 /** The part of a message that must be there. */
-export function demand<T>(part: T | undefined, name: string): T {
-  if (part === undefined) throw malformed(`no ${name}`);
+export function requireField<T>(part: T | undefined, name: string): T {
+  if (part === undefined) throw createMalformedError(`no ${name}`);
   return part;
 }
 
@@ -47,8 +47,8 @@
 
 /** Reads a hello. Throws `ConnectError`. */
 export function decodeHello(message: Hello | undefined): PeerHello {
-  const { vm, incarnation, state, revision } = demand(message, "hello");
-  return { vm, incarnation, state: findWord(states, state), revision };
+  const { vm, incarnation, state, revision } = requireField(message, "hello");
+  return { vm, incarnation, state: findKey(states, state), revision };
 }
 
 /** Builds a term. */
@@ -58,7 +58,7 @@
 
 /** Reads a term. */
 export function decodeTerm(message: TermMessage | undefined): Term {
-  const { round, vm } = demand(message, "term");
+  const { round, vm } = requireField(message, "term");
   return { round, vm };
 }
 
--- a/src/peer/links.ts
+++ b/src/peer/connections.ts
@@ -6,7 +6,7 @@
 import { PeerSession } from "./session.js";
 
 /** How connections to peers are kept. Times in milliseconds. */
-export interface LinkOptions {
+export interface PeerConnectionOptions {
   readonly clock: Pick<Clock, "now">;
   /** Certificates for mutual TLS, read anew for each connection; absent where TLS is off. */
   readonly getSecureOptions?: () => SecureClientSessionOptions;
@@ -20,10 +20,10 @@
 }
 
 /** The connection to one peer. */
-export interface Link {
+export interface PeerConnection {
   readonly client: Client<typeof Peer>;
   readonly session: PeerSession;
-  usedAt: number;
+  lastUsedAt: number;
 }
 
 const defaultConnectMs = 1000;
@@ -33,11 +33,11 @@
 
 const maxMessageBytes = 64 * 1024 * 1024;
 /** Connections to peers by address, opened when first used and kept. */
-export class PeerLinks implements Disposable {
-  private readonly links = new Map<string, Link>();
+export class PeerConnections implements Disposable {
+  private readonly links = new Map<string, PeerConnection>();
   private readonly idleMs: number;
 
-  constructor(private readonly options: LinkOptions) {
+  constructor(private readonly options: PeerConnectionOptions) {
     this.idleMs = options.idleMs ?? defaultIdleMs;
   }
 
@@ -47,12 +47,12 @@
   }
 
   /** The connection to an address, which opens with its first use. */
-  open(address: Address): Link {
+  get(address: Address): PeerConnection {
     const key = formatAddress(address);
     const now = this.options.clock.now();
     const known = this.links.get(key);
     if (known !== undefined) {
-      known.usedAt = now;
+      known.lastUsedAt = now;
       return known;
     }
     this.dropUnused(now);
@@ -62,15 +62,15 @@
   }
 
   /** Takes a new connection from now on. What is under way on the old one goes on. */
-  renew(address: Address): void {
+  replace(address: Address): void {
     const key = formatAddress(address);
-    this.links.get(key)?.session.release();
+    this.links.get(key)?.session.closeGracefully();
     this.links.delete(key);
   }
 
   /** Takes new connections to all peers from now on, such as with a new certificate. */
-  renewAll(): void {
-    for (const link of this.links.values()) link.session.release();
+  replaceAll(): void {
+    for (const link of this.links.values()) link.session.closeGracefully();
     this.links.clear();
   }
 
@@ -79,7 +79,7 @@
     this.links.clear();
   }
 
-  private connect(address: Address, now: number): Link {
+  private connect(address: Address, now: number): PeerConnection {
     const { clock, getSecureOptions } = this.options;
     const scheme = getSecureOptions === undefined ? "http" : "https";
     const baseUrl = `${scheme}://${formatAddress(address)}`;
@@ -98,12 +98,12 @@
       acceptCompression: [],
       readMaxBytes: maxMessageBytes,
     });
-    return { client: createClient(Peer, transport), session, usedAt: now };
+    return { client: createClient(Peer, transport), session, lastUsedAt: now };
   }
 
   private dropUnused(now: number): void {
-    for (const [key, { usedAt }] of this.links) {
-      if (now - usedAt > 2 * this.idleMs) this.links.delete(key);
+    for (const [key, { lastUsedAt }] of this.links) {
+      if (now - lastUsedAt > 2 * this.idleMs) this.links.delete(key);
     }
   }
 }
--- a/src/peer/gateway.ts
+++ b/src/peer/gateway.ts
@@ -6,19 +6,19 @@
   Request,
   Vm,
 } from "../model/index.js";
-import type { ClientStream, StreamOptions, TripResult } from "./client-stream.js";
-import type { PeerLinks } from "./links.js";
-import { StreamPool } from "./pool.js";
+import type { ClientStream, StreamOptions, BatchResult } from "./client-stream.js";
+import type { PeerConnections } from "./connections.js";
+import { StreamPool } from "./stream-pool.js";
 
 /** What a `RemoteGateway` is built from. */
 export interface RemoteGatewayOptions extends Omit<StreamOptions, "connectMs" | "onHello"> {
-  readonly links: PeerLinks;
+  readonly connections: PeerConnections;
   /** The VM that owns a group now; never this one. */
   readonly findOwner: (group: string) => Vm | undefined;
   readonly onHello?: StreamOptions["onHello"];
   readonly connectMs?: number;
   /** Hears of each VM whose connection broke under a request or could not be opened. */
-  readonly onBroken?: (vm: Vm) => void;
+  readonly onConnectionFailure?: (vm: Vm) => void;
   /** When to come back where no owner can be reached: about when the next is known. */
   readonly retryAfterMs?: number;
 }
@@ -34,18 +34,18 @@
   constructor(private readonly options: RemoteGatewayOptions) {
     const { clock, getHello, onHello = () => undefined } = options;
     const connectMs = options.connectMs ?? defaultConnectMs;
-    this.pool = new StreamPool(options.links, { clock, getHello, onHello, connectMs });
+    this.pool = new StreamPool(options.connections, { clock, getHello, onHello, connectMs });
     this.retryAfterMs = options.retryAfterMs ?? defaultRetryAfterMs;
   }
 
   open(group: string): Conversation {
-    const { links, findOwner } = this.options;
+    const { connections, findOwner } = this.options;
     return new RemoteConversation({
       findOwner: () => findOwner(group),
-      take: (vm) => this.pool.take(vm),
-      give: (stream) => this.pool.give(stream),
-      renew: (vm) => links.renew(vm.peer),
-      onBroken: (vm) => this.options.onBroken?.(vm),
+      take: (vm) => this.pool.acquire(vm),
+      give: (stream) => this.pool.release(stream),
+      renew: (vm) => connections.replace(vm.peer),
+      onBroken: (vm) => this.options.onConnectionFailure?.(vm),
       retryAfterMs: this.retryAfterMs,
     });
   }
@@ -102,18 +102,18 @@
   private async send(
     owner: Vm,
     ...[batch, sink, signal]: Parameters<ClientStream["run"]>
-  ): Promise<TripResult> {
+  ): Promise<BatchResult> {
     if (this.stream !== undefined) this.options.give(this.stream);
     this.stream = await this.options.take(owner);
     const result = await this.stream.run(batch, sink, signal);
     if (result.type === "broken" && !signal.aborted) {
       this.options.onBroken(owner);
-      if (!result.sent) this.options.renew(owner);
+      if (!result.isSent) this.options.renew(owner);
     }
     return result;
   }
 
-  private finish(result: TripResult): Outcome {
+  private finish(result: BatchResult): Outcome {
     switch (result.type) {
       case "outcome":
         if (result.outcome.type === "failed" || result.outcome.status === "I") this.end();
@@ -123,7 +123,7 @@
         return this.refuse("no process serves the group now");
       case "broken":
         this.close();
-        return result.sent ? describeBroken(result.reason) : this.refuse(result.reason);
+        return result.isSent ? describeBroken(result.reason) : this.refuse(result.reason);
     }
   }
 
--- a/src/peer/index.ts
+++ b/src/peer/index.ts
@@ -1,4 +1,4 @@
-export { type Link, type LinkOptions, PeerLinks } from "./links.js";
+export { type PeerConnection, type PeerConnectionOptions, PeerConnections } from "./connections.js";
 export { ConnectPeerClient, type PeerClientOptions } from "./client.js";
 export { PeerServer, type PeerServerOptions } from "./server.js";
 export { type OwnerChoice, type PeerHandlers } from "./handlers.js";
--- a/src/peer/keepalive.ts
+++ b/src/peer/keepalive.ts
@@ -1,5 +1,5 @@
 import type { ServerHttp2Session, ServerHttp2Stream } from "node:http2";
-import { startTimer } from "./patience.js";
+import { startStallTolerantTimer } from "./stall-tolerant-timer.js";
 
 /** How served connections are watched. Times in milliseconds. */
 export interface KeepaliveOptions {
@@ -20,7 +20,7 @@
  * opens another; this end would never hear of it, and what was open stayed open: a transaction with its
  * target's connection and slot, for good, and each later drain was held up to its limit and cut it off.
  */
-export function watchPeer(session: ServerHttp2Session, options: KeepaliveOptions): void {
+export function startKeepalive(session: ServerHttp2Session, options: KeepaliveOptions): void {
   let streams = 0;
   let isHeard = true;
   let stopWaiting: (() => void) | undefined;
@@ -30,7 +30,7 @@
     stopWaiting = undefined;
   };
   const ask = () => {
-    stopWaiting ??= startTimer(options.timeoutMs, () => session.destroy());
+    stopWaiting ??= startStallTolerantTimer(options.timeoutMs, () => session.destroy());
     session.ping((error) => {
       if (error === null) hear();
     });
--- a/src/peer/messages.ts
+++ b/src/peer/messages.ts
@@ -1,4 +1,4 @@
-import { malformed } from "./codec.js";
+import { createMalformedError } from "./codec.js";
 
 const headerLength = 5;
 
@@ -8,7 +8,8 @@
   for (let at = 0; at < bytes.length;) {
     const rest = bytes.length - at;
     const length = rest < headerLength ? rest + 1 : view.getUint32(at + 1) + 1;
-    if (length < headerLength || length > rest) throw malformed("an answer cut inside a message");
+    if (length < headerLength || length > rest)
+      throw createMalformedError("an answer cut inside a message");
     yield bytes.subarray(at, at + length);
     at += length;
   }
--- a/src/peer/queue.ts
+++ b/src/peer/queue.ts
@@ -20,7 +20,7 @@
   }
 
   /** Ends the reader at once: what was not handed over never will be. */
-  drop(): void {
+  discard(): void {
     this.items.length = 0;
     this.end();
   }
@@ -39,7 +39,7 @@
   }
 
   return(): Promise<IteratorResult<T, undefined>> {
-    this.drop();
+    this.discard();
     return Promise.resolve({ done: true, value: undefined });
   }
 
--- a/src/peer/handler.ts
+++ b/src/peer/request-handler.ts
@@ -18,7 +18,10 @@
  * Serves the service over HTTP/2. connect-node's adapter would do, but writes each call that a peer
  * gave up to the process's error output.
  */
-export function createHandler(service: ServiceImpl<typeof Peer>, logger: Logger): RequestHandler {
+export function createRequestHandler(
+  service: ServiceImpl<typeof Peer>,
+  logger: Logger,
+): RequestHandler {
   const router = createConnectRouter({
     grpc: false,
     grpcWeb: false,
--- a/src/peer/served-stream.ts
+++ b/src/peer/served-stream.ts
@@ -1,7 +1,7 @@
 import { create, type MessageInitShape } from "@bufbuild/protobuf";
 import type { Clock, Conversation, Outcome, Request } from "../model/index.js";
 import { AnswerBuffer } from "./answer-buffer.js";
-import { decodeHello, demand, encodeHello, encodeVm, malformed } from "./codec.js";
+import { decodeHello, requireField, encodeHello, encodeVm, createMalformedError } from "./codec.js";
 import { encodeOutcome } from "./codec-outcome.js";
 import { decodeRequest } from "./codec-request.js";
 import {
@@ -16,7 +16,7 @@
 /** The owner's end of one stream: runs its batches, one after the other. */
 export class ServedStream {
   private readonly responses = new AsyncQueue<ConverseResponse>((response) =>
-    this.answer.release(response.answer.length),
+    this.answer.recordSent(response.answer.length),
   );
   private readonly answer = new AnswerBuffer((chunk) => this.send({ answer: chunk }));
   private conversation: Conversation | undefined;
@@ -49,20 +49,21 @@
 
   private take({ hello, run }: ConverseRequest): void {
     this.handlers.onHello(decodeHello(hello));
-    if (this.running !== undefined) throw malformed("a batch before the answer to the last");
-    this.running = this.run(demand(run, "batch"))
+    if (this.running !== undefined)
+      throw createMalformedError("a batch before the answer to the last");
+    this.running = this.run(requireField(run, "batch"))
       .catch(() => this.close())
       .finally(() => (this.running = undefined));
   }
 
   private async run(run: Run): Promise<void> {
-    const request = decodeRequest(demand(run.request, "request"), this.clock.now());
+    const request = decodeRequest(requireField(run.request, "request"), this.clock.now());
     if (run.opens && !this.open(request)) return;
     const outcome = await this.runBatch(request, run.messages);
     const isOver = outcome.type === "failed" || outcome.status === "I";
     if (isOver) this.closeConversation();
     const step = { case: "outcome", value: encodeOutcome(outcome) } as const;
-    this.send({ answer: this.answer.takeLast(), step });
+    this.send({ answer: this.answer.takeRemaining(), step });
   }
 
   /** Opens a conversation, or tells who else serves the group. */
@@ -100,7 +101,7 @@
 
   /** The peer is gone: whatever is not sent yet has no reader. */
   private abandon(): void {
-    this.responses.drop();
+    this.responses.discard();
     this.abort?.abort(new Error("the peer gave the request up"));
     this.close();
   }
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -11,8 +11,8 @@
 import { type Logger, silentLogger } from "../log/index.js";
 import type { Address, Clock, Disposable } from "../model/index.js";
 import type { PeerHandlers } from "./handlers.js";
-import { createHandler } from "./handler.js";
-import { defaultKeepalive, watchPeer, type KeepaliveOptions } from "./keepalive.js";
+import { createRequestHandler } from "./request-handler.js";
+import { defaultKeepalive, startKeepalive, type KeepaliveOptions } from "./keepalive.js";
 import { createPeerService } from "./service.js";
 import { maxSessionMemory } from "./session.js";
 
@@ -39,7 +39,7 @@
   constructor(private readonly options: PeerServerOptions) {
     const { handlers, clock, secure, logger = silentLogger } = options;
     this.logger = logger;
-    const handle = createHandler(createPeerService(handlers, clock), logger);
+    const handle = createRequestHandler(createPeerService(handlers, clock), logger);
     this.server =
       secure === undefined
         ? createServer({ maxSessionMemory }, handle)
@@ -97,7 +97,7 @@
       return;
     }
     this.sessions.add(session);
-    watchPeer(session, this.options.keepalive ?? defaultKeepalive);
+    startKeepalive(session, this.options.keepalive ?? defaultKeepalive);
     session.on("close", () => this.sessions.delete(session));
   }
 
--- a/src/peer/service.ts
+++ b/src/peer/service.ts
@@ -1,6 +1,6 @@
 import type { ServiceImpl } from "@connectrpc/connect";
 import type { Clock, Json } from "../model/index.js";
-import { decodeHello, decodeVm, demand, encodeHello } from "./codec.js";
+import { decodeHello, decodeVm, requireField, encodeHello } from "./codec.js";
 import { encodeControlResult } from "./codec-status.js";
 import type { Hello, Peer } from "./gen/radishwalk/peer/v1/peer_pb.js";
 import type { PeerHandlers } from "./handlers.js";
@@ -28,7 +28,7 @@
     },
     probeThrough: async ({ hello, vm, timeoutMs }) => {
       greet(hello);
-      const found = await handlers.probe(decodeVm(demand(vm, "vm")), timeoutMs);
+      const found = await handlers.probe(decodeVm(requireField(vm, "vm")), timeoutMs);
       return found.type === "answered"
         ? reply({ result: { case: "answered", value: encodeHello(found.hello) } as const })
         : reply({ result: { case: "silent", value: found.reason } as const });
--- a/src/peer/session.ts
+++ b/src/peer/session.ts
@@ -8,10 +8,10 @@
 } from "node:http2";
 import { Code, ConnectError } from "@connectrpc/connect";
 import type { Clock } from "../model/index.js";
-import { startTimer } from "./patience.js";
+import { startStallTolerantTimer } from "./stall-tolerant-timer.js";
 
 /** How one peer's connection is kept. Times in milliseconds. */
-export interface SessionOptions {
+export interface PeerSessionOptions {
   readonly clock: Pick<Clock, "now">;
   readonly getSecureOptions?: (() => SecureClientSessionOptions) | undefined;
   readonly connectMs: number;
@@ -52,7 +52,7 @@
 
   constructor(
     readonly authority: string,
-    private readonly options: SessionOptions,
+    private readonly options: PeerSessionOptions,
   ) {}
 
   /** Whether there is a connection that gives a sign of life, now or just before. */
@@ -90,7 +90,7 @@
   }
 
   /** Closes the connection once what is under way has finished; `request` opens another. */
-  release(): void {
+  closeGracefully(): void {
     const connection = this.current;
     this.current = undefined;
     // One that is still being opened may hang for minutes, and all that waits for it as long.
@@ -133,7 +133,7 @@
   private waitForOpen(http: ClientHttp2Session): Promise<void> {
     return new Promise((resolve, reject) => {
       const fail = (reason: string): void => reject(new ConnectError(reason, Code.Unavailable));
-      const stopTimer = startTimer(this.options.connectMs, () => {
+      const stopTimer = startStallTolerantTimer(this.options.connectMs, () => {
         fail("the connection did not open in time");
         http.destroy();
       });
@@ -204,7 +204,7 @@
 
   private ping(connection: Connection, onHeard: () => void): void {
     const { http } = connection;
-    connection.stopWaiting ??= startTimer(this.options.pingTimeoutMs, () =>
+    connection.stopWaiting ??= startStallTolerantTimer(this.options.pingTimeoutMs, () =>
       http.destroy(new ConnectError("the peer is silent", Code.Unavailable), cancelled),
     );
     http.ping((error) => {
--- a/src/peer/patience.ts
+++ b/src/peer/stall-tolerant-timer.ts
@@ -5,7 +5,7 @@
  * or starved of processor time) finds its timers due before it reads what has come meanwhile; in
  * steps, a pause counts for one of them and not for the whole. Answers with what cancels it.
  */
-export function startTimer(ms: number, handle: () => void): () => void {
+export function startStallTolerantTimer(ms: number, handle: () => void): () => void {
   let left = steps;
   const step = (): void => {
     left -= 1;
--- a/src/peer/pool.ts
+++ b/src/peer/stream-pool.ts
@@ -1,6 +1,6 @@
 import type { Vm } from "../model/index.js";
 import { ClientStream, type StreamOptions } from "./client-stream.js";
-import type { Link, PeerLinks } from "./links.js";
+import type { PeerConnection, PeerConnections } from "./connections.js";
 
 const maxIdleStreams = 64;
 const idleMs = 5000;
@@ -11,19 +11,19 @@
  * batch sent into a silent one would end as "may have run".
  */
 export class StreamPool {
-  private readonly idle = new WeakMap<Link, ClientStream[]>();
+  private readonly idle = new WeakMap<PeerConnection, ClientStream[]>();
 
   constructor(
-    private readonly links: PeerLinks,
+    private readonly links: PeerConnections,
     private readonly options: StreamOptions,
   ) {}
 
   /** A stream to a VM that no conversation uses. */
-  async take(vm: Vm): Promise<ClientStream> {
-    const link = this.links.open(vm.peer);
+  async acquire(vm: Vm): Promise<ClientStream> {
+    const link = this.links.get(vm.peer);
     const streams = this.idle.get(link) ?? [];
     for (let stream = streams.pop(); stream !== undefined; stream = streams.pop()) {
-      stream.stopIdle();
+      stream.stopIdleTimer();
       if (stream.isUsable && (await link.session.isAlive())) return stream;
       stream.finish();
     }
@@ -31,15 +31,15 @@
   }
 
   /** Takes a stream back whose conversation is over. */
-  give(stream: ClientStream): void {
-    const streams = this.idle.get(stream.link) ?? [];
+  release(stream: ClientStream): void {
+    const streams = this.idle.get(stream.connection) ?? [];
     if (!stream.isUsable || streams.length >= maxIdleStreams) {
       stream.finish();
       return;
     }
-    this.idle.set(stream.link, streams);
+    this.idle.set(stream.connection, streams);
     streams.push(stream);
-    stream.startIdle(idleMs, () => {
+    stream.startIdleTimer(idleMs, () => {
       const at = streams.indexOf(stream);
       if (at >= 0) streams.splice(at, 1);
     });
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -101,11 +101,11 @@
   private createRemote({ clock }: ProxyPorts): RemoteGateway {
     const { links, describe, membership } = this.members;
     return new RemoteGateway({
-      links,
+      connections: links,
       clock,
       getHello: describe,
       findOwner: (group) => this.gateway.findOther(group),
-      onBroken: ({ name }) => {
+      onConnectionFailure: ({ name }) => {
         this.gateway.noteBroken(name);
         membership.doubt(name);
       },
--- a/src/proxy/members.ts
+++ b/src/proxy/members.ts
@@ -6,13 +6,13 @@
   type PeerHello,
   type Vm,
 } from "../model/index.js";
-import { ConnectPeerClient, PeerLinks, type LinkOptions } from "../peer/index.js";
+import { ConnectPeerClient, PeerConnections, type PeerConnectionOptions } from "../peer/index.js";
 import type { ProxySettings } from "../settings/index.js";
 import type { ProxyPorts } from "./ports.js";
 
 /** What a proxy knows of the fleet: its links to peers, the live VMs and the configuration. */
 export class FleetMembers implements Disposable {
-  readonly links: PeerLinks;
+  readonly links: PeerConnections;
   readonly peers: ConnectPeerClient;
   readonly membership: MembershipKeeper;
   readonly configuration: ConfigurationKeeper;
@@ -21,12 +21,12 @@
   constructor(
     ports: ProxyPorts,
     store: ObjectStore,
-    security: Pick<LinkOptions, "getSecureOptions">,
+    security: Pick<PeerConnectionOptions, "getSecureOptions">,
   ) {
     const { settings, incarnation, clock, random, logger } = ports;
-    this.links = this.owned.add(new PeerLinks({ clock, ...security }));
+    this.links = this.owned.add(new PeerConnections({ clock, ...security }));
     this.peers = new ConnectPeerClient({
-      links: this.links,
+      connections: this.links,
       getHello: this.describe,
       onHello: (hello) => {
         this.membership.hear(hello);
--- a/src/proxy/security.ts
+++ b/src/proxy/security.ts
@@ -1,6 +1,6 @@
 import type { Logger } from "../log/index.js";
 import type { Clock } from "../model/index.js";
-import type { LinkOptions } from "../peer/index.js";
+import type { PeerConnectionOptions } from "../peer/index.js";
 import type { ProxySettings, TlsSettings } from "../settings/index.js";
 import { CertificateStore } from "../tls/index.js";
 
@@ -36,6 +36,6 @@
 /** The options of links to peers that carry this process's certificate. */
 export function describeClientSecurity({
   peers,
-}: Certificates): Pick<LinkOptions, "getSecureOptions"> {
+}: Certificates): Pick<PeerConnectionOptions, "getSecureOptions"> {
   return peers === undefined ? {} : { getSecureOptions: peers.getClientOptions };
 }
--- a/src/tls/store.ts
+++ b/src/tls/certificate-store.ts
@@ -21,7 +21,7 @@
   readonly clock: Clock;
   readonly logger?: Logger;
   /** How often the files are looked at, in milliseconds. */
-  readonly checkMs?: number;
+  readonly checkIntervalMs?: number;
 }
 
 interface Certificates {
@@ -87,7 +87,7 @@
   }
 
   private async watch(): Promise<void> {
-    const { clock, checkMs = defaultCheckMs } = this.options;
+    const { clock, checkIntervalMs: checkMs = defaultCheckMs } = this.options;
     const { signal } = this.stopped;
     for (;;) {
       await clock.sleep(checkMs, signal).catch(() => undefined);
--- a/src/tls/index.ts
+++ b/src/tls/index.ts
@@ -3,4 +3,4 @@
   CertificateStore,
   type CertificateStoreOptions,
   peerServerName,
-} from "./store.js";
+} from "./certificate-store.js";
--- a/test/load/load.test.ts
+++ b/test/load/load.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, expect, test } from "@jest/globals";
-import { buildRandom, listArrivals } from "../../src/load/arrivals.js";
+import { createRandom, generateArrivals } from "../../src/load/arrivals.js";
 import {
   formatReport,
   loadLoadSettings,
@@ -56,7 +56,7 @@
 });
 
 test("arrivals repeat with their seed and keep their rate", () => {
-  const draw = (stream: number) => [...listArrivals(buildRandom(7, stream), 100, 60_000)];
+  const draw = (stream: number) => [...generateArrivals(createRandom(7, stream), 100, 60_000)];
   expect(draw(0)).toEqual(draw(0));
   expect(draw(0)).not.toEqual(draw(1));
   expect(draw(0).length).toBeGreaterThan(5_700);
--- a/test/peer/calls.test.ts
+++ b/test/peer/calls.test.ts
@@ -15,7 +15,7 @@
   const peer = await startPeer(makeHandlers(new FakeGroup(), { onHello, ...rest }));
   running = peer;
   const getHello = () => makeHello("asker");
-  return { ...peer, heard, client: new ConnectPeerClient({ links: peer.links, getHello }) };
+  return { ...peer, heard, client: new ConnectPeerClient({ connections: peer.links, getHello }) };
 }
 
 const timeoutMs = 1000;
--- a/test/peer/converse.test.ts
+++ b/test/peer/converse.test.ts
@@ -116,7 +116,7 @@
 
 test("no owner known, and none there, are not run with a time to come back", async () => {
   const { gateway, server, links } = await start(new FakeGroup());
-  const options = { links, clock, getHello: () => makeHello("asker") };
+  const options = { connections: links, clock, getHello: () => makeHello("asker") };
   const lonely = new RemoteGateway({ ...options, findOwner: () => undefined });
   expect((await run(lonely.open("g"))).outcome).toMatchObject({ verdict: notRun });
   server.dispose();
--- a/test/peer/fake.ts
+++ b/test/peer/fake.ts
@@ -11,7 +11,7 @@
 import {
   type OwnerChoice,
   type PeerHandlers,
-  PeerLinks,
+  PeerConnections,
   PeerServer,
   RemoteGateway,
 } from "../../src/peer/index.js";
@@ -125,9 +125,9 @@
   const server = new PeerServer({ address, handlers, clock, keepalive });
   const relay = new Relay(await server.listen());
   const vm = makeVm("owner", await relay.listen());
-  const links = new PeerLinks({ clock, pingIntervalMs: 60, pingTimeoutMs: 60 });
+  const links = new PeerConnections({ clock, pingIntervalMs: 60, pingTimeoutMs: 60 });
   const gateway = new RemoteGateway({
-    links,
+    connections: links,
     clock,
     getHello: () => makeHello("asker"),
     findOwner: () => vm,
--- a/test/tls/tls.test.ts
+++ b/test/tls/tls.test.ts
@@ -4,7 +4,7 @@
 import { join } from "node:path";
 import { afterEach, beforeEach, expect, test } from "@jest/globals";
 import { DisposableStore } from "../../src/model/index.js";
-import { ConnectPeerClient, PeerLinks, PeerServer } from "../../src/peer/index.js";
+import { ConnectPeerClient, PeerConnections, PeerServer } from "../../src/peer/index.js";
 import { CertificateStore } from "../../src/tls/index.js";
 import { clock, FakeGroup, startServer } from "../caller/fake.js";
 import { makeHandlers, makeHello, makeVm } from "../peer/fake.js";
@@ -41,7 +41,7 @@
 
 async function load(name = "peer"): Promise<CertificateStore> {
   await install(name);
-  return owned.add(await CertificateStore.load({ files, clock, checkMs: 10 }));
+  return owned.add(await CertificateStore.load({ files, clock, checkIntervalMs: 10 }));
 }
 
 const nextChange = (store: CertificateStore) =>
@@ -125,10 +125,10 @@
   });
   const vm = makeVm("owner", await peer.listen());
   const options = client === undefined ? {} : { getSecureOptions: client.getClientOptions };
-  const links = new PeerLinks({ clock, ...options });
+  const links = new PeerConnections({ clock, ...options });
   owned.add(peer);
   owned.add(links);
-  const asker = new ConnectPeerClient({ links, getHello: () => makeHello("asker") });
+  const asker = new ConnectPeerClient({ connections: links, getHello: () => makeHello("asker") });
   return (await asker.probe(vm, makeHello("asker"), 2000)).type;
 }
 
