--- a/src/peer/answer-buffer.ts
+++ b/src/peer/answer-buffer.ts
@@ -1,78 +1,81 @@
 const chunkBytes = 32 * 1024;
-const maxWaitingBytes = 256 * 1024;
-const flushMs = 5;
+const maxUnsentBytes = 256 * 1024;
+const maxBufferMs = 5;
 
 /**
- * Gathers an answer's messages into chunks. The sender of messages waits while too many bytes have
- * not left the process: a caller that reads slowly then holds back the target's answer, and costs
- * the owner no more than `maxWaitingBytes` and one message.
+ * Combines the messages of an answer into chunks, with backpressure: the sender of messages waits
+ * while more than `maxUnsentBytes` have not left the process. A caller that reads slowly therefore
+ * slows the target down, and the owner holds no more than `maxUnsentBytes` and one message for it.
  */
 export class AnswerBuffer {
-  private pieces: Buffer[] = [];
-  private bytes = 0;
-  private waitingBytes = 0;
+  private messages: Buffer[] = [];
+  private bufferedBytes = 0;
+  private unsentBytes = 0;
   private timer: NodeJS.Timeout | undefined;
-  private waiting: (() => void)[] = [];
+  private waiters: (() => void)[] = [];
   private isClosed = false;
 
   constructor(private readonly send: (chunk: Uint8Array) => void) {}
 
-  /** Takes a message, whose bytes are copied; the promise ends when there is room for another. */
+  /**
+   * Adds a message, whose bytes are copied. The sender must wait for the promise, if there is one,
+   * before it adds another. After `close` messages are discarded.
+   */
   readonly accept = (message: Uint8Array): Promise<void> | undefined => {
     if (this.isClosed) return undefined;
-    this.pieces.push(Buffer.from(message));
-    this.bytes += message.length;
-    if (this.bytes < chunkBytes) {
-      this.timer ??= setTimeout(() => this.flush(), flushMs);
+    this.messages.push(Buffer.from(message));
+    this.bufferedBytes += message.length;
+    if (this.bufferedBytes < chunkBytes) {
+      this.timer ??= setTimeout(() => this.flush(), maxBufferMs);
       return undefined;
     }
     this.flush();
-    return this.waitingBytes <= maxWaitingBytes ? undefined : this.waitForRoom();
+    return this.unsentBytes <= maxUnsentBytes ? undefined : this.waitForSpace();
   };
 
-  /** Hands over the end of an answer, to travel with its outcome. */
+  /** Returns what is not in a chunk yet, to be sent in the same response as the outcome. */
   takeRemaining(): Uint8Array {
-    const chunk = this.take();
-    this.waitingBytes += chunk.length;
+    const chunk = this.takeBuffered();
+    this.unsentBytes += chunk.length;
     return chunk;
   }
 
-  /** So many bytes have left the process. */
+  /** Records that `bytes` bytes have left the process, and resumes the senders when they are few enough. */
   recordSent(bytes: number): void {
-    this.waitingBytes -= bytes;
-    if (this.waitingBytes <= maxWaitingBytes) this.wake();
+    this.unsentBytes -= bytes;
+    if (this.unsentBytes <= maxUnsentBytes) this.resumeSenders();
   }
 
-  /** Nobody reads any more. */
+  /** Discards what is buffered and resumes the senders, since there is no reader any more. */
   close(): void {
     this.isClosed = true;
-    this.take();
-    this.wake();
+    this.takeBuffered();
+    this.resumeSenders();
   }
 
   private flush(): void {
-    const chunk = this.take();
-    this.waitingBytes += chunk.length;
+    const chunk = this.takeBuffered();
+    this.unsentBytes += chunk.length;
     this.send(chunk);
   }
 
-  private take(): Uint8Array {
+  private takeBuffered(): Uint8Array {
     clearTimeout(this.timer);
     this.timer = undefined;
-    const [first, ...rest] = this.pieces;
-    const chunk = rest.length === 0 ? first : Buffer.concat(this.pieces);
-    this.pieces = [];
-    this.bytes = 0;
+    const [first, ...rest] = this.messages;
+    const chunk = rest.length === 0 ? first : Buffer.concat(this.messages);
+    this.messages = [];
+    this.bufferedBytes = 0;
     return chunk ?? Buffer.alloc(0);
   }
 
-  private waitForRoom(): Promise<void> {
-    return new Promise((resolve) => this.waiting.push(resolve));
+  private waitForSpace(): Promise<void> {
+    return new Promise((resolve) => this.waiters.push(resolve));
   }
 
-  private wake(): void {
-    const { waiting } = this;
-    this.waiting = [];
-    for (const resolve of waiting) resolve();
+  private resumeSenders(): void {
+    const { waiters } = this;
+    this.waiters = [];
+    for (const resolve of waiters) resolve();
   }
 }
--- a/src/peer/client-stream.ts
+++ b/src/peer/client-stream.ts
@@ -13,42 +13,44 @@
 import { startStallTolerantTimer } from "./stall-tolerant-timer.js";
 import { AsyncQueue } from "./queue.js";
 
-/** One batch to be run at a peer. */
+/** Messages of the database protocol that the peer runs as one request. */
 export interface Batch {
   readonly request: Request;
   readonly messages: Uint8Array;
+  /** Whether it is the first batch of a conversation. */
   readonly opens: boolean;
+  /** Whether another peer has redirected it here; it is not redirected again. */
   readonly redirected: boolean;
 }
 
-/** How a batch's trip to a peer ended. */
+/** The result of sending a batch to a peer. `owner` is undefined when the peer knows of none. */
 export type BatchResult =
   | { readonly type: "outcome"; readonly outcome: Outcome }
   | { readonly type: "redirect"; readonly owner?: Vm }
-  /** `sent` tells whether the batch may have reached the peer. */
+  /** The stream failed; `isSent` tells whether the batch may have reached the peer. */
   | { readonly type: "broken"; readonly isSent: boolean; readonly reason: string };
 
-/** What a stream needs from outside. */
+/** Options of a `ClientStream`. */
 export interface StreamOptions {
   readonly clock: Pick<Clock, "now">;
   readonly getHello: () => PeerHello;
   readonly onHello: (hello: PeerHello) => void;
-  /** A batch that has not left by then is given up as not sent. Milliseconds. */
+  /** How long a batch may wait for the connection, in milliseconds; then it fails as not sent. */
   readonly connectMs: number;
 }
 
-interface Trip {
-  readonly item: ConverseRequest;
+interface PendingBatch {
+  readonly message: ConverseRequest;
   readonly sink: MessageSink;
   readonly end: (result: BatchResult) => void;
   isSent: boolean;
 }
 
-/** The sending end of one stream to a peer. */
+/** The client side of one stream to a peer. Runs one batch at a time. */
 export class ClientStream {
-  private readonly abort = new AbortController();
+  private readonly abortController = new AbortController();
   private readonly requests: AsyncQueue<ConverseRequest>;
-  private trip: Trip | undefined;
+  private pending: PendingBatch | undefined;
   private failure: string | undefined;
   private idleTimer: NodeJS.Timeout | undefined;
 
@@ -56,20 +58,21 @@
     readonly connection: PeerConnection,
     private readonly options: StreamOptions,
   ) {
-    // An item handed over may be on its way; one still in the queue never will be after `drop`.
-    this.requests = new AsyncQueue((item) => {
-      if (this.trip?.item === item) this.trip.isSent = true;
+    // A message that has left the queue may be on the wire; one still queued is never sent after
+    // `discard`.
+    this.requests = new AsyncQueue((message) => {
+      if (this.pending?.message === message) this.pending.isSent = true;
     });
-    const { signal } = this.abort;
-    void this.read(connection.client.converse(this.requests, { signal }));
+    const { signal } = this.abortController;
+    void this.readResponses(connection.client.converse(this.requests, { signal }));
   }
 
-  /** Whether another batch can be sent. */
+  /** Whether a batch can be sent now: the stream is open and no other batch is pending. */
   get isUsable(): boolean {
-    return this.failure === undefined && this.trip === undefined;
+    return this.failure === undefined && this.pending === undefined;
   }
 
-  /** Finishes the stream by itself after `ms`, unless it is used before. */
+  /** Calls `onFinish` and finishes the stream after `ms`, unless `stopIdleTimer` is called before. */
   startIdleTimer(ms: number, onFinish: () => void): void {
     this.idleTimer = setTimeout(() => {
       onFinish();
@@ -81,42 +84,42 @@
     clearTimeout(this.idleTimer);
   }
 
-  /** Runs one batch. Never rejects. One at a time. */
+  /** Runs one batch; the previous one must have ended. Never rejects. */
   run(batch: Batch, sink: MessageSink, signal: AbortSignal): Promise<BatchResult> {
     const { failure } = this;
     if (failure !== undefined) {
       return Promise.resolve({ type: "broken", isSent: false, reason: failure });
     }
     return new Promise((resolve) => {
-      const stopTimer = startStallTolerantTimer(this.options.connectMs, () => this.checkSent());
-      const onAbort = (): void => this.close("the request was given up");
+      const stopTimer = startStallTolerantTimer(this.options.connectMs, () => this.failIfUnsent());
+      const onAbort = (): void => this.close("the caller cancelled the request");
       const end = (result: BatchResult): void => {
         stopTimer();
         signal.removeEventListener("abort", onAbort);
-        this.trip = undefined;
+        this.pending = undefined;
         resolve(result);
       };
-      const item = this.encode(batch);
-      this.trip = { item, sink, end, isSent: false };
-      this.requests.push(item);
+      const message = this.encode(batch);
+      this.pending = { message, sink, end, isSent: false };
+      this.requests.push(message);
       signal.addEventListener("abort", onAbort);
       if (signal.aborted) onAbort();
     });
   }
 
-  /** Ends a stream whose last batch is answered; the peer ends its side in turn. */
+  /** Ends the request side of a stream without a pending batch; the peer then ends its own side. */
   finish(): void {
     this.failure ??= "the stream has finished";
     this.requests.end();
   }
 
-  /** Ends the stream; what is under way ends as broken. */
+  /** Aborts the stream; a pending batch ends with a `broken` result. */
   close(reason = "the stream was closed"): void {
     if (this.failure !== undefined) return;
     this.failure = reason;
     this.requests.discard();
-    this.trip?.end({ type: "broken", isSent: this.trip.isSent, reason });
-    this.abort.abort();
+    this.pending?.end({ type: "broken", isSent: this.pending.isSent, reason });
+    this.abortController.abort();
   }
 
   private encode({ request, messages, opens, redirected }: Batch): ConverseRequest {
@@ -127,32 +130,36 @@
     });
   }
 
-  private checkSent(): void {
-    if (this.trip?.isSent === false) this.close("no connection to the peer in time");
+  private failIfUnsent(): void {
+    if (this.pending?.isSent === false)
+      this.close("the connection to the peer did not open in time");
   }
 
-  /** Each response waits for the caller to take the one before; HTTP/2 holds the peer back. */
-  private async read(responses: AsyncIterable<ConverseResponse>): Promise<void> {
+  /** Reads a response only when the caller has taken the previous one: HTTP/2 flow control slows the peer. */
+  private async readResponses(responses: AsyncIterable<ConverseResponse>): Promise<void> {
     try {
-      for await (const response of responses) await this.take(response);
+      for await (const response of responses) await this.handleResponse(response);
       this.close("the peer ended the stream");
     } catch (error) {
       this.close(error instanceof Error ? error.message : String(error));
     }
   }
 
-  private async take({ hello, answer, step }: ConverseResponse): Promise<void> {
+  private async handleResponse({ hello, answer, step }: ConverseResponse): Promise<void> {
     this.options.onHello(decodeHello(hello));
-    const { trip } = this;
-    if (trip === undefined) throw createMalformedError("an answer to no batch");
-    for (const message of splitMessages(answer)) await trip.sink(message);
+    const { pending } = this;
+    if (pending === undefined) throw createMalformedError("a response without a pending batch");
+    for (const message of splitMessages(answer)) await pending.sink(message);
     switch (step.case) {
       case "outcome":
-        trip.end({ type: "outcome", outcome: decodeOutcome(step.value) });
+        pending.end({ type: "outcome", outcome: decodeOutcome(step.value) });
         break;
       case "redirect": {
         const { owner } = step.value;
-        trip.end({ type: "redirect", ...(owner === undefined ? {} : { owner: decodeVm(owner) }) });
+        pending.end({
+          type: "redirect",
+          ...(owner === undefined ? {} : { owner: decodeVm(owner) }),
+        });
         break;
       }
       case undefined:
--- a/src/peer/client.ts
+++ b/src/peer/client.ts
@@ -13,19 +13,19 @@
 import type { Hello, Peer } from "./gen/radishwalk/peer/v1/peer_pb.js";
 import type { PeerConnections } from "./connections.js";
 
-/** What a `ConnectPeerClient` is built from. */
+/** Options of a `ConnectPeerClient`. */
 export interface PeerClientOptions {
   readonly connections: PeerConnections;
   readonly getHello: () => PeerHello;
   readonly onHello?: (hello: PeerHello) => void;
 }
 
-/** A call through another process takes its own time and the trip there. */
-const tripMs = 200;
+/** Added to the timeout of a call that the peer performs itself, for the round trip to that peer. */
+const peerOverheadMs = 200;
 
 /**
- * Calls to other proxies by connect-es. A call that fails is followed by a new connection, so that
- * a silent connection is never asked twice; what else is under way on the old one goes on.
+ * Calls other proxies through connect-es. After a failed call the next one uses a new connection, so
+ * that a connection that no longer responds fails one call only. Other calls on the old one continue.
  */
 export class ConnectPeerClient implements PeerClient {
   constructor(private readonly options: PeerClientOptions) {}
@@ -33,15 +33,17 @@
   async probe(vm: Vm, hello: PeerHello, timeoutMs: number): Promise<ProbeResult> {
     return this.call<ProbeResult>(vm, toSilent, async (client) => {
       const response = await client.probe({ hello: encodeHello(hello) }, { timeoutMs });
-      return { type: "answered", hello: this.hear(response.hello) };
+      return { type: "answered", hello: this.receiveHello(response.hello) };
     });
   }
 
   async probeThrough(via: Vm, vm: Vm, hello: PeerHello, timeoutMs: number): Promise<ProbeResult> {
     return this.call<ProbeResult>(via, toSilent, async (client) => {
       const request = { hello: encodeHello(hello), vm: encodeVm(vm), timeoutMs };
-      const response = await client.probeThrough(request, { timeoutMs: timeoutMs + tripMs });
-      this.hear(response.hello);
+      const response = await client.probeThrough(request, {
+        timeoutMs: timeoutMs + peerOverheadMs,
+      });
+      this.receiveHello(response.hello);
       const { result } = response;
       return result.case === "answered"
         ? { type: "answered", hello: decodeHello(result.value) }
@@ -52,8 +54,8 @@
   async checkTarget(via: Vm, group: string, target: string, timeoutMs: number): Promise<PeerCheck> {
     return this.call<PeerCheck>(via, toSilent, async (client) => {
       const request = { hello: this.encodeOwnHello(), group, target, timeoutMs };
-      const response = await client.checkTarget(request, { timeoutMs: timeoutMs + tripMs });
-      this.hear(response.hello);
+      const response = await client.checkTarget(request, { timeoutMs: timeoutMs + peerOverheadMs });
+      this.receiveHello(response.hello);
       return decodeControlResult(response);
     });
   }
@@ -66,7 +68,7 @@
     return this.call<StoreRead<Json>>(vm, toUnavailable, async (client) => {
       const request = { hello: this.encodeOwnHello(), afterRevision };
       const response = await client.fetchConfiguration(request, { timeoutMs });
-      this.hear(response.hello);
+      this.receiveHello(response.hello);
       const { result } = response;
       switch (result.case) {
         case "foundJson":
@@ -89,24 +91,24 @@
       const configurationJson = JSON.stringify(configuration);
       const request = { hello: this.encodeOwnHello(), configurationJson };
       const response = await client.pushConfiguration(request, { timeoutMs });
-      this.hear(response.hello);
+      this.receiveHello(response.hello);
       return { type: "found", value: response.revision };
     });
   }
 
-  /** Tells a peer that this process's state has changed. */
+  /** Sends a peer the changed state of this process. */
   async announce(vm: Vm, hello: PeerHello, timeoutMs: number): Promise<ProbeResult> {
     return this.call<ProbeResult>(vm, toSilent, async (client) => {
       const response = await client.announce({ hello: encodeHello(hello) }, { timeoutMs });
-      return { type: "answered", hello: this.hear(response.hello) };
+      return { type: "answered", hello: this.receiveHello(response.hello) };
     });
   }
 
-  /** Fetches a peer's status for operators. */
+  /** Fetches the status that a peer reports to operators. */
   async fetchReport(vm: Vm, timeoutMs: number): Promise<StoreRead<Json>> {
     return this.call<StoreRead<Json>>(vm, toUnavailable, async (client) => {
       const response = await client.report({ hello: this.encodeOwnHello() }, { timeoutMs });
-      this.hear(response.hello);
+      this.receiveHello(response.hello);
       return { type: "found", value: JSON.parse(response.statusJson) as Json };
     });
   }
@@ -114,10 +116,10 @@
   private async call<R>(
     vm: Vm,
     toFailure: (reason: string) => R,
-    ask: (client: Client<typeof Peer>) => Promise<R>,
+    send: (client: Client<typeof Peer>) => Promise<R>,
   ): Promise<R> {
     try {
-      return await ask(this.options.connections.get(vm.peer).client);
+      return await send(this.options.connections.get(vm.peer).client);
     } catch (error) {
       this.options.connections.replace(vm.peer);
       return toFailure(error instanceof Error ? error.message : String(error));
@@ -128,7 +130,7 @@
     return encodeHello(this.options.getHello());
   }
 
-  private hear(message: Hello | undefined): PeerHello {
+  private receiveHello(message: Hello | undefined): PeerHello {
     const hello = decodeHello(message);
     this.options.onHello?.(hello);
     return hello;
--- a/src/peer/codec-outcome.ts
+++ b/src/peer/codec-outcome.ts
@@ -32,7 +32,7 @@
   tooManyConnections: Reason.TOO_MANY_CONNECTIONS,
 };
 
-/** Builds an outcome. */
+/** Converts an outcome to its message. */
 export function encodeOutcome(outcome: Outcome): OutcomeMessage {
   switch (outcome.type) {
     case "answered":
@@ -47,7 +47,7 @@
   }
 }
 
-/** Reads an outcome. Throws `ConnectError`. */
+/** Converts a message to an outcome. Throws `ConnectError` when the message is malformed. */
 export function decodeOutcome({ result }: OutcomeMessage): Outcome {
   switch (result.case) {
     case "answered":
--- a/src/peer/codec-request.ts
+++ b/src/peer/codec-request.ts
@@ -31,7 +31,7 @@
   stale: RouteType.STALE,
 } as const;
 
-/** Builds a request with the time that it has left at `now`. */
+/** Converts a request to its message. The deadline is sent as the time left at `now`, since the clocks of two VMs differ. */
 export function encodeRequest(request: Request, now: number): RequestMessage {
   const { traits, idempotency, mark } = request;
   return create(RequestSchema, {
@@ -49,7 +49,10 @@
   });
 }
 
-/** Reads a request, its deadline on the clock that says `now`. */
+/**
+ * Converts a message to a request, whose deadline is relative to `now` on the local clock. Throws
+ * `ConnectError` when the message is malformed.
+ */
 export function decodeRequest(message: RequestMessage, now: number): Request {
   const { id, group, team, kind, tables, transaction, rule, mark } = message;
   const { idempotencyKey: key, idempotencyDigest: digest } = message;
--- a/src/peer/codec-status.ts
+++ b/src/peer/codec-status.ts
@@ -15,7 +15,7 @@
   TargetStatusSchema,
 } from "./gen/radishwalk/peer/v1/peer_pb.js";
 
-/** Builds what a check of a target found. */
+/** Converts the result of a target check to its message. */
 export function encodeControlResult(
   result: ControlResult,
 ): NonNullable<MessageInitShape<typeof CheckTargetResponseSchema>["result"]> {
@@ -29,7 +29,7 @@
   }
 }
 
-/** Reads what a check of a target found. Throws `ConnectError`. */
+/** Converts a message to the result of a target check. Throws `ConnectError` when it is malformed. */
 export function decodeControlResult({ result }: CheckTargetResponse): ControlResult {
   switch (result.case) {
     case "accepted":
@@ -39,7 +39,7 @@
     case "unreachable":
       return { type: "unreachable", reason: result.value };
     case undefined:
-      throw createMalformedError("a check without a result");
+      throw createMalformedError("a target check without a result");
   }
 }
 
--- a/src/peer/codec.ts
+++ b/src/peer/codec.ts
@@ -19,60 +19,63 @@
   leaving: State.LEAVING,
 } as const;
 
-/** Two-way mapping between words of the model and numbers of the protocol. */
-export function findKey<W extends string, N extends number>(
-  words: Readonly<Record<W, N>>,
+/**
+ * Returns the name in the model that stands for an enum number of the protocol. Throws `ConnectError`
+ * when the number is unknown.
+ */
+export function findKey<K extends string, N extends number>(
+  numbers: Readonly<Record<K, N>>,
   value: number,
-): W {
-  const found = Object.entries(words).find(([, known]) => known === value);
-  if (found === undefined) throw createMalformedError(`unknown value ${value}`);
-  return found[0] as W;
+): K {
+  const found = Object.entries(numbers).find(([, known]) => known === value);
+  if (found === undefined) throw createMalformedError(`unknown enum value ${value}`);
+  return found[0] as K;
 }
 
-/** A message that no peer of this version sends. */
+/** Creates the error for a message that violates the protocol. */
 export function createMalformedError(what: string): ConnectError {
   return new ConnectError(`malformed message: ${what}`, Code.InvalidArgument);
 }
 
-/** The part of a message that must be there. */
-export function requireField<T>(part: T | undefined, name: string): T {
-  if (part === undefined) throw createMalformedError(`no ${name}`);
-  return part;
+/** Returns a required field of a message. Throws `ConnectError` when it is missing. */
+export function requireField<T>(field: T | undefined, name: string): T {
+  if (field === undefined) throw createMalformedError(`missing ${name}`);
+  return field;
 }
 
-/** Builds a hello. */
+/** Converts a hello to its message. */
 export function encodeHello(hello: PeerHello): Hello {
   return create(HelloSchema, { ...hello, state: states[hello.state] });
 }
 
-/** Reads a hello. Throws `ConnectError`. */
+/** Converts a message to a hello. Throws `ConnectError` when it is missing or malformed. */
 export function decodeHello(message: Hello | undefined): PeerHello {
   const { vm, incarnation, state, revision } = requireField(message, "hello");
   return { vm, incarnation, state: findKey(states, state), revision };
 }
 
-/** Builds a term. */
+/** Converts a term to its message. */
 export function encodeTerm(term: Term): TermMessage {
   return create(TermSchema, term);
 }
 
-/** Reads a term. */
+/** Converts a message to a term. Throws `ConnectError` when it is missing. */
 export function decodeTerm(message: TermMessage | undefined): Term {
   const { round, vm } = requireField(message, "term");
   return { round, vm };
 }
 
-/** Builds a mark. */
+/** Converts a mark to its message. */
 export function encodeMark(mark: Mark): MarkMessage {
   return create(MarkSchema, { term: encodeTerm(mark.term), offset: mark.offset });
 }
 
-/** Reads a mark. */
+/** Converts a message to a mark. Throws `ConnectError` when it has no term. */
 export function decodeMark(message: MarkMessage): Mark {
   return { term: decodeTerm(message.term), offset: message.offset };
 }
 
-/** Builds a VM's address. */
+/** Converts a VM to its message. */
 export function encodeVm(vm: Vm): VmMessage {
   const init: MessageInitShape<typeof VmSchema> = {
     name: vm.name,
@@ -84,7 +87,7 @@
   return create(VmSchema, init);
 }
 
-/** Reads a VM's address. */
+/** Converts a message to a VM. */
 export function decodeVm(message: VmMessage): Vm {
   const { name, dataCentre, host, port, leaving } = message;
   return { name, dataCentre, peer: { host, port }, state: leaving ? "leaving" : "live" };
--- a/src/peer/connections.ts
+++ b/src/peer/connections.ts
@@ -5,21 +5,21 @@
 import { Peer } from "./gen/radishwalk/peer/v1/peer_pb.js";
 import { PeerSession } from "./session.js";
 
-/** How connections to peers are kept. Times in milliseconds. */
+/** Options of `PeerConnections`. Times are in milliseconds. */
 export interface PeerConnectionOptions {
   readonly clock: Pick<Clock, "now">;
-  /** Certificates for mutual TLS, read anew for each connection; absent where TLS is off. */
+  /** TLS options with the client certificate, requested for each new connection; undefined without TLS. */
   readonly getSecureOptions?: () => SecureClientSessionOptions;
   readonly connectMs?: number;
-  /** A connection in use that says nothing for so long is asked for a sign of life. */
+  /** A connection with open streams is pinged when nothing was received for this long. */
   readonly pingIntervalMs?: number;
-  /** A connection that gives none for so long is dropped with all that is under way on it. */
+  /** A connection whose ping is unanswered for this long is destroyed, with all its streams. */
   readonly pingTimeoutMs?: number;
-  /** A connection that nobody uses is closed after so long. */
+  /** A connection without streams is closed after this long. */
   readonly idleMs?: number;
 }
 
-/** The connection to one peer. */
+/** The client of one peer, with the session that holds its HTTP/2 connection. */
 export interface PeerConnection {
   readonly client: Client<typeof Peer>;
   readonly session: PeerSession;
@@ -32,51 +32,52 @@
 const defaultIdleMs = 60_000;
 
 const maxMessageBytes = 64 * 1024 * 1024;
-/** Connections to peers by address, opened when first used and kept. */
+
+/** Connections to peers by address. Each opens when it is first used, and is kept. */
 export class PeerConnections implements Disposable {
-  private readonly links = new Map<string, PeerConnection>();
+  private readonly connections = new Map<string, PeerConnection>();
   private readonly idleMs: number;
 
   constructor(private readonly options: PeerConnectionOptions) {
     this.idleMs = options.idleMs ?? defaultIdleMs;
   }
 
-  /** Addresses with a connection or the memory of one. */
+  /** Number of addresses with an entry, whether or not its connection is open now. */
   get size(): number {
-    return this.links.size;
+    return this.connections.size;
   }
 
-  /** The connection to an address, which opens with its first use. */
+  /** Returns the connection to an address. It opens with the first request. */
   get(address: Address): PeerConnection {
     const key = formatAddress(address);
     const now = this.options.clock.now();
-    const known = this.links.get(key);
+    const known = this.connections.get(key);
     if (known !== undefined) {
       known.lastUsedAt = now;
       return known;
     }
-    this.dropUnused(now);
-    const link = this.connect(address, now);
-    this.links.set(key, link);
-    return link;
+    this.deleteUnused(now);
+    const connection = this.connect(address, now);
+    this.connections.set(key, connection);
+    return connection;
   }
 
-  /** Takes a new connection from now on. What is under way on the old one goes on. */
+  /** Uses a new connection for later calls. Calls in progress on the old one continue. */
   replace(address: Address): void {
     const key = formatAddress(address);
-    this.links.get(key)?.session.closeGracefully();
-    this.links.delete(key);
+    this.connections.get(key)?.session.closeGracefully();
+    this.connections.delete(key);
   }
 
-  /** Takes new connections to all peers from now on, such as with a new certificate. */
+  /** Uses new connections to all peers for later calls, for example after a certificate change. */
   replaceAll(): void {
-    for (const link of this.links.values()) link.session.closeGracefully();
-    this.links.clear();
+    for (const connection of this.connections.values()) connection.session.closeGracefully();
+    this.connections.clear();
   }
 
   dispose(): void {
-    for (const link of this.links.values()) link.session.abort();
-    this.links.clear();
+    for (const connection of this.connections.values()) connection.session.abort();
+    this.connections.clear();
   }
 
   private connect(address: Address, now: number): PeerConnection {
@@ -101,9 +102,9 @@
     return { client: createClient(Peer, transport), session, lastUsedAt: now };
   }
 
-  private dropUnused(now: number): void {
-    for (const [key, { lastUsedAt }] of this.links) {
-      if (now - lastUsedAt > 2 * this.idleMs) this.links.delete(key);
+  private deleteUnused(now: number): void {
+    for (const [key, { lastUsedAt }] of this.connections) {
+      if (now - lastUsedAt > 2 * this.idleMs) this.connections.delete(key);
     }
   }
 }
--- a/src/peer/gateway.ts
+++ b/src/peer/gateway.ts
@@ -10,23 +10,27 @@
 import type { PeerConnections } from "./connections.js";
 import { StreamPool } from "./stream-pool.js";
 
-/** What a `RemoteGateway` is built from. */
+/** Options of a `RemoteGateway`. */
 export interface RemoteGatewayOptions extends Omit<StreamOptions, "connectMs" | "onHello"> {
   readonly connections: PeerConnections;
-  /** The VM that owns a group now; never this one. */
+  /** Returns the VM that owns a group now, never the local one; undefined when it is unknown. */
   readonly findOwner: (group: string) => Vm | undefined;
   readonly onHello?: StreamOptions["onHello"];
+  /** Milliseconds; see `StreamOptions`. */
   readonly connectMs?: number;
-  /** Hears of each VM whose connection broke under a request or could not be opened. */
+  /** Called with each VM whose connection failed during a request or could not be opened. */
   readonly onConnectionFailure?: (vm: Vm) => void;
-  /** When to come back where no owner can be reached: about when the next is known. */
+  /** When a caller may retry if no owner is reachable, in milliseconds: about when the next owner is known. */
   readonly retryAfterMs?: number;
 }
 
 const defaultConnectMs = 1000;
 const defaultRetryAfterMs = 500;
 
-/** Opens conversations with groups that other processes own. */
+/**
+ * Opens conversations with groups that other processes own. A batch that had not been sent when the
+ * connection failed is reported as not run; one that had been sent is reported as "may have run".
+ */
 export class RemoteGateway implements GroupGateway {
   private readonly pool: StreamPool;
   private readonly retryAfterMs: number;
@@ -42,10 +46,10 @@
     const { connections, findOwner } = this.options;
     return new RemoteConversation({
       findOwner: () => findOwner(group),
-      take: (vm) => this.pool.acquire(vm),
-      give: (stream) => this.pool.release(stream),
-      renew: (vm) => connections.replace(vm.peer),
-      onBroken: (vm) => this.options.onConnectionFailure?.(vm),
+      acquire: (vm) => this.pool.acquire(vm),
+      release: (stream) => this.pool.release(stream),
+      replaceConnection: (vm) => connections.replace(vm.peer),
+      onConnectionFailure: (vm) => this.options.onConnectionFailure?.(vm),
       retryAfterMs: this.retryAfterMs,
     });
   }
@@ -53,10 +57,10 @@
 
 interface ConversationOptions {
   readonly findOwner: () => Vm | undefined;
-  readonly take: (vm: Vm) => Promise<ClientStream>;
-  readonly give: (stream: ClientStream) => void;
-  readonly renew: (vm: Vm) => void;
-  readonly onBroken: (vm: Vm) => void;
+  readonly acquire: (vm: Vm) => Promise<ClientStream>;
+  readonly release: (stream: ClientStream) => void;
+  readonly replaceConnection: (vm: Vm) => void;
+  readonly onConnectionFailure: (vm: Vm) => void;
   readonly retryAfterMs: number;
 }
 
@@ -72,20 +76,21 @@
     sink: MessageSink,
     signal: AbortSignal,
   ): Promise<Outcome> {
-    if (this.isClosed) return this.refuse("the conversation has ended");
+    if (this.isClosed) return this.createRefusal("the conversation has been closed");
     const opens = this.stream === undefined;
     const batch = { request, messages, opens, redirected: false };
     if (this.stream !== undefined) {
-      return this.finish(await this.stream.run(batch, sink, signal));
+      return this.handleResult(await this.stream.run(batch, sink, signal));
     }
     const owner = this.options.findOwner();
-    if (owner === undefined) return this.refuse("the group's owner is not known");
-    const first = await this.send(owner, batch, sink, signal);
-    const isMoved = first.type === "redirect" && first.owner !== undefined;
-    if (!isMoved) return this.finish(first);
-    // Once only: two processes that each take the other for the owner would pass it on for ever.
-    const again = { ...batch, redirected: true };
-    return this.finish(await this.send(first.owner, again, sink, signal));
+    if (owner === undefined) return this.createRefusal("the group's owner is unknown");
+    const firstResult = await this.send(owner, batch, sink, signal);
+    const isRedirected = firstResult.type === "redirect" && firstResult.owner !== undefined;
+    if (!isRedirected) return this.handleResult(firstResult);
+    // Follows one redirect only: two processes that each take the other for the owner would redirect
+    // the request endlessly.
+    const secondBatch = { ...batch, redirected: true };
+    return this.handleResult(await this.send(firstResult.owner, secondBatch, sink, signal));
   }
 
   close(): void {
@@ -93,9 +98,9 @@
     this.stream?.close();
   }
 
-  private end(): void {
+  private releaseStream(): void {
     this.isClosed = true;
-    if (this.stream !== undefined) this.options.give(this.stream);
+    if (this.stream !== undefined) this.options.release(this.stream);
     this.stream = undefined;
   }
 
@@ -103,41 +108,43 @@
     owner: Vm,
     ...[batch, sink, signal]: Parameters<ClientStream["run"]>
   ): Promise<BatchResult> {
-    if (this.stream !== undefined) this.options.give(this.stream);
-    this.stream = await this.options.take(owner);
+    if (this.stream !== undefined) this.options.release(this.stream);
+    this.stream = await this.options.acquire(owner);
     const result = await this.stream.run(batch, sink, signal);
     if (result.type === "broken" && !signal.aborted) {
-      this.options.onBroken(owner);
-      if (!result.isSent) this.options.renew(owner);
+      this.options.onConnectionFailure(owner);
+      if (!result.isSent) this.options.replaceConnection(owner);
     }
     return result;
   }
 
-  private finish(result: BatchResult): Outcome {
+  private handleResult(result: BatchResult): Outcome {
     switch (result.type) {
       case "outcome":
-        if (result.outcome.type === "failed" || result.outcome.status === "I") this.end();
+        if (result.outcome.type === "failed" || result.outcome.status === "I") this.releaseStream();
         return result.outcome;
       case "redirect":
-        this.end();
-        return this.refuse("no process serves the group now");
+        this.releaseStream();
+        return this.createRefusal("no process serves the group at present");
       case "broken":
         this.close();
-        return result.isSent ? describeBroken(result.reason) : this.refuse(result.reason);
+        return result.isSent
+          ? createUncertainOutcome(result.reason)
+          : this.createRefusal(result.reason);
     }
   }
 
-  private refuse(message: string): Outcome {
+  private createRefusal(message: string): Outcome {
     const { retryAfterMs } = this.options;
     const verdict = { type: "notRun", reason: "noOwner", retryAfterMs } as const;
     return { type: "failed", verdict, message };
   }
 }
 
-function describeBroken(reason: string): Outcome {
+function createUncertainOutcome(reason: string): Outcome {
   return {
     type: "failed",
     verdict: { type: "mayHaveRun", reason },
-    message: "the connection to the group's owner broke while the request was under way",
+    message: "the connection to the group's owner failed while the request was in progress",
   };
 }
--- a/src/peer/handlers.ts
+++ b/src/peer/handlers.ts
@@ -8,24 +8,25 @@
   Vm,
 } from "../model/index.js";
 
-/** Who serves a group, as this process sees it. */
+/** Which process serves a group, as far as this one knows. */
 export type OwnerChoice =
   | { readonly type: "here"; readonly gateway: GroupGateway }
-  /** Without a VM, nobody is known to. */
+  /** `owner` is undefined when no VM is known to serve the group. */
   | { readonly type: "elsewhere"; readonly owner?: Vm };
 
-/** What a process does for its peers. */
+/** The operations that a process performs for its peers. */
 export interface PeerHandlers {
   getHello(): PeerHello;
-  /** Hears of every peer that says something. */
+  /** Called with the hello of each message that a peer sends. */
   onHello(hello: PeerHello): void;
   chooseOwner(group: string): OwnerChoice;
+  /** Probes another VM on behalf of a peer. */
   probe(vm: Vm, timeoutMs: number): Promise<ProbeResult>;
   checkTarget(group: string, target: string, timeoutMs: number): Promise<ControlResult>;
-  /** The configuration in force when it is newer than `afterRevision`. */
+  /** Returns the configuration in force if it is newer than `afterRevision`, else `absent`. */
   fetchConfiguration(afterRevision: number): Promise<StoreRead<Json>>;
-  /** Answers with the revision in force afterwards. Rejects what is no configuration. */
+  /** Returns the revision in force afterwards. Rejects when the value is not a configuration. */
   pushConfiguration(configuration: Json): Promise<number>;
-  /** This process's status for operators. */
+  /** Returns this process's status for operators. */
   report(): Json;
 }
--- a/src/peer/keepalive.ts
+++ b/src/peer/keepalive.ts
@@ -1,52 +1,53 @@
 import type { ServerHttp2Session, ServerHttp2Stream } from "node:http2";
 import { startStallTolerantTimer } from "./stall-tolerant-timer.js";
 
-/** How served connections are watched. Times in milliseconds. */
+/** When served connections are pinged and closed. Times are in milliseconds. */
 export interface KeepaliveOptions {
-  /** A connection with open streams that says nothing for so long is asked for a sign of life. */
+  /** A connection with open streams is pinged when nothing was received for this long. */
   readonly intervalMs: number;
-  /** One that gives none for so long is ended, with all that is open on it. */
+  /** A connection whose ping is unanswered for this long is destroyed, with all its streams. */
   readonly timeoutMs: number;
 }
 
 /**
- * Longer than a peer takes to notice a silent connection by itself, 0.8 s, so that a peer that lives
- * ends it first.
+ * Longer than the 0.8 s that a peer takes to detect an unresponsive connection, so that a live peer
+ * closes it first.
  */
 export const defaultKeepalive: KeepaliveOptions = { intervalMs: 1000, timeoutMs: 1000 };
 
 /**
- * Ends a served connection whose peer has gone without a word. The peer gives a silent connection up and
- * opens another; this end would never hear of it, and what was open stayed open: a transaction with its
- * target's connection and slot, for good, and each later drain was held up to its limit and cut it off.
+ * Destroys a served connection that no longer responds. The peer abandons such a connection and opens
+ * another, but this side is not notified. Without this check, an open transaction would keep its
+ * target's connection and slot permanently, and each later drain would wait for it until its limit and
+ * then abort it.
  */
 export function startKeepalive(session: ServerHttp2Session, options: KeepaliveOptions): void {
-  let streams = 0;
-  let isHeard = true;
-  let stopWaiting: (() => void) | undefined;
-  const hear = () => {
-    isHeard = true;
-    stopWaiting?.();
-    stopWaiting = undefined;
+  let openStreams = 0;
+  let hasReceived = true;
+  let cancelTimeout: (() => void) | undefined;
+  const recordActivity = () => {
+    hasReceived = true;
+    cancelTimeout?.();
+    cancelTimeout = undefined;
   };
-  const ask = () => {
-    stopWaiting ??= startStallTolerantTimer(options.timeoutMs, () => session.destroy());
+  const sendPing = () => {
+    cancelTimeout ??= startStallTolerantTimer(options.timeoutMs, () => session.destroy());
     session.ping((error) => {
-      if (error === null) hear();
+      if (error === null) recordActivity();
     });
   };
   const timer = setInterval(() => {
-    if (!isHeard && streams > 0 && stopWaiting === undefined) ask();
-    isHeard = false;
+    if (!hasReceived && openStreams > 0 && cancelTimeout === undefined) sendPing();
+    hasReceived = false;
   }, options.intervalMs).unref();
-  session.on("ping", hear);
+  session.on("ping", recordActivity);
   session.on("stream", (stream: ServerHttp2Stream) => {
-    streams += 1;
-    hear();
-    stream.on("close", () => (streams -= 1));
+    openStreams += 1;
+    recordActivity();
+    stream.on("close", () => (openStreams -= 1));
   });
   session.on("close", () => {
     clearInterval(timer);
-    stopWaiting?.();
+    cancelTimeout?.();
   });
 }
--- a/src/peer/queue.ts
+++ b/src/peer/queue.ts
@@ -1,25 +1,25 @@
-/** Items from one side to an iteration on the other, in order. For one reader. */
+/** A queue in order of arrival that one consumer reads as an async iterator. */
 export class AsyncQueue<T> implements AsyncIterableIterator<T> {
   private readonly items: T[] = [];
   private isEnded = false;
-  private wake: (() => void) | undefined;
+  private resumeConsumer: (() => void) | undefined;
 
-  /** `onTake` hears of each item as it is handed over. */
-  constructor(private readonly onTake?: (item: T) => void) {}
+  /** `onDequeue` is called with each item just before the consumer receives it. */
+  constructor(private readonly onDequeue?: (item: T) => void) {}
 
   push(item: T): void {
     if (this.isEnded) return;
     this.items.push(item);
-    this.wake?.();
+    this.resumeConsumer?.();
   }
 
-  /** Lets the reader have what is here, then ends it. */
+  /** Ends the iteration after the items that are in the queue. */
   end(): void {
     this.isEnded = true;
-    this.wake?.();
+    this.resumeConsumer?.();
   }
 
-  /** Ends the reader at once: what was not handed over never will be. */
+  /** Ends the iteration now and discards the items that are still in the queue. */
   discard(): void {
     this.items.length = 0;
     this.end();
@@ -28,13 +28,13 @@
   async next(): Promise<IteratorResult<T, undefined>> {
     while (this.items.length === 0 && !this.isEnded) {
       await new Promise<void>((resolve) => {
-        this.wake = resolve;
+        this.resumeConsumer = resolve;
       });
     }
-    this.wake = undefined;
+    this.resumeConsumer = undefined;
     const [item] = this.items.splice(0, 1);
     if (item === undefined) return { done: true, value: undefined };
-    this.onTake?.(item);
+    this.onDequeue?.(item);
     return { done: false, value: item };
   }
 
--- a/src/peer/request-handler.ts
+++ b/src/peer/request-handler.ts
@@ -8,15 +8,15 @@
 import type { Logger } from "../log/index.js";
 import { Peer } from "./gen/radishwalk/peer/v1/peer_pb.js";
 
-/** Takes one HTTP/2 request. */
+/** Handles one HTTP/2 request. */
 export type RequestHandler = (request: Http2ServerRequest, response: Http2ServerResponse) => void;
 
 const maxMessageBytes = 64 * 1024 * 1024;
-const notFound = 404;
+const statusNotFound = 404;
 
 /**
- * Serves the service over HTTP/2. connect-node's adapter would do, but writes each call that a peer
- * gave up to the process's error output.
+ * Creates the handler that dispatches HTTP/2 requests to the service. It replaces connect-node's own
+ * adapter, which writes an error to stderr for each call that a peer cancels.
  */
 export function createRequestHandler(
   service: ServiceImpl<typeof Peer>,
@@ -33,7 +33,7 @@
   return (request, response) => {
     const handler = byPath.get(request.url);
     if (handler === undefined) {
-      response.writeHead(notFound).end();
+      response.writeHead(statusNotFound).end();
       return;
     }
     handler(universalRequestFromNodeRequest(request, response, undefined, undefined))
--- a/src/peer/served-stream.ts
+++ b/src/peer/served-stream.ts
@@ -13,61 +13,61 @@
 import type { PeerHandlers } from "./handlers.js";
 import { AsyncQueue } from "./queue.js";
 
-/** The owner's end of one stream: runs its batches, one after the other. */
+/** The server side of one stream, at the group's owner. Runs its batches one after another. */
 export class ServedStream {
   private readonly responses = new AsyncQueue<ConverseResponse>((response) =>
     this.answer.recordSent(response.answer.length),
   );
   private readonly answer = new AnswerBuffer((chunk) => this.send({ answer: chunk }));
   private conversation: Conversation | undefined;
-  private running: Promise<void> | undefined;
-  private abort: AbortController | undefined;
+  private runningBatch: Promise<void> | undefined;
+  private abortController: AbortController | undefined;
 
   constructor(
     private readonly handlers: PeerHandlers,
     private readonly clock: Pick<Clock, "now">,
     signal: AbortSignal,
   ) {
-    signal.addEventListener("abort", () => this.abandon(), { once: true });
+    signal.addEventListener("abort", () => this.handleAbort(), { once: true });
   }
 
-  /** Serves the requests until the peer ends or breaks them. */
+  /** Serves the requests until the peer ends the stream or the stream fails. */
   serve(requests: AsyncIterable<ConverseRequest>): AsyncIterable<ConverseResponse> {
-    void this.read(requests);
+    void this.readRequests(requests);
     return this.responses;
   }
 
-  private async read(requests: AsyncIterable<ConverseRequest>): Promise<void> {
+  private async readRequests(requests: AsyncIterable<ConverseRequest>): Promise<void> {
     try {
-      for await (const request of requests) this.take(request);
-      await this.running;
+      for await (const request of requests) this.handleRequest(request);
+      await this.runningBatch;
     } catch {
-      // The peer is gone or sends what can't be read; either way it gets no more here.
+      // The stream failed or the peer sent a malformed message. Either way the stream is closed.
     }
     this.close();
   }
 
-  private take({ hello, run }: ConverseRequest): void {
+  private handleRequest({ hello, run }: ConverseRequest): void {
     this.handlers.onHello(decodeHello(hello));
-    if (this.running !== undefined)
-      throw createMalformedError("a batch before the answer to the last");
-    this.running = this.run(requireField(run, "batch"))
+    if (this.runningBatch !== undefined)
+      throw createMalformedError("a batch before the response to the previous one");
+    this.runningBatch = this.run(requireField(run, "batch"))
       .catch(() => this.close())
-      .finally(() => (this.running = undefined));
+      .finally(() => (this.runningBatch = undefined));
   }
 
   private async run(run: Run): Promise<void> {
     const request = decodeRequest(requireField(run.request, "request"), this.clock.now());
-    if (run.opens && !this.open(request)) return;
+    if (run.opens && !this.openConversation(request)) return;
     const outcome = await this.runBatch(request, run.messages);
-    const isOver = outcome.type === "failed" || outcome.status === "I";
-    if (isOver) this.closeConversation();
+    const isConversationOver = outcome.type === "failed" || outcome.status === "I";
+    if (isConversationOver) this.closeConversation();
     const step = { case: "outcome", value: encodeOutcome(outcome) } as const;
     this.send({ answer: this.answer.takeRemaining(), step });
   }
 
-  /** Opens a conversation, or tells who else serves the group. */
-  private open({ traits: { group } }: Request): boolean {
+  /** Opens a conversation and returns true, or sends a redirect and returns false. */
+  private openConversation({ traits: { group } }: Request): boolean {
     this.closeConversation();
     const choice = this.handlers.chooseOwner(group);
     switch (choice.type) {
@@ -83,10 +83,15 @@
   }
 
   private async runBatch(request: Request, messages: Uint8Array): Promise<Outcome> {
-    if (this.conversation === undefined) return lostConversation;
-    // One for each batch: listeners to the stream's own would add up over its life.
-    this.abort = new AbortController();
-    return this.conversation.run(request, messages, this.answer.accept, this.abort.signal);
+    if (this.conversation === undefined) return conversationLost;
+    // Each batch has its own controller: listeners on the stream's signal would accumulate.
+    this.abortController = new AbortController();
+    return this.conversation.run(
+      request,
+      messages,
+      this.answer.accept,
+      this.abortController.signal,
+    );
   }
 
   private send(response: MessageInitShape<typeof ConverseResponseSchema>): void {
@@ -99,10 +104,10 @@
     this.conversation = undefined;
   }
 
-  /** The peer is gone: whatever is not sent yet has no reader. */
-  private abandon(): void {
+  /** Handles the end of the connection or a cancelled call: unsent responses have no reader. */
+  private handleAbort(): void {
     this.responses.discard();
-    this.abort?.abort(new Error("the peer gave the request up"));
+    this.abortController?.abort(new Error("the peer cancelled the request"));
     this.close();
   }
 
@@ -113,8 +118,8 @@
   }
 }
 
-/** A batch of a transaction that is rolled back already. */
-const lostConversation: Outcome = {
+/** The outcome of a batch whose transaction has already been rolled back. */
+const conversationLost: Outcome = {
   type: "failed",
   verdict: { type: "notRun", reason: "superseded", retryAfterMs: 0 },
   message: "the transaction has ended at the group's owner",
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -16,19 +16,19 @@
 import { createPeerService } from "./service.js";
 import { maxSessionMemory } from "./session.js";
 
-/** What a `PeerServer` is built from. */
+/** Options of a `PeerServer`. */
 export interface PeerServerOptions {
-  /** Port 0 takes a free one. */
+  /** Port 0 selects a free port. */
   readonly address: Address;
   readonly handlers: PeerHandlers;
   readonly clock: Clock;
   readonly logger?: Logger;
   readonly keepalive?: KeepaliveOptions;
-  /** Certificates for mutual TLS, and the name that a peer's must carry. Absent where TLS is off. */
+  /** TLS options, and the name that a peer's certificate must have. Undefined without TLS. */
   readonly secure?: SecureServerOptions & { readonly peerName: string };
 }
 
-const drainStepMs = 20;
+const drainPollMs = 20;
 
 /** Serves this process's peers over HTTP/2. */
 export class PeerServer implements Disposable {
@@ -43,15 +43,15 @@
     this.server =
       secure === undefined
         ? createServer({ maxSessionMemory }, handle)
-        : createSecureServer({ ...secure, ...mutual, maxSessionMemory }, handle);
-    this.server.on("session", (session) => this.keep(session));
+        : createSecureServer({ ...secure, ...mutualTls, maxSessionMemory }, handle);
+    this.server.on("session", (session) => this.trackSession(session));
     this.server.on("sessionError", () => undefined);
     this.server.on("tlsClientError", (error: Error) =>
       logger.write(peerEvents.turnedAway, { reason: error.message }),
     );
   }
 
-  /** Begins to serve; answers with the port in use. Rejects when it is taken. */
+  /** Starts to serve and returns the address with the actual port. Rejects when the port is in use. */
   async listen(): Promise<Address> {
     const { host, port } = this.options.address;
     await new Promise<void>((resolve, reject) => {
@@ -63,7 +63,7 @@
     return address;
   }
 
-  /** Takes new certificates for connections to come. */
+  /** Uses new certificates for later connections; open ones keep theirs. */
   setSecureContext(secure: SecureContextOptions): void {
     if ("setSecureContext" in this.server) {
       (this.server as { setSecureContext(options: SecureContextOptions): void }).setSecureContext(
@@ -72,27 +72,27 @@
     }
   }
 
-  /** Accepts no more connections and lets streams finish, for at most `ms`. */
+  /** Accepts no more connections, and waits at most `ms` until open streams have finished. */
   async drain(ms: number): Promise<void> {
     if (this.server.listening) this.server.close();
     for (const session of this.sessions) session.close();
     const { clock } = this.options;
     const endAt = clock.now() + ms;
-    while (this.sessions.size > 0 && clock.now() < endAt) await clock.sleep(drainStepMs);
+    while (this.sessions.size > 0 && clock.now() < endAt) await clock.sleep(drainPollMs);
     this.dispose();
   }
 
-  /** Ends everything at once. */
+  /** Destroys all connections immediately. */
   dispose(): void {
     if (this.server.listening) this.server.close();
     for (const session of this.sessions) session.destroy();
   }
 
-  private keep(session: ServerHttp2Session): void {
+  private trackSession(session: ServerHttp2Session): void {
     session.on("error", () => undefined);
-    const stranger = this.findStranger(session);
-    if (stranger !== undefined) {
-      this.logger.write(peerEvents.turnedAway, { reason: stranger.message });
+    const identityError = this.findIdentityError(session);
+    if (identityError !== undefined) {
+      this.logger.write(peerEvents.turnedAway, { reason: identityError.message });
       session.destroy();
       return;
     }
@@ -101,12 +101,15 @@
     session.on("close", () => this.sessions.delete(session));
   }
 
-  /** The authority may have signed for others than proxies: a peer's certificate carries the name. */
-  private findStranger({ socket }: ServerHttp2Session): Error | undefined {
+  /**
+   * Returns the error when a certificate does not have the peer name. The check of the authority
+   * does not suffice, since the authority may also sign certificates of other services.
+   */
+  private findIdentityError({ socket }: ServerHttp2Session): Error | undefined {
     const { secure } = this.options;
     if (secure === undefined || !(socket instanceof TLSSocket)) return undefined;
     return checkServerIdentity(secure.peerName, socket.getPeerCertificate());
   }
 }
 
-const mutual = { requestCert: true, rejectUnauthorized: true } as const;
+const mutualTls = { requestCert: true, rejectUnauthorized: true } as const;
--- a/src/peer/service.ts
+++ b/src/peer/service.ts
@@ -6,61 +6,61 @@
 import type { PeerHandlers } from "./handlers.js";
 import { ServedStream } from "./served-stream.js";
 
-/** Binds the service to what the process does for its peers. */
+/** Creates the implementation of the peer service. It converts messages and calls the handlers. */
 export function createPeerService(
   handlers: PeerHandlers,
   clock: Pick<Clock, "now">,
 ): ServiceImpl<typeof Peer> {
-  const greet = (message: Hello | undefined): void => handlers.onHello(decodeHello(message));
-  const reply = <T>(rest: T): T & { readonly hello: Hello } => ({
+  const receiveHello = (message: Hello | undefined): void => handlers.onHello(decodeHello(message));
+  const respond = <T>(rest: T): T & { readonly hello: Hello } => ({
     ...rest,
     hello: encodeHello(handlers.getHello()),
   });
   return {
     converse: (requests, { signal }) => new ServedStream(handlers, clock, signal).serve(requests),
     probe: ({ hello }) => {
-      greet(hello);
-      return reply({});
+      receiveHello(hello);
+      return respond({});
     },
     announce: ({ hello }) => {
-      greet(hello);
-      return reply({});
+      receiveHello(hello);
+      return respond({});
     },
     probeThrough: async ({ hello, vm, timeoutMs }) => {
-      greet(hello);
+      receiveHello(hello);
       const found = await handlers.probe(decodeVm(requireField(vm, "vm")), timeoutMs);
       return found.type === "answered"
-        ? reply({ result: { case: "answered", value: encodeHello(found.hello) } as const })
-        : reply({ result: { case: "silent", value: found.reason } as const });
+        ? respond({ result: { case: "answered", value: encodeHello(found.hello) } as const })
+        : respond({ result: { case: "silent", value: found.reason } as const });
     },
     checkTarget: async ({ hello, group, target, timeoutMs }) => {
-      greet(hello);
+      receiveHello(hello);
       const found = await handlers.checkTarget(group, target, timeoutMs);
       const result = encodeControlResult(found);
-      return reply({ result });
+      return respond({ result });
     },
     fetchConfiguration: async ({ hello, afterRevision }) => {
-      greet(hello);
+      receiveHello(hello);
       const found = await handlers.fetchConfiguration(afterRevision);
       switch (found.type) {
         case "found":
-          return reply({
+          return respond({
             result: { case: "foundJson", value: JSON.stringify(found.value) } as const,
           });
         case "absent":
-          return reply({ result: { case: "absent", value: true } as const });
+          return respond({ result: { case: "absent", value: true } as const });
         case "unavailable":
-          return reply({ result: { case: "unavailable", value: found.reason } as const });
+          return respond({ result: { case: "unavailable", value: found.reason } as const });
       }
     },
     pushConfiguration: async ({ hello, configurationJson }) => {
-      greet(hello);
+      receiveHello(hello);
       const revision = await handlers.pushConfiguration(JSON.parse(configurationJson) as Json);
-      return reply({ revision });
+      return respond({ revision });
     },
     report: ({ hello }) => {
-      greet(hello);
-      return reply({ statusJson: JSON.stringify(handlers.report()) });
+      receiveHello(hello);
+      return respond({ statusJson: JSON.stringify(handlers.report()) });
     },
   };
 }
--- a/src/peer/session.ts
+++ b/src/peer/session.ts
@@ -10,7 +10,7 @@
 import type { Clock } from "../model/index.js";
 import { startStallTolerantTimer } from "./stall-tolerant-timer.js";
 
-/** How one peer's connection is kept. Times in milliseconds. */
+/** Options of a `PeerSession`; see `PeerConnectionOptions`. Times are in milliseconds. */
 export interface PeerSessionOptions {
   readonly clock: Pick<Clock, "now">;
   readonly getSecureOptions?: (() => SecureClientSessionOptions) | undefined;
@@ -22,30 +22,31 @@
 
 interface Connection {
   readonly http: ClientHttp2Session;
-  readonly isOpen: Promise<void>;
-  /** When the peer last gave a sign of life. */
-  heardAt: number;
+  readonly opened: Promise<void>;
+  /** When the last response data or ping acknowledgement was received. */
+  lastReceivedAt: number;
   streams: number;
-  usedAt: number;
-  /** Set while a sign of life is asked for: stops the timer that ends the connection. */
-  stopWaiting?: () => void;
-  /** Shared by all that wait for a sign of life. */
-  verifying?: Promise<void>;
+  lastUsedAt: number;
+  /** Set while a ping is unanswered: cancels the timer that destroys the connection. */
+  cancelTimeout?: () => void;
+  /** Shared by all requests that wait for the same ping. */
+  pendingPing?: Promise<void>;
 }
 
-/** In megabytes, for all streams of one connection; Node's own 10 is meant for browsers. */
+/** In megabytes, for all streams of one connection. Node's default of 10 is meant for browsers. */
 export const maxSessionMemory = 256;
 
 const maxStreams = 100_000;
 
 /**
- * Opens the HTTP/2 connection to one peer when it is needed and replaces it when it breaks. A
- * connection can go silent for good while new ones work: a request on one would be stuck until its
- * caller gives up. So one that said nothing for `pingIntervalMs` is asked for a sign of life, before
- * a request and while one is under way; without it in `pingTimeoutMs` all on it fails.
+ * Opens the HTTP/2 connection to one peer on demand and replaces it when it fails. A connection can
+ * stop responding permanently while new ones work, and a request on it would hang until its caller's
+ * timeout. A connection on which nothing was received for `pingIntervalMs` is therefore pinged,
+ * before a request and while one is in progress; if the ping is unanswered for `pingTimeoutMs`, all
+ * requests on the connection fail.
  *
- * connect-node's own manager does the same, but takes its error listener off before the connection
- * has reported its end, and the process then dies of an unhandled error.
+ * connect-node's own session manager does the same, but removes its error listener before the
+ * connection has reported its end, and the process then exits with an unhandled error.
  */
 export class PeerSession {
   private current: Connection | undefined;
@@ -55,13 +56,13 @@
     private readonly options: PeerSessionOptions,
   ) {}
 
-  /** Whether there is a connection that gives a sign of life, now or just before. */
+  /** Whether there is a connection that responded recently or responds to a ping now. */
   async isAlive(): Promise<boolean> {
     const { current } = this;
     return current !== undefined && isUsable(current) && (await this.verify(current));
   }
 
-  /** Opens a stream. Rejects with `ConnectError` when no connection could be had in time. */
+  /** Opens a stream. Rejects with `ConnectError` when no connection opens within `connectMs`. */
   async request(
     method: string,
     path: string,
@@ -73,27 +74,27 @@
       { ...headers, ":method": method, ":path": path },
       options,
     );
-    this.keep(connection, stream);
+    this.trackStream(connection, stream);
     return stream;
   }
 
   notifyResponseByteRead(stream: ClientHttp2Stream): void {
     const { current } = this;
-    if (current !== undefined && current.http === stream.session) this.hear(current);
+    if (current !== undefined && current.http === stream.session) this.recordActivity(current);
   }
 
-  /** Ends the connection with all that is under way on it. */
+  /** Destroys the connection and all its streams. */
   abort(): void {
     const connection = this.current;
     this.current = undefined;
     connection?.http.destroy();
   }
 
-  /** Closes the connection once what is under way has finished; `request` opens another. */
+  /** Closes the connection when its streams have finished; the next `request` opens another. */
   closeGracefully(): void {
     const connection = this.current;
     this.current = undefined;
-    // One that is still being opened may hang for minutes, and all that waits for it as long.
+    // A connection that is still opening may hang for minutes, and so would all requests that wait for it.
     if (connection?.http.connecting === true) connection.http.destroy();
     else connection?.http.close();
   }
@@ -101,13 +102,13 @@
   private async connect(): Promise<Connection> {
     const known = this.current;
     if (known !== undefined && isUsable(known)) {
-      await known.isOpen;
+      await known.opened;
       if (await this.verify(known)) return known;
     }
-    // Somebody else may have opened another meanwhile.
+    // Another request may have opened a connection in the meantime.
     if (this.current === undefined || !isUsable(this.current)) this.current = this.open();
     const { current } = this;
-    await current.isOpen;
+    await current.opened;
     return current;
   }
 
@@ -117,15 +118,24 @@
     const limits = { maxSessionMemory, peerMaxConcurrentStreams: maxStreams };
     const http = connect(this.authority, { ...secure, ...limits });
     const now = clock.now();
-    const isOpen = this.waitForOpen(http);
-    // Each request that waits for it hears of the failure by itself.
-    isOpen.catch(() => undefined);
-    const connection: Connection = { http, isOpen, heardAt: now, usedAt: now, streams: 0 };
-    const timer = setInterval(() => this.watch(connection), this.options.pingIntervalMs / 2);
+    const opened = this.waitForOpen(http);
+    // Avoids an unhandled rejection; each request that waits for `opened` handles the failure itself.
+    opened.catch(() => undefined);
+    const connection: Connection = {
+      http,
+      opened,
+      lastReceivedAt: now,
+      lastUsedAt: now,
+      streams: 0,
+    };
+    const timer = setInterval(
+      () => this.checkConnection(connection),
+      this.options.pingIntervalMs / 2,
+    );
     timer.unref();
     http.on("close", () => {
       clearInterval(timer);
-      connection.stopWaiting?.();
+      connection.cancelTimeout?.();
     });
     return connection;
   }
@@ -134,7 +144,7 @@
     return new Promise((resolve, reject) => {
       const fail = (reason: string): void => reject(new ConnectError(reason, Code.Unavailable));
       const stopTimer = startStallTolerantTimer(this.options.connectMs, () => {
-        fail("the connection did not open in time");
+        fail(`the connection did not open within ${this.options.connectMs} ms`);
         http.destroy();
       });
       http.on("connect", () => {
@@ -150,35 +160,35 @@
     });
   }
 
-  private keep(connection: Connection, stream: ClientHttp2Stream): void {
+  private trackStream(connection: Connection, stream: ClientHttp2Stream): void {
     const { http } = connection;
     connection.streams += 1;
     http.ref();
-    stream.on("response", () => this.hear(connection));
+    stream.on("response", () => this.recordActivity(connection));
     stream.on("close", () => {
       connection.streams -= 1;
-      connection.usedAt = this.options.clock.now();
+      connection.lastUsedAt = this.options.clock.now();
       if (connection.streams === 0) http.unref();
     });
   }
 
-  private hear(connection: Connection): void {
-    connection.heardAt = this.options.clock.now();
-    connection.stopWaiting?.();
-    delete connection.stopWaiting;
+  private recordActivity(connection: Connection): void {
+    connection.lastReceivedAt = this.options.clock.now();
+    connection.cancelTimeout?.();
+    delete connection.cancelTimeout;
   }
 
-  /** Whether a connection that was silent for a while is alive. */
+  /** Pings a connection that has not responded recently, and returns whether it is usable. */
   private async verify(connection: Connection): Promise<boolean> {
     const { clock, pingIntervalMs } = this.options;
-    if (clock.now() - connection.heardAt < pingIntervalMs) return isUsable(connection);
-    connection.verifying ??= this.waitForSign(connection);
-    await connection.verifying;
+    if (clock.now() - connection.lastReceivedAt < pingIntervalMs) return isUsable(connection);
+    connection.pendingPing ??= this.waitForPing(connection);
+    await connection.pendingPing;
     return isUsable(connection);
   }
 
-  /** One ping and one listener for all requests at once: each its own would pile up by the dozen. */
-  private async waitForSign(connection: Connection): Promise<void> {
+  /** Sends one ping with one listener for all waiting requests; one for each would add dozens of listeners. */
+  private async waitForPing(connection: Connection): Promise<void> {
     const { http } = connection;
     try {
       await new Promise<void>((resolve) => {
@@ -190,32 +200,39 @@
         this.ping(connection, finish);
       });
     } finally {
-      delete connection.verifying;
+      delete connection.pendingPing;
     }
   }
 
-  private watch(connection: Connection): void {
+  private checkConnection(connection: Connection): void {
     const { clock, pingIntervalMs, idleMs } = this.options;
     const now = clock.now();
-    const { streams, usedAt, heardAt, http } = connection;
-    if (streams === 0 && now - usedAt > idleMs) http.close();
-    if (streams > 0 && now - heardAt >= pingIntervalMs) this.ping(connection, () => undefined);
+    const { streams, lastUsedAt, lastReceivedAt, http } = connection;
+    if (streams === 0 && now - lastUsedAt > idleMs) http.close();
+    if (streams > 0 && now - lastReceivedAt >= pingIntervalMs)
+      this.ping(connection, () => undefined);
   }
 
-  private ping(connection: Connection, onHeard: () => void): void {
+  private ping(connection: Connection, onPong: () => void): void {
     const { http } = connection;
-    connection.stopWaiting ??= startStallTolerantTimer(this.options.pingTimeoutMs, () =>
-      http.destroy(new ConnectError("the peer is silent", Code.Unavailable), cancelled),
+    connection.cancelTimeout ??= startStallTolerantTimer(this.options.pingTimeoutMs, () =>
+      http.destroy(
+        new ConnectError(
+          `the peer did not respond within ${this.options.pingTimeoutMs} ms`,
+          Code.Unavailable,
+        ),
+        cancelCode,
+      ),
     );
     http.ping((error) => {
       if (error !== null) return;
-      this.hear(connection);
-      onHeard();
+      this.recordActivity(connection);
+      onPong();
     });
   }
 }
 
-const cancelled = constants.NGHTTP2_CANCEL;
+const cancelCode = constants.NGHTTP2_CANCEL;
 
 function isUsable({ http }: Connection): boolean {
   return !http.closed && !http.destroyed;
--- a/src/peer/stall-tolerant-timer.ts
+++ b/src/peer/stall-tolerant-timer.ts
@@ -1,17 +1,18 @@
-const steps = 4;
+const stepCount = 4;
 
 /**
- * Calls `handle` after `ms` in which the process ran. A process that stood still for a while (paused,
- * or starved of processor time) finds its timers due before it reads what has come meanwhile; in
- * steps, a pause counts for one of them and not for the whole. Answers with what cancels it.
+ * Calls `handle` after `ms` of time in which the process ran, and returns a function that cancels it.
+ * After a stall (a paused process, or one without processor time) the event loop runs due timers
+ * before it reads the data that arrived meanwhile, so a plain timeout would report a live peer as
+ * silent. The timeout is divided into steps, and a stall uses up one of them instead of the whole.
  */
 export function startStallTolerantTimer(ms: number, handle: () => void): () => void {
-  let left = steps;
-  const step = (): void => {
-    left -= 1;
-    if (left === 0) handle();
-    else timer = setTimeout(step, ms / steps);
+  let remainingSteps = stepCount;
+  const runStep = (): void => {
+    remainingSteps -= 1;
+    if (remainingSteps === 0) handle();
+    else timer = setTimeout(runStep, ms / stepCount);
   };
-  let timer = setTimeout(step, ms / steps);
+  let timer = setTimeout(runStep, ms / stepCount);
   return () => clearTimeout(timer);
 }
--- a/src/peer/stream-pool.ts
+++ b/src/peer/stream-pool.ts
@@ -3,45 +3,45 @@
 import type { PeerConnection, PeerConnections } from "./connections.js";
 
 const maxIdleStreams = 64;
-const idleMs = 5000;
+const maxIdleMs = 5000;
 
 /**
- * Keeps streams that have answered, for the next conversation: opening one costs several times as
- * much as a request. A stream is used again only while its connection gives signs of life, since a
- * batch sent into a silent one would end as "may have run".
+ * Keeps idle streams for later conversations, because opening a stream costs several times as much as
+ * a request. A stream is reused only if its connection responds: a batch sent on an unresponsive
+ * connection would end as "may have run".
  */
 export class StreamPool {
-  private readonly idle = new WeakMap<PeerConnection, ClientStream[]>();
+  private readonly idleStreams = new WeakMap<PeerConnection, ClientStream[]>();
 
   constructor(
-    private readonly links: PeerConnections,
+    private readonly connections: PeerConnections,
     private readonly options: StreamOptions,
   ) {}
 
-  /** A stream to a VM that no conversation uses. */
+  /** Returns a stream to a VM that no other conversation uses, either an idle or a new one. */
   async acquire(vm: Vm): Promise<ClientStream> {
-    const link = this.links.get(vm.peer);
-    const streams = this.idle.get(link) ?? [];
+    const connection = this.connections.get(vm.peer);
+    const streams = this.idleStreams.get(connection) ?? [];
     for (let stream = streams.pop(); stream !== undefined; stream = streams.pop()) {
       stream.stopIdleTimer();
-      if (stream.isUsable && (await link.session.isAlive())) return stream;
+      if (stream.isUsable && (await connection.session.isAlive())) return stream;
       stream.finish();
     }
-    return new ClientStream(link, this.options);
+    return new ClientStream(connection, this.options);
   }
 
-  /** Takes a stream back whose conversation is over. */
+  /** Takes back a stream after its conversation; finishes it if it is unusable or the pool is full. */
   release(stream: ClientStream): void {
-    const streams = this.idle.get(stream.connection) ?? [];
+    const streams = this.idleStreams.get(stream.connection) ?? [];
     if (!stream.isUsable || streams.length >= maxIdleStreams) {
       stream.finish();
       return;
     }
-    this.idle.set(stream.connection, streams);
+    this.idleStreams.set(stream.connection, streams);
     streams.push(stream);
-    stream.startIdleTimer(idleMs, () => {
-      const at = streams.indexOf(stream);
-      if (at >= 0) streams.splice(at, 1);
+    stream.startIdleTimer(maxIdleMs, () => {
+      const index = streams.indexOf(stream);
+      if (index >= 0) streams.splice(index, 1);
     });
   }
 }
--- a/test/peer/calls.test.ts
+++ b/test/peer/calls.test.ts
@@ -10,26 +10,30 @@
 afterEach(() => running?.stop());
 
 async function start(rest: Partial<PeerHandlers> = {}) {
-  const heard: PeerHello[] = [];
-  const onHello = (hello: PeerHello) => void heard.push(hello);
+  const receivedHellos: PeerHello[] = [];
+  const onHello = (hello: PeerHello) => void receivedHellos.push(hello);
   const peer = await startPeer(makeHandlers(new FakeGroup(), { onHello, ...rest }));
   running = peer;
   const getHello = () => makeHello("asker");
-  return { ...peer, heard, client: new ConnectPeerClient({ connections: peer.links, getHello }) };
+  return {
+    ...peer,
+    receivedHellos,
+    client: new ConnectPeerClient({ connections: peer.links, getHello }),
+  };
 }
 
 const timeoutMs = 1000;
 
-test("a probe tells each end of the other", async () => {
-  const { client, vm, heard } = await start();
+test("a probe exchanges the hellos of both processes", async () => {
+  const { client, vm, receivedHellos } = await start();
   const found = await client.probe(vm, makeHello("asker"), timeoutMs);
   expect(found).toEqual({ type: "answered", hello: makeHello("owner") });
   const leaving = { ...makeHello("asker"), state: "leaving" } as const;
   await client.announce(vm, leaving, timeoutMs);
-  expect(heard).toEqual([makeHello("asker"), leaving]);
+  expect(receivedHellos).toEqual([makeHello("asker"), leaving]);
 });
 
-test("a probe through another tells what that one found", async () => {
+test("an indirect probe returns the result of the intermediate peer", async () => {
   const found = { type: "answered", hello: makeHello("third") } as const;
   const { client, vm } = await start({ probe: () => Promise.resolve(found) });
   const hello = makeHello("asker");
@@ -53,12 +57,15 @@
   },
 ];
 
-test.each(results)("a check of a target that is $type survives the trip", async (result) => {
-  const { client, vm } = await start({ checkTarget: () => Promise.resolve(result) });
-  expect(await client.checkTarget(vm, "g", "t1", timeoutMs)).toEqual(result);
-});
+test.each(results)(
+  "the result of a target check that is $type is transferred unchanged",
+  async (result) => {
+    const { client, vm } = await start({ checkTarget: () => Promise.resolve(result) });
+    expect(await client.checkTarget(vm, "g", "t1", timeoutMs)).toEqual(result);
+  },
+);
 
-test("configurations and reports travel as they are", async () => {
+test("configurations and reports are transferred unchanged", async () => {
   const value = { revision: 7, rules: [{ name: "é" }] };
   const { client, vm } = await start({
     fetchConfiguration: (after) =>
@@ -72,10 +79,10 @@
   expect(await client.fetchReport(vm, timeoutMs)).toEqual({ type: "found", value });
 });
 
-// The connection to a peer goes silent while the peer is well and new connections work.
-// The first probe times out; the second must not be asked on the same connection, or a live VM
-// would be taken for dead.
-test("after a call that timed out the next takes a new connection", async () => {
+// The connection to a peer stops responding while the peer is healthy and new connections work.
+// The first probe times out; the second must not use the same connection, or a live VM would be
+// declared dead.
+test("after a call that timed out the next uses a new connection", async () => {
   const { client, vm, relay } = await start();
   const hello = makeHello("asker");
   expect((await client.probe(vm, hello, timeoutMs)).type).toBe("answered");
@@ -84,7 +91,7 @@
   expect((await client.probe(vm, hello, timeoutMs)).type).toBe("answered");
 });
 
-test("a call to nobody resolves", async () => {
+test("a call to an unreachable peer resolves with a failure", async () => {
   const { client, vm, server, relay } = await start();
   server.dispose();
   relay.dispose();
--- a/test/peer/converse.test.ts
+++ b/test/peer/converse.test.ts
@@ -19,9 +19,9 @@
   return peer;
 }
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
-async function run(conversation: Conversation, text = "insert", signal = never) {
+async function run(conversation: Conversation, text = "insert", signal = neverAborted) {
   const received: Buffer[] = [];
   const outcome = await conversation.run(
     request,
@@ -32,19 +32,19 @@
   return { outcome, types: received.map((m) => String.fromCharCode(m[0] ?? 0)).join(""), received };
 }
 
-const silentOnce = (): ((text: string) => Reply) => {
+const unansweredOnce = (): ((text: string) => Reply) => {
   let asked = 0;
   return () => (asked++ === 0 ? { wait: new Promise(() => undefined) } : {});
 };
 
-function standStill(ms: number): void {
+function stallProcess(ms: number): void {
   const until = clock.now() + ms;
   while (clock.now() < until);
 }
 
 const notRun = { type: "notRun", reason: "noOwner", retryAfterMs: 500 };
 
-test("a request, its answer and its outcome survive the trip", async () => {
+test("a request, its answer and its outcome are transferred unchanged", async () => {
   const group = new FakeGroup(() => ({ rows: ["a", "b"], mark: mark(9) }));
   const { gateway } = await start(group);
   const { outcome, types } = await run(gateway.open("g"));
@@ -55,10 +55,13 @@
   expect(arrived).toEqual({ ...request, deadlineAt: arrived?.deadlineAt });
 });
 
-test.each([failed("notRun"), failed("mayHaveRun")])("an outcome %# survives", async (sent) => {
-  const { gateway } = await start(new FakeGroup(() => ({ outcome: sent })));
-  expect((await run(gateway.open("g"))).outcome).toEqual(sent);
-});
+test.each([failed("notRun"), failed("mayHaveRun")])(
+  "outcome %# is transferred unchanged",
+  async (sent) => {
+    const { gateway } = await start(new FakeGroup(() => ({ outcome: sent })));
+    expect((await run(gateway.open("g"))).outcome).toEqual(sent);
+  },
+);
 
 test("a transaction stays in one conversation, and closing it rolls back", async () => {
   const group = new FakeGroup(() => ({ status: "T" }));
@@ -71,9 +74,9 @@
   await waitUntil(() => group.closed > 0);
 });
 
-// One caller reads none of its 40 MB. Its target must wait, or the owner would keep it all in
-// memory; and other answers share the connection, so they must pass it by.
-test("an answer that is not read holds back its target and nobody else", async () => {
+// One caller does not read its answer of 40 MB. Its target must wait, or the owner would buffer it all
+// in memory. Other answers share the connection and must not be blocked.
+test("an answer that is not read slows only its own target", async () => {
   const row = encodeMessage(0x44, Buffer.alloc(100_000));
   let rows = 0;
   const group = new FakeGroup();
@@ -92,7 +95,9 @@
     await gate;
     bytes += message.length;
   };
-  const slow = gateway.open("g").run(request, pgProtocol.serialize.query("large"), take, never);
+  const slow = gateway
+    .open("g")
+    .run(request, pgProtocol.serialize.query("large"), take, neverAborted);
   await waitUntil(() => rows > 0);
   for (let i = 0; i < 20; i++) {
     expect((await run(gateway.open("g"))).outcome.type).toBe("answered");
@@ -103,8 +108,8 @@
   expect(bytes).toBe(400 * row.length);
 });
 
-test("a request given up here is given up at the owner", async () => {
-  const group = new FakeGroup(silentOnce());
+test("a request that the caller cancels is cancelled at the owner", async () => {
+  const group = new FakeGroup(unansweredOnce());
   const { gateway } = await start(group);
   const abort = new AbortController();
   const pending = run(gateway.open("g"), "select", abort.signal);
@@ -114,34 +119,37 @@
   await waitUntil(() => group.aborted > 0);
 });
 
-test("no owner known, and none there, are not run with a time to come back", async () => {
+test("with an unknown or unreachable owner a request has not run and may be retried after a time", async () => {
   const { gateway, server, links } = await start(new FakeGroup());
   const options = { connections: links, clock, getHello: () => makeHello("asker") };
-  const lonely = new RemoteGateway({ ...options, findOwner: () => undefined });
-  expect((await run(lonely.open("g"))).outcome).toMatchObject({ verdict: notRun });
+  const withoutOwner = new RemoteGateway({ ...options, findOwner: () => undefined });
+  expect((await run(withoutOwner.open("g"))).outcome).toMatchObject({ verdict: notRun });
   server.dispose();
   const closed = makeVm("gone", { host: "127.0.0.1", port: 1 });
-  const late = new RemoteGateway({ ...options, findOwner: () => closed });
-  expect((await run(late.open("g"))).outcome).toMatchObject({ verdict: notRun });
+  const withUnreachableOwner = new RemoteGateway({ ...options, findOwner: () => closed });
+  expect((await run(withUnreachableOwner.open("g"))).outcome).toMatchObject({ verdict: notRun });
   expect((await run(gateway.open("g"))).outcome.type).toBe("failed");
 });
 
-// The owner takes the write, then the connection is cut, or goes silent with no sign of its end.
-// Nobody here can know whether the write landed, so the caller must hear "may have run"; the next
-// request takes a new connection and runs.
-test.each(["cut", "silence"] as const)("a %s under way may have run", async (fault) => {
-  const group = new FakeGroup(silentOnce());
-  const { gateway, relay } = await start(group);
-  const pending = run(gateway.open("g"));
-  await waitUntil(() => group.requests.length > 0);
-  relay[fault]();
-  expect((await pending).outcome).toMatchObject({ verdict: { type: "mayHaveRun" } });
-  expect((await run(gateway.open("g"))).outcome.type).toBe("answered");
-});
+// The owner receives the write, then the connection is cut, or stops responding without being closed.
+// Whether the write was committed is unknown, so the outcome must be "may have run". The next request
+// uses a new connection and runs.
+test.each(["cut", "silence"] as const)(
+  "a request may have run after a %s of its connection",
+  async (fault) => {
+    const group = new FakeGroup(unansweredOnce());
+    const { gateway, relay } = await start(group);
+    const pending = run(gateway.open("g"));
+    await waitUntil(() => group.requests.length > 0);
+    relay[fault]();
+    expect((await pending).outcome).toMatchObject({ verdict: { type: "mayHaveRun" } });
+    expect((await run(gateway.open("g"))).outcome.type).toBe("answered");
+  },
+);
 
-// The connection goes silent while nothing is under way. The next write must not be sent into it:
-// its caller would hear "may have run" of a write that never left.
-test("a connection that went silent while idle is replaced before use", async () => {
+// The connection stops responding while no request is in progress. The next write must not be sent on
+// it: its caller would get "may have run" for a write that never left the process.
+test("a connection that stopped responding while idle is replaced before use", async () => {
   const group = new FakeGroup();
   const { gateway, relay } = await start(group);
   await run(gateway.open("g"));
@@ -151,9 +159,9 @@
   expect(group.requests).toHaveLength(2);
 });
 
-// This process stands still for longer than a silent connection is borne with. The owner's sign of
-// life has come and waits to be read; the request under way must not be given up.
-test("a pause of the asking process breaks no connection", async () => {
+// The calling process stalls for longer than the ping timeout. The owner's ping acknowledgement has
+// arrived and is not read yet; the request in progress must not fail.
+test("a stall of the calling process fails no connection", async () => {
   let open = (): void => undefined;
   const wait = new Promise<void>((resolve) => (open = resolve));
   const group = new FakeGroup(() => ({ wait }));
@@ -161,20 +169,20 @@
   const pending = run(gateway.open("g"));
   await waitUntil(() => group.requests.length > 0);
   for (let i = 0; i < 5; i++) {
-    standStill(100);
-    // The connection, silent for so long, is asked for a sign of life now.
+    stallProcess(100);
+    // Nothing was received on the connection for a while, so it is pinged now.
     await new Promise(setImmediate);
-    standStill(100);
+    stallProcess(100);
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
   open();
   expect((await pending).outcome.type).toBe("answered");
 });
 
-// The connection goes silent in the middle of a transaction, and the asking process gives it up without
-// the owner hearing of it. The transaction must end there too: it holds its target's connection, and a
-// drain of the owner would wait for it in vain.
-test("a transaction whose peer has gone silent ends at the owner", async () => {
+// The connection stops responding during a transaction, and the calling process abandons it without
+// the owner being notified. The owner must end the transaction too: it holds its target's connection,
+// and a drain of the owner would wait for it until the drain's limit.
+test("a transaction whose peer stops responding ends at the owner", async () => {
   const group = new FakeGroup(() => ({ status: "T" }));
   const { gateway, relay } = await start(group);
   await run(gateway.open("g"), "begin");
@@ -182,9 +190,9 @@
   await waitUntil(() => group.closed > 0);
 });
 
-// The owner dies between two statements of a transaction. Its target's connection is closed with
-// it, so nothing of the transaction lands and the second statement has not run.
-test("a transaction whose owner is lost between statements has not run", async () => {
+// The owner fails between two statements of a transaction. Its connection to the target is closed with
+// it, so the transaction is rolled back and the second statement has not run.
+test("a transaction whose owner fails between statements has not run", async () => {
   const { gateway, relay } = await start(new FakeGroup(() => ({ status: "T" })));
   const conversation = gateway.open("g");
   await run(conversation, "begin");
@@ -193,7 +201,7 @@
   expect((await run(conversation, "update")).outcome).toMatchObject({ verdict: notRun });
 });
 
-test("a redirect is followed once, and two that point at each other end", async () => {
+test("a redirect is followed once, and a second one is not", async () => {
   const group = new FakeGroup();
   const owner = await start(group);
   const elsewhere = (to: Vm) => ({
@@ -201,13 +209,13 @@
   });
   const moved = await start(group, elsewhere(owner.vm));
   expect((await run(moved.gateway.open("g"))).outcome.type).toBe("answered");
-  const twice = await start(group, elsewhere(moved.vm));
-  const result: Outcome = (await run(twice.gateway.open("g"))).outcome;
+  const redirectedTwice = await start(group, elsewhere(moved.vm));
+  const result: Outcome = (await run(redirectedTwice.gateway.open("g"))).outcome;
   expect(result).toMatchObject({ verdict: notRun });
   expect(group.requests).toHaveLength(1);
 });
 
-test("an answer cut inside a message is never handed on", async () => {
+test("an answer that ends inside a message is not forwarded", async () => {
   const whole = encodeMessage(0x44, Buffer.alloc(10));
   const { gateway } = await start(new FakeGroup(() => ({ raw: whole.subarray(0, 9) })));
   const { outcome, received } = await run(gateway.open("g"));
--- a/test/peer/fake.ts
+++ b/test/peer/fake.ts
@@ -49,7 +49,7 @@
   deadlineAt: clock.now() + 60_000,
 };
 
-/** Handlers of a process that owns every group and knows nothing else. */
+/** Builds handlers of a process that owns every group and knows no other VM, target or configuration. */
 export function makeHandlers(
   gateway: GroupGateway,
   rest: Partial<PeerHandlers> = {},
@@ -67,7 +67,7 @@
   };
 }
 
-/** A TCP relay whose connections can be cut, or go silent for good while new ones work. */
+/** A TCP relay whose open connections can be cut, or stop transferring data while new ones work. */
 export class Relay {
   private readonly pairs = new Set<readonly [Socket, Socket]>();
   private readonly server: Server;
@@ -118,7 +118,7 @@
   }
 }
 
-/** A server with handlers, behind a relay, and a gateway that reaches it. */
+/** Starts a server behind a relay, with a gateway that connects through the relay. */
 export async function startPeer(handlers: PeerHandlers) {
   const address = { host: "127.0.0.1", port: 0 };
   const keepalive = { intervalMs: 100, timeoutMs: 100 };
