--- a/src/tls/certificate-store.ts
+++ b/src/tls/certificate-store.ts
@@ -6,21 +6,21 @@
 import { type Logger, silentLogger } from "../log/index.js";
 import type { Clock, Disposable } from "../model/index.js";
 
-/** Where certificates lie. */
+/** Paths of the files. */
 export interface CertificateFiles {
-  /** The certificate and those between it and the authority, PEM. */
+  /** The certificate, followed by the intermediate certificates, in PEM. */
   readonly certificate: string;
   readonly key: string;
-  /** The authorities that peers' certificates must come from, PEM; not needed for callers. */
+  /** The authorities that must have signed peers' certificates, in PEM; not needed for callers. */
   readonly authority?: string;
 }
 
-/** What a `CertificateStore` is built from. */
+/** Options of a `CertificateStore`. */
 export interface CertificateStoreOptions {
   readonly files: CertificateFiles;
   readonly clock: Clock;
   readonly logger?: Logger;
-  /** How often the files are looked at, in milliseconds. */
+  /** How often the files are checked for changes, in milliseconds. */
   readonly checkIntervalMs?: number;
 }
 
@@ -30,22 +30,22 @@
   readonly ca?: string;
 }
 
-/** The name that certificates of proxies carry, since VMs and their addresses come and go. */
+/** The name in the certificates of all proxies. Host names do not serve, since VMs and addresses change. */
 export const peerServerName = "radishwalk-peer";
 
-const defaultCheckMs = 2000;
+const defaultCheckIntervalMs = 2000;
 const minVersion = "TLSv1.2";
 
 /**
- * Keeps certificates as the files have them. Files are compared by content: a tool that replaces
- * them may keep their times, and one that writes them one by one leaves a file empty, or a
- * certificate with another's key, for a moment. Such a pair is not taken over; the one before stays
- * in use until the next look.
+ * Holds the certificates of the files and reloads them when they change. Files are compared by
+ * content, since a tool that replaces them may preserve their modification times. While a tool writes
+ * the files one after another, a file can be empty, or the certificate and the key may not match. Such
+ * files are rejected, and the previous certificates stay in use until the next check.
  */
 export class CertificateStore implements Disposable {
-  private readonly stopped = new AbortController();
+  private readonly disposeController = new AbortController();
   private readonly handlers: (() => void)[] = [];
-  private seen = "";
+  private lastContent = "";
 
   private constructor(
     private readonly options: CertificateStoreOptions,
@@ -53,56 +53,56 @@
     private context: SecureContext,
   ) {}
 
-  /** Reads the files and begins to look after them. Rejects when they can't be used. */
+  /** Reads the files and starts to check them for changes. Rejects when they are unusable. */
   static async load(options: CertificateStoreOptions): Promise<CertificateStore> {
     const certificates = await readFiles(options.files);
     const store = new CertificateStore(options, certificates, createContext(certificates));
-    store.seen = JSON.stringify(certificates);
-    void store.watch();
+    store.lastContent = JSON.stringify(certificates);
+    void store.runChecks();
     return store;
   }
 
-  /** The context for callers' connections to come. */
+  /** Returns the context for new connections of callers. */
   readonly getSecureContext = (): SecureContext => this.context;
 
-  /** Options of a server for peers, and what to give it after a change. */
+  /** Returns the options of a server for peers; pass them to `setSecureContext` after a change. */
   getServerOptions(): SecureServerOptions & { readonly peerName: string } {
     return { ...this.certificates, minVersion, peerName: peerServerName };
   }
 
-  /** Options of a connection to a peer. */
+  /** Returns the options for a new connection to a peer. */
   readonly getClientOptions = (): SecureClientSessionOptions => ({
     ...this.certificates,
     minVersion,
     servername: peerServerName,
   });
 
-  /** Calls `handle` after each change. */
+  /** Calls `handle` after each reload. */
   subscribe(handle: () => void): void {
     this.handlers.push(handle);
   }
 
   dispose(): void {
-    this.stopped.abort();
+    this.disposeController.abort();
   }
 
-  private async watch(): Promise<void> {
-    const { clock, checkIntervalMs: checkMs = defaultCheckMs } = this.options;
-    const { signal } = this.stopped;
+  private async runChecks(): Promise<void> {
+    const { clock, checkIntervalMs = defaultCheckIntervalMs } = this.options;
+    const { signal } = this.disposeController;
     for (;;) {
-      await clock.sleep(checkMs, signal).catch(() => undefined);
+      await clock.sleep(checkIntervalMs, signal).catch(() => undefined);
       if (signal.aborted) return;
-      await this.check();
+      await this.reloadIfChanged();
     }
   }
 
-  private async check(): Promise<void> {
+  private async reloadIfChanged(): Promise<void> {
     const { files, logger = silentLogger } = this.options;
     try {
       const certificates = await readFiles(files);
       const content = JSON.stringify(certificates);
-      if (content === this.seen) return;
-      this.seen = content;
+      if (content === this.lastContent) return;
+      this.lastContent = content;
       this.context = createContext(certificates);
       this.certificates = certificates;
       logger.write(peerEvents.certificatesRead, { ...files });
@@ -121,8 +121,8 @@
 
 function createContext(certificates: Certificates): SecureContext {
   const { cert, key, ca } = certificates;
-  // An empty text, as of a file that is just being written, counts as none given: a server would
-  // begin handshakes that it can't end, or take the public authorities for its own.
+  // Node treats an empty string, such as from a file that is being written, as an absent option: a
+  // server would fail every handshake, or would trust the public authorities. These calls reject it.
   new X509Certificate(cert);
   createPrivateKey(key);
   if (ca !== undefined) new X509Certificate(ca);
--- a/test/tls/tls.test.ts
+++ b/test/tls/tls.test.ts
@@ -44,7 +44,7 @@
   return owned.add(await CertificateStore.load({ files, clock, checkIntervalMs: 10 }));
 }
 
-const nextChange = (store: CertificateStore) =>
+const waitForReload = (store: CertificateStore) =>
   new Promise<void>((resolve) => store.subscribe(resolve));
 
 async function startCallers(store: CertificateStore) {
@@ -66,18 +66,18 @@
   return certificate.subject.CN;
 }
 
-test("callers are served with TLS, and with a new certificate once it is there", async () => {
+test("callers are served with TLS, and with a new certificate after a change of the files", async () => {
   const store = await load();
   const { connect: connectCaller } = await startCallers(store);
   expect(await readName(connectCaller)).toBe("peer");
-  const changed = nextChange(store);
+  const changed = waitForReload(store);
   await install("renewed");
   await changed;
   expect(await readName(connectCaller)).toBe("renewed");
   await expect(connectCaller()).rejects.toMatchObject({ code: "28000" });
 });
 
-test("nonsense in place of a handshake harms nobody", async () => {
+test("invalid bytes instead of a handshake close only their own connection", async () => {
   const { address, connect: connectCaller } = await startCallers(await load());
   const socket = connect(address.port, address.host);
   socket.on("error", () => undefined);
@@ -88,29 +88,29 @@
   expect(await readName(connectCaller)).toBe("peer");
 });
 
-// A tool writes the new certificate and is stopped before the key, or has just emptied a file.
-// Nothing may be served with a pair that does not fit, and nobody may be turned away: the pair
-// before stays in use until the next is whole.
+// A tool has written the new certificate and not yet the key, or has just truncated a file. A key that
+// does not match its certificate must not be used, and no connection may be refused: the previous pair
+// stays in use until the new one is complete.
 test.each([
   ["a certificate with another's key", () => copyFile(pem("renewed.pem"), files.certificate)],
   ["an empty key", () => writeFile(files.key, "")],
   ["an empty certificate", () => writeFile(files.certificate, "")],
   ["an empty authority", () => writeFile(files.authority, "")],
-])("%s is not taken over", async (_, damage) => {
+])("%s is rejected", async (_, damageFiles) => {
   const store = await load();
   const { connect: connectCaller } = await startCallers(store);
   const before = store.getServerOptions();
-  await damage();
+  await damageFiles();
   await new Promise((resolve) => setTimeout(resolve, 60));
   expect(store.getServerOptions()).toEqual(before);
   expect(await readName(connectCaller)).toBe("peer");
-  const changed = nextChange(store);
+  const changed = waitForReload(store);
   await install("renewed");
   await changed;
   expect(await readName(connectCaller)).toBe("renewed");
 });
 
-test("files that can't be used are refused at the start", async () => {
+test("loading unusable files fails", async () => {
   await writeFile(files.certificate, "none");
   await writeFile(files.key, "none");
   await expect(CertificateStore.load({ files, clock })).rejects.toThrow();
@@ -132,7 +132,7 @@
   return (await asker.probe(vm, makeHello("asker"), 2000)).type;
 }
 
-test("processes of the fleet speak to each other with TLS", async () => {
+test("proxies connect to each other with TLS", async () => {
   const store = await load();
   expect(await probe(store, store)).toBe("answered");
 });
@@ -141,12 +141,12 @@
   ["without TLS", undefined],
   ["with a certificate for something else", "other"],
   ["with a certificate of another authority", "stranger"],
-])("a process %s is turned away", async (_, name) => {
+])("a process %s is refused", async (_, name) => {
   const server = await load();
   expect(await probe(server, name === undefined ? undefined : await load(name))).toBe("silent");
 });
 
-test("a server without the name of a proxy is not spoken to", async () => {
+test("a client refuses a server whose certificate has another name", async () => {
   const client = await load();
   expect(await probe(await load("other"), client)).toBe("silent");
 });
