--- a/src/load/ledger.ts
+++ b/src/load/ledger.ts
@@ -1,4 +1,4 @@
-/** A broken promise that the load tool saw. */
+/** A violation of a consistency guarantee that the load tool detected. */
 export interface Violation {
   readonly invariant: "readYourWrites" | "atMostOnce";
   readonly session: string;
@@ -6,31 +6,33 @@
 }
 
 /**
- * What one session knows of its own reservations. The count it reads must hold all that landed and
- * no more than those that may have: less is a write not seen or lost, more is one that ran twice,
- * or ran after a promise that it had not.
+ * Counts the reservations of one session by outcome. A count that the session reads must include all
+ * committed ones, and no more than these and the uncertain ones. A lower count shows a write that is
+ * lost or not visible. A higher count shows one that ran twice, or that ran although it was reported
+ * as not run.
  */
 export class SessionLedger {
-  private landed = 0;
-  private open = 0;
+  private committed = 0;
+  private uncertain = 0;
 
   constructor(readonly session: string) {}
 
+  /** Records a reservation that was committed. */
   recordCommitted(): void {
-    this.landed += 1;
+    this.committed += 1;
   }
 
-  /** Its outcome stays unknown. */
+  /** Records a reservation whose outcome is unknown. */
   recordUncertain(): void {
-    this.open += 1;
+    this.uncertain += 1;
   }
 
   /** Checks a count that the session read. */
   checkCount(count: number): Violation | undefined {
-    const { session, landed, open } = this;
-    const detail = `read ${count}, ${landed} landed, ${open} may have`;
-    if (count < landed) return { invariant: "readYourWrites", session, detail };
-    if (count > landed + open) return { invariant: "atMostOnce", session, detail };
+    const { session, committed, uncertain } = this;
+    const detail = `read ${count}, ${committed} landed, ${uncertain} may have`;
+    if (count < committed) return { invariant: "readYourWrites", session, detail };
+    if (count > committed + uncertain) return { invariant: "atMostOnce", session, detail };
     return undefined;
   }
 }
--- a/src/load/outcome.ts
+++ b/src/load/outcome.ts
@@ -1,19 +1,22 @@
-/** How a request ended, by what its caller may rely on. */
+/**
+ * How a request ended, as far as its caller can know. `landed` means that it was committed or, for a
+ * read, answered.
+ */
 export const outcomeTypes = ["landed", "notRun", "mayHaveRun", "failed"] as const;
 
-/** One of `answerClasses`. `failed` means an error of the statement itself. */
+/** One of `outcomeTypes`. `failed` means an error of the statement itself. */
 export type OutcomeType = (typeof outcomeTypes)[number];
 
-/** What one attempt brought. `state` is a SQLSTATE, or a word for a broken connection. */
+/** The result of one attempt. `errorCode` is a SQLSTATE, or a short text for a connection failure. */
 export type AttemptOutcome =
   | { readonly type: "landed"; readonly rows: readonly unknown[][]; readonly count: number }
   | { readonly type: Exclude<OutcomeType, "landed">; readonly errorCode: string };
 
 const serializationFailure = "40001";
 
-/** Classifies an error by its SQLSTATE; without one the connection broke and nothing is known. */
-export function classifySqlState(state: string | undefined): Exclude<OutcomeType, "landed"> {
-  if (state === undefined || state === "08007") return "mayHaveRun";
-  if (state.startsWith("53") || state.startsWith("57")) return "notRun";
-  return state === serializationFailure ? "notRun" : "failed";
+/** Classifies an error by its SQLSTATE. Without one the connection failed, and the result is unknown. */
+export function classifySqlState(sqlState: string | undefined): Exclude<OutcomeType, "landed"> {
+  if (sqlState === undefined || sqlState === "08007") return "mayHaveRun";
+  if (sqlState.startsWith("53") || sqlState.startsWith("57")) return "notRun";
+  return sqlState === serializationFailure ? "notRun" : "failed";
 }
--- a/src/load/population-runner.ts
+++ b/src/load/population-runner.ts
@@ -7,13 +7,13 @@
 import { runWork, workNames, type Caller, type WorkName } from "./work.js";
 
 interface Arrival {
-  readonly at: number;
+  readonly arrivedAt: number;
   readonly work: WorkName;
-  /** Whose count a browsing request reads. */
-  readonly peer: Caller | undefined;
+  /** The caller whose count a browsing request reads. */
+  readonly other: Caller | undefined;
 }
 
-/** When a run begins, counts and ends, on the clock of `performance.now`. */
+/** Times of a run, on the clock of `performance.now`; requests of the warm-up are not counted. */
 export interface RunSchedule {
   readonly startAt: number;
   readonly warmUpMs: number;
@@ -21,8 +21,8 @@
 }
 
 /**
- * The callers of one population. Requests arrive at their own times whether or not a caller is
- * free; one that finds none waits, and its latency counts from when it arrived.
+ * Runs the load of one population. Requests arrive at random times whether or not a caller is free
+ * (an open workload); one that finds no free caller waits, and its latency counts from its arrival.
  */
 export class PopulationRunner {
   readonly tallies: Readonly<Record<WorkName, Tally>>;
@@ -37,56 +37,56 @@
     private readonly onViolation: (violation: Violation) => void,
   ) {
     this.idle = [...callers];
-    const make = (work: WorkName) => new Tally(population.name, work);
+    const createTally = (work: WorkName) => new Tally(population.name, work);
     this.tallies = {
-      reservation: make("reservation"),
-      ownRead: make("ownRead"),
-      browse: make("browse"),
+      reservation: createTally("reservation"),
+      ownRead: createTally("ownRead"),
+      browse: createTally("browse"),
     };
   }
 
-  /** Requests that have arrived and not ended. */
+  /** Number of requests that have arrived and not ended. */
   get unfinishedCount(): number {
     return this.waiting.length + this.running;
   }
 
-  /** Lets requests arrive until the span is over; those in flight may go on. */
-  async run(span: RunSchedule): Promise<void> {
-    const endMs = span.warmUpMs + span.durationMs;
+  /** Generates arrivals until the schedule ends. Resolves then, while requests may still be in progress. */
+  async run(schedule: RunSchedule): Promise<void> {
+    const endMs = schedule.warmUpMs + schedule.durationMs;
     for (const at of generateArrivals(this.random, this.population.rate, endMs)) {
       const work = pickWeighted(this.random, this.population.work, workNames);
-      const peer = this.callers[Math.floor(this.random.draw() * this.callers.length)];
-      const ms = span.startAt + at - performance.now();
-      if (ms > 0) await sleep(ms);
-      this.waiting.push({ at: span.startAt + at, work, peer });
-      this.begin(span);
+      const other = this.callers[Math.floor(this.random.draw() * this.callers.length)];
+      const waitMs = schedule.startAt + at - performance.now();
+      if (waitMs > 0) await sleep(waitMs);
+      this.waiting.push({ arrivedAt: schedule.startAt + at, work, other });
+      this.startWaiting(schedule);
     }
   }
 
-  private begin(span: RunSchedule): void {
+  private startWaiting(schedule: RunSchedule): void {
     for (;;) {
       const caller = this.waiting.length > 0 ? this.idle.shift() : undefined;
       const arrival = caller === undefined ? undefined : this.waiting.shift();
       if (caller === undefined || arrival === undefined) return;
       this.running += 1;
-      void this.serve(caller, arrival, span);
+      void this.runRequest(caller, arrival, schedule);
     }
   }
 
-  private async serve(
+  private async runRequest(
     caller: Caller,
-    { at, work, peer }: Arrival,
-    span: RunSchedule,
+    { arrivedAt, work, other }: Arrival,
+    schedule: RunSchedule,
   ): Promise<void> {
     const sentAt = performance.now();
-    const result = await runWork(work, caller, peer ?? caller);
+    const result = await runWork(work, caller, other ?? caller);
     const now = performance.now();
-    if (at >= span.startAt + span.warmUpMs) {
-      this.tallies[work].record(result, now, now - at, now - sentAt);
+    if (arrivedAt >= schedule.startAt + schedule.warmUpMs) {
+      this.tallies[work].record(result, now, now - arrivedAt, now - sentAt);
     }
     if (result.violation !== undefined) this.onViolation(result.violation);
     this.running -= 1;
     this.idle.push(caller);
-    this.begin(span);
+    this.startWaiting(schedule);
   }
 }
--- a/src/load/report.ts
+++ b/src/load/report.ts
@@ -17,7 +17,7 @@
   "gap ms",
 ];
 
-/** Writes a report as a table for people. */
+/** Formats a report as a text table. */
 export function formatReport(report: LoadReport): string {
   const rows = [headings, ...report.tallies.map((t) => formatTally(t, report.elapsedMs))];
   const widths = headings.map((_, i) => Math.max(...rows.map((row) => row[i]?.length ?? 0)));
--- a/src/load/run.ts
+++ b/src/load/run.ts
@@ -7,37 +7,40 @@
 import { countRequests, type TallyReport } from "./tally.js";
 import { createTable, readOwn, registerCaller, type Caller } from "./work.js";
 
-/** The figures of a whole run. */
+/** The results of a whole run. */
 export interface LoadReport {
   readonly seed: number;
   readonly durationMs: number;
-  /** From the end of the warm-up until the last request had ended, or was given up. */
+  /** From the end of the warm-up until the last request ended, or until the wait for it timed out. */
   readonly elapsedMs: number;
   readonly tallies: readonly TallyReport[];
   readonly violations: {
     readonly readYourWrites: number;
     readonly atMostOnce: number;
-    /** The first few. */
+    /** The first violations, at most 20. */
     readonly samples: readonly Violation[];
   };
-  /** Requests that had not ended when the run was given up. */
+  /** Number of requests that had not ended when the wait for them timed out. */
   readonly unfinished: number;
-  /** Sessions whose last check could not be made. */
+  /** Number of sessions whose final check failed to read the count. */
   readonly unverified: number;
 }
 
-/** Why a run could not begin. */
+/** Thrown when a run could not start; the message has the last error. */
 export class SetUpError extends Error {
   override readonly name = "SetUpError";
 }
 
 const maxSamples = 20;
-const drainMs = 10_000;
-const drainStepMs = 20;
+const maxDrainMs = 10_000;
+const drainPollMs = 20;
 const setUpAttempts = 20;
-const setUpPauseMs = 250;
+const setUpRetryMs = 250;
 
-/** Runs the load against the entries and checks what its sessions see. */
+/**
+ * Runs the load against the entries and checks the consistency of what its sessions read. Rejects with
+ * `SetUpError` when the table or its rows could not be created.
+ */
 export async function runLoad(settings: LoadSettings, runId: string): Promise<LoadReport> {
   const violations: Violation[] = [];
   const onViolation = (violation: Violation) => void violations.push(violation);
@@ -45,15 +48,15 @@
   const callers = groups.flat();
   try {
     await setUp(settings, groups);
-    const crowds = settings.populations.map((population, i) => {
+    const runners = settings.populations.map((population, i) => {
       const random = createRandom(settings.seed, i);
       return new PopulationRunner(population, groups[i] ?? [], random, onViolation);
     });
     const startAt = performance.now();
-    const unfinished = await runCrowds(settings, crowds, startAt);
+    const unfinished = await runPopulations(settings, runners, startAt);
     const elapsedMs = performance.now() - startAt - settings.warmUp;
-    const unverified = await verifyAll(callers, onViolation);
-    const tallies = crowds.flatMap((c) => Object.values(c.tallies)).map((t) => t.report);
+    const unverified = await verifyCounts(callers, onViolation);
+    const tallies = runners.flatMap((runner) => Object.values(runner.tallies)).map((t) => t.report);
     return {
       seed: settings.seed,
       durationMs: settings.duration,
@@ -88,44 +91,45 @@
   settings: LoadSettings,
   groups: readonly (readonly Caller[])[],
 ): Promise<void> {
-  const done = new Set<string>();
+  const preparedGroups = new Set<string>();
   for (const [i, population] of settings.populations.entries()) {
     const [first] = groups[i] ?? [];
-    if (first === undefined || done.has(population.group)) continue;
-    done.add(population.group);
+    if (first === undefined || preparedGroups.has(population.group)) continue;
+    preparedGroups.add(population.group);
     await retry(() => createTable(first));
   }
   await Promise.all(groups.flat().map((caller) => retry(() => registerCaller(caller))));
 }
 
-async function retry(ask: () => ReturnType<typeof createTable>): Promise<void> {
-  let answer = await ask();
-  for (let i = 1; answer.type !== "landed" && i < setUpAttempts; i++) {
-    await sleep(setUpPauseMs);
-    answer = await ask();
+async function retry(send: () => ReturnType<typeof createTable>): Promise<void> {
+  let outcome = await send();
+  for (let i = 1; outcome.type !== "landed" && i < setUpAttempts; i++) {
+    await sleep(setUpRetryMs);
+    outcome = await send();
   }
-  if (answer.type !== "landed") throw new SetUpError(`set-up failed: ${answer.errorCode}`);
+  if (outcome.type !== "landed")
+    throw new SetUpError(`set-up failed after ${setUpAttempts} attempts: ${outcome.errorCode}`);
 }
 
-async function runCrowds(
+async function runPopulations(
   settings: LoadSettings,
-  crowds: readonly PopulationRunner[],
+  runners: readonly PopulationRunner[],
   startAt: number,
 ): Promise<number> {
-  const span = {
+  const schedule = {
     startAt,
     warmUpMs: settings.warmUp,
     durationMs: settings.duration,
   };
-  await Promise.all(crowds.map((c) => c.run(span)));
-  const countOpen = () => crowds.reduce((sum, c) => sum + c.unfinishedCount, 0);
-  const giveUpAt = performance.now() + drainMs;
-  while (countOpen() > 0 && performance.now() < giveUpAt) await sleep(drainStepMs);
-  return countOpen();
+  await Promise.all(runners.map((runner) => runner.run(schedule)));
+  const countUnfinished = () => runners.reduce((sum, runner) => sum + runner.unfinishedCount, 0);
+  const deadlineAt = performance.now() + maxDrainMs;
+  while (countUnfinished() > 0 && performance.now() < deadlineAt) await sleep(drainPollMs);
+  return countUnfinished();
 }
 
-/** Lets every session read its own count once more. */
-async function verifyAll(
+/** Reads each session's own count once more. Returns the number of sessions whose read failed. */
+async function verifyCounts(
   callers: readonly Caller[],
   onViolation: (violation: Violation) => void,
 ): Promise<number> {
--- a/src/load/session.ts
+++ b/src/load/session.ts
@@ -2,13 +2,13 @@
 import type { Address } from "../model/index.js";
 import { classifySqlState, type AttemptOutcome } from "./outcome.js";
 
-/** Who a session is and where it may connect. */
+/** Options of a `LoadSession`. */
 export interface LoadSessionOptions {
   readonly name: string;
   readonly team: string;
   readonly group: string;
   readonly entries: readonly Address[];
-  /** Requests between two moves to the next entry; 0 for none. */
+  /** Number of requests after which the session switches to the next entry; 0 for never. */
   readonly roamEvery: number;
   readonly timeoutMs: number;
   /** Certificate of the authority that signed the entries' certificates. */
@@ -17,28 +17,28 @@
 
 const tokenParameter = "radishwalk.session";
 
-/** One caller's session: a connection at a time, and a token that it carries from entry to entry. */
+/** One caller's session: one connection at a time, and a session token that is kept when the entry changes. */
 export class LoadSession {
   private client: pg.Client | undefined;
   private token: string | undefined;
   private requests = 0;
-  private entry: number;
+  private entryIndex: number;
 
   constructor(
     readonly options: LoadSessionOptions,
-    place: number,
+    firstEntry: number,
   ) {
-    this.entry = place % options.entries.length;
+    this.entryIndex = firstEntry % options.entries.length;
   }
 
-  /** Sends one statement and waits for its answer. Never rejects. */
+  /** Sends one statement and waits for its result. Never rejects. */
   async runStatement(text: string): Promise<AttemptOutcome> {
     this.countRequest();
     let client: pg.Client;
     try {
       client = this.client ?? (await this.connect());
     } catch (error) {
-      return { type: "notRun", errorCode: `connect ${readState(error) ?? "failed"}` };
+      return { type: "notRun", errorCode: `connect ${getSqlState(error) ?? "failed"}` };
     }
     return this.send(client, text);
   }
@@ -54,26 +54,26 @@
       const { rows, rowCount } = await client.query<unknown[]>({ text, rowMode: "array" });
       return { type: "landed", rows, count: rowCount ?? 0 };
     } catch (error) {
-      const state = readState(error);
-      if (state === undefined) this.drop(client);
-      return { type: classifySqlState(state), errorCode: state ?? "connection lost" };
+      const sqlState = getSqlState(error);
+      if (sqlState === undefined) this.abandon(client);
+      return { type: classifySqlState(sqlState), errorCode: sqlState ?? "connection lost" };
     }
   }
 
   private countRequest(): void {
     const { roamEvery } = this.options;
     this.requests += 1;
-    if (roamEvery > 0 && this.requests % roamEvery === 0) this.takeNextEntry();
+    if (roamEvery > 0 && this.requests % roamEvery === 0) this.switchEntry();
   }
 
-  private takeNextEntry(): void {
-    this.entry = (this.entry + 1) % this.options.entries.length;
+  private switchEntry(): void {
+    this.entryIndex = (this.entryIndex + 1) % this.options.entries.length;
     void this.close();
   }
 
   private async connect(): Promise<pg.Client> {
     const { team, group, timeoutMs, ca } = this.options;
-    const address = this.options.entries[this.entry];
+    const address = this.options.entries[this.entryIndex];
     const client = new pg.Client({
       ...address,
       user: team,
@@ -83,26 +83,26 @@
       ...(this.token === undefined ? {} : { options: `-c ${tokenParameter}=${this.token}` }),
       ...(ca === undefined ? {} : { ssl: { ca } }),
     });
-    client.on("error", () => this.drop(client));
-    client.on("end", () => this.drop(client));
+    client.on("error", () => this.abandon(client));
+    client.on("end", () => this.abandon(client));
     client.connection.on("parameterStatus", (status: ParameterStatus) => {
       if (status.parameterName === tokenParameter) this.token = status.parameterValue;
     });
     try {
       await client.connect();
     } catch (error) {
-      // The next attempt goes elsewhere: an entry that refuses or is gone may stay so.
-      this.takeNextEntry();
+      // The next attempt uses another entry, since this one may stay unavailable.
+      this.switchEntry();
       throw error;
     }
     this.client = client;
     return client;
   }
 
-  /** A connection that broke is given up; the session goes on at the next entry. */
-  private drop(client: pg.Client): void {
+  /** Abandons a failed connection; the session continues at the next entry. */
+  private abandon(client: pg.Client): void {
     if (this.client !== client) return;
-    this.takeNextEntry();
+    this.switchEntry();
     client.connection.stream.destroy();
   }
 }
@@ -112,6 +112,6 @@
   readonly parameterValue: string;
 }
 
-function readState(error: unknown): string | undefined {
+function getSqlState(error: unknown): string | undefined {
   return error instanceof pg.DatabaseError ? error.code : undefined;
 }
--- a/src/load/settings.ts
+++ b/src/load/settings.ts
@@ -37,13 +37,13 @@
   populations: z.array(population).min(1),
 });
 
-/** What one kind of caller does, and how often. */
+/** A population of callers: its team and group, its rate of arrivals and its mix of work. */
 export type Population = Readonly<z.output<typeof population>>;
 
-/** What the load tool is told to do. Durations are in milliseconds, rates in arrivals a second. */
+/** The settings of the load tool. Durations are in milliseconds, rates in arrivals per second. */
 export type LoadSettings = Readonly<z.output<typeof schema>>;
 
-/** Reads the load tool's YAML. */
+/** Parses and validates the load tool's YAML settings; `source` names them in faults. */
 export function loadLoadSettings(text: string, source: string): Loaded<LoadSettings> {
   return checkDocument(openDocument(text, source), schema);
 }
--- a/src/load/tally.ts
+++ b/src/load/tally.ts
@@ -2,7 +2,7 @@
 import { outcomeTypes, type OutcomeType } from "./outcome.js";
 import type { WorkResult } from "./work.js";
 
-/** Times of one sort of requests, in milliseconds. */
+/** Number and time percentiles of the requests of one kind, in milliseconds. */
 export interface LatencySummary {
   readonly count: number;
   readonly p50: number;
@@ -11,27 +11,27 @@
   readonly max: number;
 }
 
-/** The figures of one kind of work of one population. */
+/** The results of one kind of work of one population. */
 export interface TallyReport {
   readonly population: string;
   readonly work: string;
   readonly counts: Readonly<Record<OutcomeType, number>>;
   readonly states: Readonly<Record<string, number>>;
   readonly repeats: number;
-  /** Landed requests, from the time at which they were meant to start. */
+  /** Landed requests, from their scheduled start. */
   readonly latency: LatencySummary;
-  /** Landed requests, from the time at which they were sent. */
+  /** Landed requests, from when they were sent. */
   readonly service: LatencySummary;
-  /** Refused requests, from the time at which they were sent. */
+  /** Requests that have not run, from when they were sent. */
   readonly refusal: LatencySummary;
-  /** The longest time between two requests that landed one after the other, in milliseconds. */
+  /** The longest time between two consecutive landed requests, in milliseconds. */
   readonly longestGapMs: number;
 }
 
-const microseconds = 1000;
-const longestMs = 3_600_000;
+const microsPerMs = 1000;
+const maxTrackedMs = 3_600_000;
 
-/** Counts and times the requests of one kind. */
+/** Collects counts and times of the requests of one kind. */
 export class Tally {
   private readonly counts: Record<OutcomeType, number> = {
     landed: 0,
@@ -41,7 +41,7 @@
   };
   private readonly states: Record<string, number> = {};
   private repeats = 0;
-  private landedAt: number | undefined;
+  private lastLandedAt: number | undefined;
   private longestGapMs = 0;
   private readonly latency = buildHistogram();
   private readonly service = buildHistogram();
@@ -62,7 +62,7 @@
     if (result.type === "landed") {
       recordMs(this.latency, latencyMs);
       recordMs(this.service, serviceMs);
-      this.noteLanded(now);
+      this.recordSuccess(now);
     }
     if (result.type === "notRun") recordMs(this.refusal, serviceMs);
   }
@@ -81,13 +81,13 @@
     };
   }
 
-  private noteLanded(now: number): void {
-    this.longestGapMs = Math.max(this.longestGapMs, now - (this.landedAt ?? now));
-    this.landedAt = now;
+  private recordSuccess(now: number): void {
+    this.longestGapMs = Math.max(this.longestGapMs, now - (this.lastLandedAt ?? now));
+    this.lastLandedAt = now;
   }
 }
 
-/** How many requests a report covers. */
+/** Returns the number of requests that a report covers. */
 export function countRequests({ counts }: TallyReport): number {
   return outcomeTypes.reduce((sum, c) => sum + counts[c], 0);
 }
@@ -95,22 +95,23 @@
 function buildHistogram(): Histogram {
   return build({
     bitBucketSize: 32,
-    highestTrackableValue: longestMs * microseconds,
+    highestTrackableValue: maxTrackedMs * microsPerMs,
     numberOfSignificantValueDigits: 3,
   });
 }
 
 function recordMs(histogram: Histogram, ms: number): void {
-  histogram.recordValue(Math.round(Math.min(longestMs, Math.max(0, ms)) * microseconds));
+  histogram.recordValue(Math.round(Math.min(maxTrackedMs, Math.max(0, ms)) * microsPerMs));
 }
 
 function summarise(histogram: Histogram): LatencySummary {
-  const find = (percentile: number) => histogram.getValueAtPercentile(percentile) / microseconds;
+  const getPercentileMs = (percentile: number) =>
+    histogram.getValueAtPercentile(percentile) / microsPerMs;
   return {
     count: histogram.totalCount,
-    p50: find(50),
-    p90: find(90),
-    p99: find(99),
-    max: histogram.maxValue / microseconds,
+    p50: getPercentileMs(50),
+    p90: getPercentileMs(90),
+    p99: getPercentileMs(99),
+    max: histogram.maxValue / microsPerMs,
   };
 }
--- a/test/load/load.test.ts
+++ b/test/load/load.test.ts
@@ -36,16 +36,16 @@
   return runLoad(loaded.value, "run");
 }
 
-/** Strikes once the first reservation is committed: the set-up is over then, whatever time it took. */
-function onFirstReservation(target: StandinTarget, strike: () => void): void {
+/** Calls `injectFault` at the first committed reservation, when the set-up is certain to be complete. */
+function onFirstReservation(target: StandinTarget, injectFault: () => void): void {
   const stop = target.member.subscribe(() => {
     if (target.statements.list("kind='reservation'").length === 0) return;
     stop();
-    strike();
+    injectFault();
   });
 }
 
-test("settings default and refuse what is unknown", () => {
+test("settings have defaults, and unknown keys are reported", () => {
   const loaded = loadLoadSettings("duration: 1s\nentries: []\nspeed: 3", "load.yaml");
   const messages = loaded.type === "faulty" ? loaded.faults.map((f) => `${f.line} ${f.path}`) : [];
   expect(messages).toContain("3 speed");
@@ -55,7 +55,7 @@
   expect(fine.value).toMatchObject({ seed: 1, warmUp: 0, populations: [{ attempts: 5 }] });
 });
 
-test("arrivals repeat with their seed and keep their rate", () => {
+test("arrivals are the same for the same seed and have the given rate", () => {
   const draw = (stream: number) => [...generateArrivals(createRandom(7, stream), 100, 60_000)];
   expect(draw(0)).toEqual(draw(0));
   expect(draw(0)).not.toEqual(draw(1));
@@ -63,7 +63,7 @@
   expect(draw(0).length).toBeLessThan(6_300);
 });
 
-test("a run on a sound target lands everything and finds nothing", async () => {
+test("a run on a healthy target commits everything and reports no violation", async () => {
   const [target] = await start(1);
   if (target === undefined) throw new Error("no target");
   const report = await load([target.address], "reservation: 1, ownRead: 1, browse: 1");
@@ -76,10 +76,10 @@
   expect(formatReport(report)).toContain("reservations that landed twice: 0");
 });
 
-// The connection breaks after a commit took effect, and the tool repeats under the same key. A bare
-// target knows no keys, so the reservation lands twice: the session reads a greater count than it
-// can account for, and the tool must say so.
-test("a reservation that lands twice is found", async () => {
+// The connection breaks after a commit took effect, and the tool repeats the reservation with the same
+// key. A target without a proxy ignores idempotency keys, so the reservation runs twice. The session
+// then reads a count above its reservations, and the tool must report it.
+test("a reservation that runs twice is reported", async () => {
   const [target] = await start(1);
   if (target === undefined) throw new Error("no target");
   onFirstReservation(target, () => target.faults.loseCommitAnswers(1, "break"));
@@ -87,9 +87,9 @@
   expect(report.violations.atMostOnce).toBeGreaterThan(0);
 });
 
-// Sessions move between the primary and a replica that copies nothing. There they read a count from
-// before their own reservations, or no row at all: each is a write of their own that they don't see.
-test("a write of its own that a session does not see is found", async () => {
+// Sessions switch between the primary and a replica that does not replicate. There they read a count
+// from before their own reservations, or no row at all; both violate read-your-writes.
+test("a violation of read-your-writes is reported", async () => {
   const [primary, replica] = await start(2);
   if (primary === undefined || replica === undefined) throw new Error("no targets");
   onFirstReservation(primary, () => replica.setLag(3_600_000));
