--- a/src/bin/load.ts
+++ b/src/bin/load.ts
@@ -13,7 +13,7 @@
   readonly entry?: string | readonly string[];
 }
 
-const exitCodes = { fine: 0, violated: 1, usage: 2, notBegun: 3 } as const;
+const exitCodes = { success: 0, violation: 1, usage: 2, setUpFailed: 3 } as const;
 
 const cli = cac("radishwalk-load");
 cli
@@ -30,31 +30,31 @@
   ...sections,
   {
     title: "Exit codes",
-    body: "  0  done, no check failed\n  1  a check failed\n  2  faulty settings or flags\n  3  the run could not begin",
+    body: "  0  done, no check failed\n  1  a check failed\n  2  invalid settings or flags\n  3  the run could not start",
   },
 ]);
 cli.parse();
 
 async function runFile(file: string, flags: Flags): Promise<number> {
-  if (!existsSync(file)) return refuse([`${file}: no such file`]);
+  if (!existsSync(file)) return reportUsageErrors([`${file}: no such file`]);
   const loaded = loadLoadSettings(readFileSync(file, "utf8"), file);
-  if (loaded.type === "faulty") return refuse(loaded.faults.map(formatFault));
+  if (loaded.type === "faulty") return reportUsageErrors(loaded.faults.map(formatFault));
   const settings = applyFlags(loaded.value, flags);
-  if (settings === undefined) return refuse(["--entry or --duration can't be read"]);
-  if (flags.check) return exitCodes.fine;
+  if (settings === undefined) return reportUsageErrors(["invalid value of --entry or --duration"]);
+  if (flags.check) return exitCodes.success;
   try {
     const report = await runLoad(settings, Date.now().toString(36));
     console.log(flags.json ? JSON.stringify(report, undefined, 2) : formatReport(report));
     const { readYourWrites, atMostOnce } = report.violations;
-    return readYourWrites + atMostOnce > 0 ? exitCodes.violated : exitCodes.fine;
+    return readYourWrites + atMostOnce > 0 ? exitCodes.violation : exitCodes.success;
   } catch (error) {
     if (!(error instanceof SetUpError)) throw error;
     console.error(error.message);
-    return exitCodes.notBegun;
+    return exitCodes.setUpFailed;
   }
 }
 
-function refuse(lines: readonly string[]): number {
+function reportUsageErrors(lines: readonly string[]): number {
   for (const line of lines) console.error(line);
   return exitCodes.usage;
 }
--- a/src/bin/proxy.ts
+++ b/src/bin/proxy.ts
@@ -8,9 +8,9 @@
 import { formatFault, loadProxySettings, type ProxySettings } from "../settings/index.js";
 import { createSystemClock, createSystemRandom } from "../system/index.js";
 
-const exitFaulty = 2;
+const exitInvalidSettings = 2;
 const exitFailed = 1;
-const endMarginMs = 5000;
+const exitMarginMs = 5000;
 
 interface Flags {
   readonly check?: boolean;
@@ -22,7 +22,7 @@
   .option("--check", "Check the settings and exit: 0 without faults, 2 with faults")
   .action((path: string, flags: Flags) => {
     const settings = readSettings(path);
-    if (settings === undefined) process.exitCode = exitFaulty;
+    if (settings === undefined) process.exitCode = exitInvalidSettings;
     else if (flags.check === true) console.log(`${path}: no faults`);
     else void runProxy(settings);
   });
@@ -71,7 +71,7 @@
 }
 
 async function stopProxy(proxy: Proxy, settings: ProxySettings, logger: PinoLogger): Promise<void> {
-  boundEnd(settings, logger);
+  forceExitAfterDrain(settings, logger);
   try {
     await proxy.drain();
     await proxy.dispose();
@@ -84,12 +84,13 @@
 }
 
 /**
- * A resource that is never released would keep the process up for good, unready and deaf to the
- * platform that wants its VM back. Nothing that is in flight may outlast the drain's limit, so an
- * end after that and a margin cuts off nothing that was still to be kept.
+ * Exits the process if the drain has not finished after its limit and a margin. A resource that is
+ * never released would otherwise keep the process running indefinitely, not ready and without releasing
+ * its VM to the platform. No request may outlast the drain's limit, so the forced exit aborts nothing
+ * that the drain still had to complete.
  */
-function boundEnd({ drain }: ProxySettings, logger: PinoLogger): void {
-  const limitMs = drain.announceMs + drain.limitMs + endMarginMs;
+function forceExitAfterDrain({ drain }: ProxySettings, logger: PinoLogger): void {
+  const limitMs = drain.announceMs + drain.limitMs + exitMarginMs;
   setTimeout(() => {
     logger.write(processEvents.endForced, { limitMs });
     process.exit(exitFailed);
