--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -113,7 +113,7 @@
   /** Applies a configuration message that a peer pushed and returns the revision then in force. */
   receivePush(json: Json): number {
     const message = decodeMessage(json);
-    if (message === undefined) this.options.logger.write(fleetEvents.configurationFaulty);
+    if (message === undefined) this.options.logger.write(fleetEvents.configurationInvalid);
     else this.offerPeerUpdate(message.update, message.from);
     return this.state.inForce.revision;
   }
@@ -181,7 +181,8 @@
 
   private logAlarm(alarm: ConfigurationAlarm): void {
     const { type, ...fields } = alarm;
-    const event = type === "storeReverted" ? fleetEvents.storeReverted : fleetEvents.revisionClash;
+    const event =
+      type === "storeReverted" ? fleetEvents.storeReverted : fleetEvents.revisionConflict;
     this.options.logger.write(event, fields);
   }
 
@@ -213,7 +214,7 @@
     if (answer.type !== "found") return false;
     const message = decodeMessage(answer.value);
     if (message === undefined) {
-      logger.write(fleetEvents.configurationFaulty, { vm: vm.name });
+      logger.write(fleetEvents.configurationInvalid, { vm: vm.name });
       return false;
     }
     this.offerPeerUpdate(message.update, vm.name);
--- a/src/load/settings.ts
+++ b/src/load/settings.ts
@@ -1,13 +1,13 @@
 import { z } from "zod";
 import {
-  checkDocument,
+  validateDocument,
   defineAddress,
   defineCount,
   defineDuration,
   defineName,
   defineObject,
-  openDocument,
-  type Loaded,
+  parseSettingsDocument,
+  type LoadResult,
 } from "../settings/index.js";
 
 const weight = defineCount("parts", 0, 1_000_000);
@@ -37,13 +37,13 @@
   populations: z.array(population).min(1),
 });
 
-/** What one kind of caller does, and how often. */
+/** A population of callers: its team and group, its rate of arrivals and its mix of work. */
 export type Population = Readonly<z.output<typeof population>>;
 
-/** What the load tool is told to do. Durations are in milliseconds, rates in arrivals a second. */
+/** The settings of the load tool. Durations are in milliseconds, rates in arrivals per second. */
 export type LoadSettings = Readonly<z.output<typeof schema>>;
 
-/** Reads the load tool's YAML. */
-export function loadLoadSettings(text: string, source: string): Loaded<LoadSettings> {
-  return checkDocument(openDocument(text, source), schema);
+/** Parses and validates the load tool's YAML settings; `source` names them in faults. */
+export function loadLoadSettings(text: string, source: string): LoadResult<LoadSettings> {
+  return validateDocument(parseSettingsDocument(text, source), schema);
 }
--- a/src/metric/health.ts
+++ b/src/metric/health.ts
@@ -6,8 +6,8 @@
 /** What readiness depends on. */
 export interface HealthState {
   /** A configuration of the store or a peer is in force. */
-  readonly configurationKnown: boolean;
-  readonly leaving: boolean;
+  readonly isConfigurationKnown: boolean;
+  readonly isLeaving: boolean;
 }
 
 /** What a `HealthServer` shows. */
@@ -15,13 +15,13 @@
   readonly metrics: Metrics;
   getState(): HealthState;
   /** A few words of itself on `/health`, such as its VM and the revision in force. */
-  summarise?(): Readonly<Record<string, Json>>;
+  getSummary?(): Readonly<Record<string, Json>>;
   /** What the process says of itself to operators, on `/report`. */
-  report(): Json | Promise<Json>;
+  getReport(): Json | Promise<Json>;
   /** The configuration in force, on `/configuration`; `undefined` while none is known. */
-  configuration?(): Json | undefined;
+  getConfiguration?(): Json | undefined;
   /** Begins a drain, on `POST /drain`; absent where the process does not take it over HTTP. */
-  drain?(): void;
+  startDrain?(): void;
 }
 
 interface Reply {
@@ -67,54 +67,56 @@
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const reply = await this.reply(request).catch((error: unknown) =>
-      replyJson(500, { error: String(error) }),
+    const reply = await this.createReply(request).catch((error: unknown) =>
+      createJsonReply(500, { error: String(error) }),
     );
     response.writeHead(reply.status, { "content-type": reply.type });
     response.end(reply.body);
   }
 
-  private async reply(request: IncomingMessage): Promise<Reply> {
+  private async createReply(request: IncomingMessage): Promise<Reply> {
     const { metrics } = this.options;
     switch (`${request.method ?? ""} ${request.url ?? ""}`) {
       case "GET /metrics":
         return { status: 200, type: metrics.contentType, body: await metrics.render() };
       case "GET /health":
-        return replyJson(200, { status: "alive", ...this.options.summarise?.() });
+        return createJsonReply(200, { status: "alive", ...this.options.getSummary?.() });
       case "GET /ready":
-        return this.replyReadiness();
+        return this.createReadinessReply();
       case "GET /report":
-        return replyJson(200, await this.options.report());
+        return createJsonReply(200, await this.options.getReport());
       case "GET /configuration":
-        return this.replyConfiguration();
+        return this.createConfigurationReply();
       case "POST /drain":
-        if (this.options.drain === undefined)
-          return replyJson(404, { error: "no drain over HTTP here" });
-        this.options.drain();
-        return replyJson(202, { status: "draining" });
+        if (this.options.startDrain === undefined)
+          return createJsonReply(404, { error: "no drain over HTTP here" });
+        this.options.startDrain();
+        return createJsonReply(202, { status: "draining" });
       default:
-        return replyJson(404, { error: "no such page" });
+        return createJsonReply(404, { error: "no such page" });
     }
   }
 
-  private replyConfiguration(): Reply {
-    const configuration = this.options.configuration?.();
-    if (configuration === undefined) return replyJson(404, { error: "no configuration is known" });
-    return replyJson(200, configuration);
+  private createConfigurationReply(): Reply {
+    const configuration = this.options.getConfiguration?.();
+    if (configuration === undefined)
+      return createJsonReply(404, { error: "no configuration is known" });
+    return createJsonReply(200, configuration);
   }
 
-  private replyReadiness(): Reply {
-    const { configurationKnown, leaving } = this.options.getState();
+  private createReadinessReply(): Reply {
+    const { isConfigurationKnown: configurationKnown, isLeaving: leaving } =
+      this.options.getState();
     const reasons = [
       ...(configurationKnown ? [] : ["no configuration is known"]),
       ...(leaving ? ["leaving"] : []),
     ];
     return reasons.length === 0
-      ? replyJson(200, { status: "ready" })
-      : replyJson(503, { status: "not ready", reasons });
+      ? createJsonReply(200, { status: "ready" })
+      : createJsonReply(503, { status: "not ready", reasons });
   }
 }
 
-function replyJson(status: number, body: Json): Reply {
+function createJsonReply(status: number, body: Json): Reply {
   return { status, type: "application/json", body: `${JSON.stringify(body)}\n` };
 }
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -256,7 +256,7 @@
     const wasListed = this.registry.isRegistered();
     tracker.adopt(poll.answer);
     if (poll.revision !== this.readRevision && !(await this.copyFromReader(poll))) return false;
-    if (this.isStoreUnavailable) this.ports.logger.write(leadershipEvents.storeRegained, {});
+    if (this.isStoreUnavailable) this.ports.logger.write(leadershipEvents.storeContactRegained, {});
     this.isStoreUnavailable = false;
     this.configTracker.recordStoreAnswer(poll.polledAt);
     this.latestPoll = { revision: poll.revision, requestedAt: poll.polledAt };
@@ -299,14 +299,14 @@
     const [status, routes] = await Promise.all([store.readStatus(), this.readFirstRoutes()]);
     if (status.type !== "found") {
       if (!this.isStoreUnavailable)
-        logger.write(leadershipEvents.storeLost, { reason: describe(status) });
+        logger.write(leadershipEvents.storeContactLost, { reason: describe(status) });
       this.isStoreUnavailable = true;
       if (!this.isInitialised) await this.fetchFromSeeds();
       if (!this.isUnlisted) await this.copyFromNewestPeer(await this.confirmer.askPeers());
       return false;
     }
     if (routes?.type === "absent") return false;
-    if (this.isStoreUnavailable) logger.write(leadershipEvents.storeRegained, {});
+    if (this.isStoreUnavailable) logger.write(leadershipEvents.storeContactRegained, {});
     this.isStoreUnavailable = false;
     this.configTracker.recordStoreAnswer(askedAt);
     if (status.value.leadership !== undefined) {
@@ -347,7 +347,7 @@
     ]);
     if (routes.type === "found") this.configTracker.updateRoutes(routes.value);
     if (routes.type === "unavailable") {
-      this.ports.logger.write(nodeEvents.configurationUnread, { reason: routes.reason });
+      this.ports.logger.write(nodeEvents.configurationUnreadable, { reason: routes.reason });
     }
     if (targets.type === "found") this.configTracker.updateTargets(targets.value);
     if (proxies.type === "found") this.registry.applyListing(proxies.value);
@@ -374,7 +374,7 @@
       // The seed may be unable to reach the store and have older data, so everything is read again.
       this.readRevision = undefined;
       this.registry.applyPeerListing(proxies);
-      logger.write(nodeEvents.sceneFetched, { seed: `${seed.host}:${seed.port}` });
+      logger.write(nodeEvents.servingConfigFetched, { seed: `${seed.host}:${seed.port}` });
       this.configTracker.publish();
       return true;
     }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -186,7 +186,7 @@
       new LineServer({
         address: settings.callers,
         maxLineBytes: adapter.maxLineBytes,
-        findLineTimeoutMs: () => this.follower.servingConfig.lineTimeoutMs,
+        getLineTimeoutMs: () => this.follower.servingConfig.lineTimeoutMs,
         accept: (connection) => this.callers.accept(connection),
       }),
     );
@@ -197,7 +197,7 @@
       countInFlight: () => this.countInFlight(),
       onAnnounce: () => this.changer.stop(),
       onRefuseNew: () => {
-        this.server.refuseNew();
+        this.server.stopAccepting();
         this.callers.drain();
       },
     });
@@ -230,7 +230,7 @@
   /** Applies the settings that can change without a restart: the address of the store. */
   setSettings(settings: NodeSettings): void {
     this.options.adapter.store.setAddress(settings.store);
-    this.options.logger.write(nodeEvents.settingsRead, { vm: settings.vm });
+    this.options.logger.write(nodeEvents.settingsReloaded, { vm: settings.vm });
   }
 
   dispose(): Promise<void> {
@@ -275,10 +275,10 @@
       new HealthServer({
         metrics: this.metrics,
         getState: () => ({
-          configurationKnown: this.isReady(),
-          leaving: this.drainer.isLeaving(),
+          isConfigurationKnown: this.isReady(),
+          isLeaving: this.drainer.isLeaving(),
         }),
-        report: () => ({ vm: this.options.settings.vm, callers: this.callers.size }),
+        getReport: () => ({ vm: this.options.settings.vm, callers: this.callers.size }),
       }),
     );
     await health.listen(address);
--- a/src/node/proxy-liveness.ts
+++ b/src/node/proxy-liveness.ts
@@ -86,7 +86,7 @@
         this.recordContact(proxy.vm);
         return;
       }
-      logger.write(nodeEvents.proxySilent, { vm: proxy.vm });
+      logger.write(nodeEvents.listedProxyUnresponsive, { vm: proxy.vm });
       await markMissed(proxy);
     } finally {
       this.probing.delete(proxy.vm);
--- a/src/node/proxy-registry.ts
+++ b/src/node/proxy-registry.ts
@@ -142,7 +142,7 @@
       const since = this.missedMarkSeenAt.get(formatEntry(proxy));
       if (since === undefined || clock.now() - since < removeMissedAfterMs) continue;
       this.missedMarkSeenAt.delete(formatEntry(proxy));
-      logger.write(nodeEvents.missedRemoved, { vm: proxy.vm });
+      logger.write(nodeEvents.missedProxyRemoved, { vm: proxy.vm });
       await store.removeMissed(proxy);
     }
   }
--- a/src/node/recorder.ts
+++ b/src/node/recorder.ts
@@ -60,7 +60,11 @@
     if (this.records === undefined) return;
     const written = await this.ports.store.writeGroupRecord(change);
     const outcome = written.type;
-    this.ports.logger.write(nodeEvents.recordWritten, { group, targets: targets.length, outcome });
+    this.ports.logger.write(nodeEvents.targetRecordWritten, {
+      group,
+      targets: targets.length,
+      outcome,
+    });
     // After a failure the record may have been written by another proxy or by this one: it is read again.
     this.records =
       written.type === "written"
--- a/src/node/serving-config-tracker.ts
+++ b/src/node/serving-config-tracker.ts
@@ -135,7 +135,7 @@
     const before = this.feed.targets.size;
     this.feed = restoreMissingTargets(this.feed, listing, knownRecords, now);
     const targets = this.feed.targets.size - before;
-    if (targets > 0) this.ports.logger.write(nodeEvents.targetsRecalled, { targets });
+    if (targets > 0) this.ports.logger.write(nodeEvents.recordedTargetsUsed, { targets });
   }
 
   /** Writes one line for each configuration, however many of its entries are faulty. */
@@ -150,7 +150,7 @@
     const logged = this.loggedInvalidEntries;
     for (const { name, field } of entries) {
       if (logged.get(name) !== field)
-        this.ports.logger.write(nodeEvents.entryRefused, { name, field });
+        this.ports.logger.write(nodeEvents.targetEntryInvalid, { name, field });
     }
     this.loggedInvalidEntries = new Map(entries.map(({ name, field }) => [name, field]));
   }
--- a/src/node/target-status.ts
+++ b/src/node/target-status.ts
@@ -95,6 +95,6 @@
   }
 
   private logSilent(group: string, target: string, error: unknown): void {
-    this.ports.logger.write(nodeEvents.targetSilent, { group, target, reason: String(error) });
+    this.ports.logger.write(nodeEvents.targetUnanswered, { group, target, reason: String(error) });
   }
 }
--- a/src/owner/connections.ts
+++ b/src/owner/connections.ts
@@ -30,7 +30,7 @@
     open: (timeoutMs) => connector.open(target, database, timeoutMs),
     check: checkSession,
     isTooManyConnections: (error) =>
-      error instanceof OpenError && error.state === tooManyConnectionsState,
+      error instanceof OpenError && error.sqlState === tooManyConnectionsState,
   };
   return new TargetPool(ports, clock, { settings: { limit: target.connections } });
 }
--- a/src/owner/filters/deduplicate.ts
+++ b/src/owner/filters/deduplicate.ts
@@ -175,13 +175,13 @@
     case "run":
       return tryAgain;
     case "conflict": {
-      logger.write(ownerEvents.keyMisused, fields);
+      logger.write(ownerEvents.keyReused, fields);
       const message = "this idempotency key was used with another statement; nothing ran";
       await context.answer.receive(buildErrorResponse(keyMisusedState, message));
       return { type: "done", outcome: buildAnswered(context) };
     }
     case "replay":
-      logger.write(ownerEvents.answerRepeated, fields);
+      logger.write(ownerEvents.recordedAnswerSent, fields);
       for (const message of decodeAnswer(plan.answer)) await context.answer.receive(message);
       return { type: "done", outcome: buildAnswered(context) };
   }
--- a/src/peer/codec-request.ts
+++ b/src/peer/codec-request.ts
@@ -1,6 +1,6 @@
 import { create } from "@bufbuild/protobuf";
 import type { Request, Route, ServeAction } from "../model/index.js";
-import { decodeMark, demand, encodeMark, findWord } from "./codec.js";
+import { decodeMark, requireField, encodeMark, findKey } from "./codec.js";
 import {
   Acknowledgement,
   type Action,
@@ -31,7 +31,7 @@
   stale: RouteType.STALE,
 } as const;
 
-/** Builds a request with the time that it has left at `now`. */
+/** Converts a request to its message. The deadline is sent as the time left at `now`, since the clocks of two VMs differ. */
 export function encodeRequest(request: Request, now: number): RequestMessage {
   const { traits, idempotency, mark } = request;
   return create(RequestSchema, {
@@ -49,7 +49,10 @@
   });
 }
 
-/** Reads a request, its deadline on the clock that says `now`. */
+/**
+ * Converts a message to a request, whose deadline is relative to `now` on the local clock. Throws
+ * `ConnectError` when the message is malformed.
+ */
 export function decodeRequest(message: RequestMessage, now: number): Request {
   const { id, group, team, kind, tables, transaction, rule, mark } = message;
   const { idempotencyKey: key, idempotencyDigest: digest } = message;
@@ -61,11 +64,11 @@
       kind,
       tables,
       transaction,
-      plan: findWord(plans, message.plan),
-      effect: findWord(effects, message.effect),
+      plan: findKey(plans, message.plan),
+      effect: findKey(effects, message.effect),
     },
     rule,
-    action: decodeAction(demand(message.action, "action")),
+    action: decodeAction(requireField(message.action, "action")),
     deadlineAt: now + message.timeLeftMs,
     ...(mark === undefined ? {} : { mark: decodeMark(mark) }),
     ...(digest === "" ? {} : { idempotency: { key, digest } }),
@@ -88,15 +91,15 @@
   return {
     type: "serve",
     route: decodeRoute(message),
-    priority: findWord(priorities, message.priority),
+    priority: findKey(priorities, message.priority),
     deadlineMs: message.deadlineMs,
     maxQueueMs: message.maxQueueMs,
     retry: { attempts: message.attempts },
-    acknowledgement: findWord(acknowledgements, message.acknowledgement),
+    acknowledgement: findKey(acknowledgements, message.acknowledgement),
   };
 }
 
 function decodeRoute({ route, maxAgeMs }: Action): Route {
-  const type = findWord(routes, route);
+  const type = findKey(routes, route);
   return type === "stale" ? { type, maxAgeMs } : { type };
 }
--- a/src/proxy/groups.ts
+++ b/src/proxy/groups.ts
@@ -108,11 +108,11 @@
   private createRemoteGateway({ clock }: ProxyPorts): RemoteGateway {
     const { links, createHello, membership } = this.members;
     return new RemoteGateway({
-      links,
+      connections: links,
       clock,
       getHello: createHello,
       findOwner: (group) => this.gateway.findRemoteOwner(group),
-      onBroken: ({ name }) => {
+      onConnectionFailure: ({ name }) => {
         this.gateway.markUnreachable(name);
         membership.requestProbe(name);
       },
--- a/src/proxy/hooks.ts
+++ b/src/proxy/hooks.ts
@@ -24,8 +24,8 @@
     onFailover(group, gapMs, phases) {
       metrics.recordFailover({
         group,
-        gap: gapMs / msPerSecond,
-        phases: {
+        gapSeconds: gapMs / msPerSecond,
+        phaseSeconds: {
           detect: phases.detectingMs / msPerSecond,
           fence: phases.fencingMs / msPerSecond,
           promote: phases.promotingMs / msPerSecond,
--- a/src/settings/document.ts
+++ b/src/settings/document.ts
@@ -10,11 +10,11 @@
   /** Faults of the YAML itself. */
   readonly faults: readonly SettingsFault[];
   /** Describes a fault at the value of `path`, or at its key, or at the nearest parent. */
-  describeFault(path: Path, message: string, at?: "key" | "value"): SettingsFault;
+  createFault(path: Path, message: string, at?: "key" | "value"): SettingsFault;
 }
 
 /** Reads one YAML text. */
-export function openDocument(text: string, source: string): SettingsDocument {
+export function parseSettingsDocument(text: string, source: string): SettingsDocument {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
   const describe = (offset: number, path: Path, message: string): SettingsFault => {
@@ -25,31 +25,31 @@
   return {
     value: faults.length === 0 ? (document.toJS() as unknown) : undefined,
     faults,
-    describeFault: (path, message, at = "value") =>
+    createFault: (path, message, at = "value") =>
       describe(findOffset(document, path, at), path, message),
   };
 }
 
 function findOffset(document: Document, path: Path, at: "key" | "value"): number {
   let node: unknown = document.contents;
-  let offset = readStart(node) ?? 0;
+  let offset = getStartOffset(node) ?? 0;
   for (const [depth, segment] of path.entries()) {
     const isLast = depth === path.length - 1;
     if (isMap(node)) {
       const pair = node.items.find((item) => isScalar(item.key) && item.key.value === segment);
       if (pair === undefined) return offset;
-      const key = readStart(pair.key) ?? offset;
-      offset = isLast && at === "key" ? key : (readStart(pair.value) ?? key);
+      const key = getStartOffset(pair.key) ?? offset;
+      offset = isLast && at === "key" ? key : (getStartOffset(pair.value) ?? key);
       node = pair.value;
     } else if (isSeq(node)) {
       node = node.items[Number(segment)];
-      offset = readStart(node) ?? offset;
+      offset = getStartOffset(node) ?? offset;
     }
   }
   return offset;
 }
 
-function readStart(node: unknown): number | undefined {
+function getStartOffset(node: unknown): number | undefined {
   return isNode(node) ? node.range?.[0] : undefined;
 }
 
--- a/src/sql/parser.ts
+++ b/src/sql/parser.ts
@@ -5,7 +5,7 @@
 
 /** One parsed statement: the name of its node and the node itself. */
 export interface ParsedStatement {
-  readonly name: string;
+  readonly nodeType: string;
   readonly node: TreeNode;
 }
 
--- a/test/peer/fake.ts
+++ b/test/peer/fake.ts
@@ -11,11 +11,11 @@
 import {
   type OwnerChoice,
   type PeerHandlers,
-  PeerLinks,
+  PeerConnections,
   PeerServer,
   RemoteGateway,
 } from "../../src/peer/index.js";
-import { clock, mark, serve } from "../caller/fake.js";
+import { clock, createMark, serveAction } from "../caller/fake.js";
 
 export const makeHello = (vm: string): PeerHello => ({
   vm,
@@ -43,13 +43,13 @@
     transaction: false,
   },
   rule: "all",
-  action: serve as Request["action"],
-  mark: mark(3),
+  action: serveAction as Request["action"],
+  mark: createMark(3),
   idempotency: { key: "k", digest: "d" },
   deadlineAt: clock.now() + 60_000,
 };
 
-/** Handlers of a process that owns every group and knows nothing else. */
+/** Builds handlers of a process that owns every group and knows no other VM, target or configuration. */
 export function makeHandlers(
   gateway: GroupGateway,
   rest: Partial<PeerHandlers> = {},
@@ -67,7 +67,7 @@
   };
 }
 
-/** A TCP relay whose connections can be cut, or go silent for good while new ones work. */
+/** A TCP relay whose open connections can be cut, or stop transferring data while new ones work. */
 export class Relay {
   private readonly pairs = new Set<readonly [Socket, Socket]>();
   private readonly server: Server;
@@ -118,16 +118,16 @@
   }
 }
 
-/** A server with handlers, behind a relay, and a gateway that reaches it. */
+/** Starts a server behind a relay, with a gateway that connects through the relay. */
 export async function startPeer(handlers: PeerHandlers) {
   const address = { host: "127.0.0.1", port: 0 };
   const keepalive = { intervalMs: 100, timeoutMs: 100 };
   const server = new PeerServer({ address, handlers, clock, keepalive });
   const relay = new Relay(await server.listen());
   const vm = makeVm("owner", await relay.listen());
-  const links = new PeerLinks({ clock, pingIntervalMs: 60, pingTimeoutMs: 60 });
+  const links = new PeerConnections({ clock, pingIntervalMs: 60, pingTimeoutMs: 60 });
   const gateway = new RemoteGateway({
-    links,
+    connections: links,
     clock,
     getHello: () => makeHello("asker"),
     findOwner: () => vm,
