--- a/src/caller/answer.ts
+++ b/src/caller/answer.ts
@@ -1,7 +1,7 @@
 import { assertInvariant } from "../model/index.js";
 import type { SessionStep } from "../session/index.js";
-import { backend, isWholeMessage } from "./message.js";
-import type { Output } from "./output.js";
+import { backendTypes, hasStatedLength } from "./message.js";
+import type { CallerOutput } from "./output.js";
 import type { ExpectedReply } from "./plan.js";
 
 /**
@@ -11,98 +11,106 @@
  */
 export class AnswerRelay {
   /** What the replies so far change in the session. */
-  readonly steps: SessionStep[] = [];
+  readonly sessionSteps: SessionStep[] = [];
   hasFailed = false;
   /** Whether a byte has gone to the caller. */
-  hasBegun = false;
+  hasForwarded = false;
   /** The answer did not fit the request; the connection to the caller can't go on. */
-  isBroken = false;
-  private completions = 0;
-  private next = 0;
-  private held: Uint8Array | undefined;
+  hasMismatch = false;
+  private completedCommands = 0;
+  private nextReply = 0;
+  private heldCompletion: Uint8Array | undefined;
   private hasEnded = false;
 
   constructor(
-    private readonly output: Output,
+    private readonly output: CallerOutput,
     private readonly replies: readonly ExpectedReply[] | undefined,
   ) {}
 
   /** Takes one message of the answer. */
   readonly accept = (message: Uint8Array): Promise<void> | undefined => {
-    if (this.isBroken) return undefined;
-    if (!this.check(!this.hasEnded, () => "a message came after the answer's end"))
+    if (this.hasMismatch) return undefined;
+    if (!this.checkAnswer(!this.hasEnded, () => "a message came after the answer's end"))
       return undefined;
-    if (!this.check(isWholeMessage(message), () => "a message is cut short")) return undefined;
-    const wasExpected = this.note(message[0] ?? 0);
-    if (!this.check(wasExpected !== "unexpected", () => describeMessage(message))) return undefined;
-    return wasExpected === "dropped" ? undefined : this.hand(message);
+    if (!this.checkAnswer(hasStatedLength(message), () => "a message is cut short"))
+      return undefined;
+    const classification = this.recordMessage(message[0] ?? 0);
+    if (!this.checkAnswer(classification !== "unexpected", () => describeMismatch(message)))
+      return undefined;
+    return classification === "dropped" ? undefined : this.forward(message);
   };
 
   /** Ends an answer that came whole. */
   finish(): void {
     const isWhole =
-      this.replies === undefined ? this.completions > 0 : this.next === this.replies.length;
-    if (!this.isBroken) {
-      this.check(isWhole || this.hasFailed, () => "the answer ended before its last reply");
+      this.replies === undefined
+        ? this.completedCommands > 0
+        : this.nextReply === this.replies.length;
+    if (!this.hasMismatch) {
+      this.checkAnswer(isWhole || this.hasFailed, () => "the answer ended before its last reply");
     }
-    if (this.held !== undefined && !this.isBroken) void this.output.write(this.held);
+    if (this.heldCompletion !== undefined && !this.hasMismatch)
+      void this.output.write(this.heldCompletion);
     this.close();
   }
 
   /** Ends an answer that failed: what waited for the outcome is dropped. */
   close(): void {
     this.hasEnded = true;
-    this.held = undefined;
+    this.heldCompletion = undefined;
   }
 
-  private hand(message: Uint8Array): Promise<void> | undefined {
-    const before = this.held;
-    const isComplete = message[0] === backend.commandComplete;
-    this.hasBegun ||= before !== undefined || !isComplete;
+  private forward(message: Uint8Array): Promise<void> | undefined {
+    const previous = this.heldCompletion;
+    const isComplete = message[0] === backendTypes.commandComplete;
+    this.hasForwarded ||= previous !== undefined || !isComplete;
     // The sender may use the bytes again once this returns.
-    this.held = isComplete ? Buffer.from(message) : undefined;
-    const sent = before === undefined ? undefined : this.output.write(before);
+    this.heldCompletion = isComplete ? Buffer.from(message) : undefined;
+    const sent = previous === undefined ? undefined : this.output.write(previous);
     return isComplete ? sent : this.output.write(message);
   }
 
-  private note(type: number): "expected" | "dropped" | "unexpected" {
+  private recordMessage(type: number): "expected" | "dropped" | "unexpected" {
     switch (type) {
-      case backend.errorResponse:
+      case backendTypes.errorResponse:
         this.hasFailed = true;
         return "expected";
-      case backend.noticeResponse:
-      case backend.parameterStatus:
+      case backendTypes.noticeResponse:
+      case backendTypes.parameterStatus:
         return "expected";
-      case backend.notificationResponse:
+      case backendTypes.notificationResponse:
         // The shared connection's, not this caller's.
         return "dropped";
-      case backend.readyForQuery:
-      case backend.copyInResponse:
+      case backendTypes.readyForQuery:
+      case backendTypes.copyInResponse:
         return "unexpected";
       default:
-        return this.replies === undefined ? this.noteQuery(type) : this.noteReply(type);
+        return this.replies === undefined
+          ? this.recordSimpleQueryReply(type)
+          : this.recordExpectedReply(type);
     }
   }
 
-  private noteQuery(type: number): "expected" {
-    if (isCompletion(type) || type === functionCallResponse) this.completions += 1;
+  private recordSimpleQueryReply(type: number): "expected" {
+    if (isCompletion(type) || type === functionCallResponse) this.completedCommands += 1;
     return "expected";
   }
 
-  private noteReply(type: number): "expected" | "dropped" | "unexpected" {
-    const reply = this.replies?.[this.next];
+  private recordExpectedReply(type: number): "expected" | "dropped" | "unexpected" {
+    const reply = this.replies?.[this.nextReply];
     if (reply === undefined || this.hasFailed) return "unexpected";
     const match = matchReply(reply, type);
-    if (match === "no") return "unexpected";
-    if (match === "part") return "expected";
-    this.next += 1;
-    if (reply.type === "parse" || reply.type === "closeStatement") this.steps.push(reply.step);
+    if (match === "mismatch") return "unexpected";
+    if (match === "partial") return "expected";
+    this.nextReply += 1;
+    if (reply.type === "parse" || reply.type === "closeStatement")
+      this.sessionSteps.push(reply.step);
     return reply.type === "injectedParse" ? "dropped" : "expected";
   }
 
-  private check(holds: boolean, detail: () => string): boolean {
-    if (holds) return true;
-    this.isBroken = true;
+  private checkAnswer(isValid: boolean, detail: () => string): boolean {
+    if (isValid) return true;
+    this.hasMismatch = true;
     assertInvariant("wholeOwnAnswer", false, detail);
     return false;
   }
@@ -112,31 +120,31 @@
 const copyOutTypes: ReadonlySet<number> = new Set([0x48, 0x64, 0x63]);
 
 function isCompletion(type: number): boolean {
-  return type === backend.commandComplete || type === backend.emptyQueryResponse;
+  return type === backendTypes.commandComplete || type === backendTypes.emptyQueryResponse;
 }
 
-function matchReply(reply: ExpectedReply, type: number): "whole" | "part" | "no" {
-  const whole = (holds: boolean) => (holds ? "whole" : "no");
+function matchReply(reply: ExpectedReply, type: number): "complete" | "partial" | "mismatch" {
+  const matchIf = (isLast: boolean) => (isLast ? "complete" : "mismatch");
   switch (reply.type) {
     case "injectedParse":
     case "parse":
-      return whole(type === backend.parseComplete);
+      return matchIf(type === backendTypes.parseComplete);
     case "bind":
-      return whole(type === backend.bindComplete);
+      return matchIf(type === backendTypes.bindComplete);
     case "closeStatement":
     case "closePortal":
-      return whole(type === backend.closeComplete);
+      return matchIf(type === backendTypes.closeComplete);
     case "describeStatement":
-      if (type === backend.parameterDescription) return "part";
-      return whole(type === backend.rowDescription || type === backend.noData);
+      if (type === backendTypes.parameterDescription) return "partial";
+      return matchIf(type === backendTypes.rowDescription || type === backendTypes.noData);
     case "describePortal":
-      return whole(type === backend.rowDescription || type === backend.noData);
+      return matchIf(type === backendTypes.rowDescription || type === backendTypes.noData);
     case "execute":
-      if (type === backend.dataRow || copyOutTypes.has(type)) return "part";
-      return whole(isCompletion(type) || type === backend.portalSuspended);
+      if (type === backendTypes.dataRow || copyOutTypes.has(type)) return "partial";
+      return matchIf(isCompletion(type) || type === backendTypes.portalSuspended);
   }
 }
 
-function describeMessage(message: Uint8Array): string {
+function describeMismatch(message: Uint8Array): string {
   return `a message of type ${String.fromCharCode(message[0] ?? 0)} does not fit the request`;
 }
--- a/src/caller/batch.ts
+++ b/src/caller/batch.ts
@@ -1,5 +1,5 @@
 import { ProtocolError } from "./frame.js";
-import { frontend, headerLength, readText } from "./message.js";
+import { frontendTypes, messageHeaderBytes, readCString } from "./message.js";
 
 /** What a caller sends at once and gets one answer to. */
 export type Batch =
@@ -19,13 +19,13 @@
  */
 export class BatchCollector {
   private messages: Uint8Array[] = [];
-  private bytes = 0;
+  private collectedBytes = 0;
   private hasBound = false;
 
   constructor(private readonly maxBytes: number) {}
 
   /** Whether messages wait for their `Sync`. */
-  get isPartial(): boolean {
+  get hasMessages(): boolean {
     return this.messages.length > 0;
   }
 
@@ -33,27 +33,27 @@
   add(message: Uint8Array): Batch | undefined {
     const type = message[0] ?? 0;
     switch (type) {
-      case frontend.query:
+      case frontendTypes.query:
         return { type: "query", text: readQuery(message), message: Buffer.from(message) };
-      case frontend.functionCall:
+      case frontendTypes.functionCall:
         return { type: "functionCall", message: Buffer.from(message) };
-      case frontend.sync:
-        return this.finish("sync");
-      case frontend.flush:
-        return this.hasBound || !this.isPartial ? undefined : this.finish("flush");
-      case frontend.bind:
-      case frontend.execute:
+      case frontendTypes.sync:
+        return this.completeBatch("sync");
+      case frontendTypes.flush:
+        return this.hasBound || !this.hasMessages ? undefined : this.completeBatch("flush");
+      case frontendTypes.bind:
+      case frontendTypes.execute:
         this.hasBound = true;
-        this.keep(message);
+        this.append(message);
         return undefined;
-      case frontend.parse:
-      case frontend.describe:
-      case frontend.close:
-        this.keep(message);
+      case frontendTypes.parse:
+      case frontendTypes.describe:
+      case frontendTypes.close:
+        this.append(message);
         return undefined;
-      case frontend.copyData:
-      case frontend.copyDone:
-      case frontend.copyFail:
+      case frontendTypes.copyData:
+      case frontendTypes.copyDone:
+      case frontendTypes.copyFail:
         // As PostgreSQL does: what is left of a copy that was refused is passed over.
         return undefined;
       default:
@@ -61,23 +61,24 @@
     }
   }
 
-  private keep(message: Uint8Array): void {
-    this.bytes += message.length;
-    if (this.bytes > this.maxBytes) throw new ProtocolError("too many bytes before a Sync");
+  private append(message: Uint8Array): void {
+    this.collectedBytes += message.length;
+    if (this.collectedBytes > this.maxBytes)
+      throw new ProtocolError("too many bytes before a Sync");
     this.messages.push(Buffer.from(message));
   }
 
-  private finish(end: "sync" | "flush"): Batch {
+  private completeBatch(end: "sync" | "flush"): Batch {
     const { messages } = this;
     this.messages = [];
-    this.bytes = 0;
+    this.collectedBytes = 0;
     this.hasBound = false;
     return { type: "extended", messages, end };
   }
 }
 
 function readQuery(message: Uint8Array): string {
-  const query = readText(message, headerLength);
+  const query = readCString(message, messageHeaderBytes);
   if (query?.end !== message.length) throw new ProtocolError("malformed query");
   return query.text;
 }
--- a/src/caller/session-holder.ts
+++ b/src/caller/caller-session.ts
@@ -9,15 +9,15 @@
   signToken,
   type TokenKey,
 } from "../session/index.js";
-import { encodeParameter } from "./message.js";
-import type { Output } from "./output.js";
+import { encodeParameterStatus } from "./message.js";
+import type { CallerOutput } from "./output.js";
 import { tokenParameter } from "./startup.js";
 
 /** Holds a session's state and tells the caller its token whenever the marks have grown. */
-export class SessionHolder {
+export class CallerSession {
   constructor(
     private session: Session,
-    private readonly output: Output,
+    private readonly output: CallerOutput,
     private readonly limits: SessionLimits,
     private readonly tokenKeys: () => readonly TokenKey[],
   ) {}
@@ -32,13 +32,13 @@
       const result = applyStep(this.session, step, this.limits);
       if (result.type === "failed") return result.failure;
       this.session = result.state;
-      if (result.effects.length > 0) this.tellToken();
+      if (result.effects.length > 0) this.sendToken();
     }
     return undefined;
   }
 
   /** The session must see `mark` from now on. */
-  see(mark: Mark | undefined): void {
+  recordMark(mark: Mark | undefined): void {
     if (mark !== undefined) this.apply([{ type: "see", group: this.session.group, mark }]);
   }
 
@@ -47,7 +47,7 @@
     return signToken(describeToken(this.session), this.tokenKeys());
   }
 
-  private tellToken(): void {
-    void this.output.write(encodeParameter(tokenParameter, this.signToken()));
+  private sendToken(): void {
+    void this.output.write(encodeParameterStatus(tokenParameter, this.signToken()));
   }
 }
--- a/src/caller/chain.ts
+++ b/src/caller/chain.ts
@@ -13,9 +13,9 @@
   type RuleAction,
   type Team,
 } from "../model/index.js";
-import { demand, findKind, type RequestContext } from "./context.js";
+import { requirePart, findKind, type RequestContext } from "./context.js";
 import { OwnerRetry } from "./retry.js";
-import { opensTransaction } from "./transaction.js";
+import { leavesTransactionOpen } from "./transaction.js";
 
 /** What a rule says of a request. */
 export interface RuleDecision {
@@ -32,47 +32,47 @@
   readonly logger: Logger;
 }
 
-const rosterRetryMs = 60_000;
+const unknownTeamRetryMs = 60_000;
 
 /** Builds the chain of a request: identify, classify, match, locate, retry, answer. */
 export function buildRequestChain(options: ChainOptions): Next<RequestContext> {
   return composeFilters<RequestContext>([
-    createIdentify(options),
-    classify,
-    createMatch(options),
-    createLocate(options),
+    createIdentifyFilter(options),
+    classifyFilter,
+    createMatchFilter(options),
+    createLocateFilter(options),
     new OwnerRetry(options.clock, options.random, options.logger),
-    answer,
+    answerFilter,
   ]);
 }
 
-function createIdentify({ findTeam }: ChainOptions): Filter<RequestContext> {
+function createIdentifyFilter({ findTeam }: ChainOptions): Filter<RequestContext> {
   return {
     name: "identify",
     apply: (context, next) => {
       const team = findTeam(context.session.team.name);
       return team === undefined
-        ? Promise.resolve(refuse("the team is no longer on the roster", rosterRetryMs))
+        ? Promise.resolve(createRefusal("the team is no longer on the roster", unknownTeamRetryMs))
         : next({ ...context, team });
     },
   };
 }
 
-const classify: Filter<RequestContext> = {
+const classifyFilter: Filter<RequestContext> = {
   name: "classify",
-  apply: (context, next) => next({ ...context, traits: describeTraits(context) }),
+  apply: (context, next) => next({ ...context, traits: getTraits(context) }),
 };
 
-function createMatch({ match, logger }: ChainOptions): Filter<RequestContext> {
+function createMatchFilter({ match, logger }: ChainOptions): Filter<RequestContext> {
   return {
     name: "match",
     apply: (context, next) => {
-      const traits = demand(context.traits);
+      const traits = requirePart(context.traits);
       const { rule, action } = match(traits);
       logger.write(callerEvents.decided, { ...traits, request: context.id, rule, action });
       switch (action.type) {
         case "refuse":
-          return Promise.resolve(refuse(action.reason, action.retryAfterMs));
+          return Promise.resolve(createRefusal(action.reason, action.retryAfterMs));
         case "serve":
           return next({ ...context, decision: { rule, action } });
       }
@@ -80,20 +80,20 @@
   };
 }
 
-function createLocate({ clock }: ChainOptions): Filter<RequestContext> {
+function createLocateFilter({ clock }: ChainOptions): Filter<RequestContext> {
   return {
     name: "locate",
     apply: (context, next) => {
-      const { rule, action } = demand(context.decision);
+      const { rule, action } = requirePart(context.decision);
       const mark = context.session.marks.get(context.session.group);
-      const idempotency = findIdempotency(context);
+      const idempotency = getIdempotencyKey(context);
       // What such a session has seen is not known here; only the primary is sure to hold it.
-      const isFloored = mark === undefined && !context.session.isComplete;
+      const isPrimaryRequired = mark === undefined && !context.session.isComplete;
       const request: Request = {
         id: context.id,
-        traits: demand(context.traits),
+        traits: requirePart(context.traits),
         rule,
-        action: isFloored ? { ...action, route: { type: "primary" } } : action,
+        action: isPrimaryRequired ? { ...action, route: { type: "primary" } } : action,
         deadlineAt: clock.now() + action.deadlineMs,
         ...(mark === undefined ? {} : { mark }),
         ...(idempotency === undefined ? {} : { idempotency }),
@@ -103,23 +103,23 @@
   };
 }
 
-const answer: Filter<RequestContext> = {
+const answerFilter: Filter<RequestContext> = {
   name: "answer",
   apply: async (context) => {
     const { attempt, plan, signal } = context;
     const { conversation, relay } = attempt;
-    const request = demand(context.request);
+    const request = requirePart(context.request);
     const outcome = await conversation.run(request, plan.messages, relay.accept, signal);
     assertOwnWritesSeen(request, outcome);
     return outcome;
   },
 };
 
-function describeTraits(context: RequestContext): RequestTraits {
+function getTraits(context: RequestContext): RequestTraits {
   const { plan, session, transaction } = context;
   const isOpen = transaction.type === "open";
-  const effect = isOpen ? (transaction.readOnly ? "read" : "write") : plan.effect;
-  const { name: team, plan: teamPlan } = demand(context.team);
+  const effect = isOpen ? (transaction.isReadOnly ? "read" : "write") : plan.effect;
+  const { name: team, plan: teamPlan } = requirePart(context.team);
   return {
     group: session.group,
     team,
@@ -127,11 +127,11 @@
     kind: findKind(context, plan) ?? effect,
     effect,
     tables: plan.tables,
-    transaction: isOpen || opensTransaction(plan.statements),
+    transaction: isOpen || leavesTransactionOpen(plan.statements),
   };
 }
 
-function findIdempotency({ plan, session }: RequestContext): IdempotencyKey | undefined {
+function getIdempotencyKey({ plan, session }: RequestContext): IdempotencyKey | undefined {
   const isWrite = plan.effect === "write" && plan.statements.some((s) => s.type === "plain");
   const key = plan.tags.get("idempotency_key") ?? session.idempotencyKey;
   return isWrite && key !== undefined ? { key, digest: plan.digest } : undefined;
@@ -149,7 +149,7 @@
   );
 }
 
-function refuse(message: string, retryAfterMs: number): Outcome {
+function createRefusal(message: string, retryAfterMs: number): Outcome {
   return {
     type: "failed",
     verdict: { type: "notRun", reason: "refusedByRule", retryAfterMs },
--- a/src/caller/connection.ts
+++ b/src/caller/connection.ts
@@ -5,19 +5,23 @@
 import type { Clock } from "../model/index.js";
 import type { Session } from "../session/index.js";
 import { BatchCollector } from "./batch.js";
-import { type CallerError, describeVerdict, encodeError, sqlStates } from "./errors.js";
+import { type CallerError, createVerdictError, encodeError, sqlStates } from "./errors.js";
 import { ProtocolError } from "./frame.js";
-import { type ConnectionActivity, findExpired } from "./expiry.js";
+import { type ConnectionActivity, findTimeoutError } from "./timeouts.js";
 import { InputQueue, type QueuedInput, type QueuedItem } from "./input.js";
 import type { CallerLimits } from "./limits.js";
-import { frontend } from "./message.js";
-import { Output } from "./output.js";
+import { frontendTypes } from "./message.js";
+import { CallerOutput } from "./output.js";
 import { BatchRunner, type RunnerOptions } from "./runner.js";
-import { type BackendKey, encodeGreeting } from "./startup.js";
-import { type EarlyRequest, Wire, type WireHandlers } from "./wire.js";
+import { type BackendKey, encodeStartupReply } from "./startup.js";
+import {
+  type PreStartupRequest,
+  ProtocolReader,
+  type ProtocolHandlers,
+} from "./protocol-reader.js";
 
 /** A session that may begin, or why it may not. */
-export type Welcome =
+export type StartupResult =
   | { readonly type: "refused"; readonly error: CallerError }
   | {
       readonly type: "accepted";
@@ -35,29 +39,29 @@
   readonly serverVersion: string;
   /** Absent while callers are served without TLS, by an explicit setting. */
   readonly getSecureContext?: () => SecureContext;
-  welcome(
+  startSession(
     connection: CallerConnection,
     parameters: Readonly<Record<string, string>>,
     isSecure: boolean,
-  ): Welcome;
+  ): StartupResult;
   cancel(processId: number, secret: number): void;
   /** Counts bytes taken in and, below zero, given back. False when all callers hold too many. */
-  countInput(bytes: number): boolean;
+  countInputBytes(bytes: number): boolean;
   remove(connection: CallerConnection): void;
 }
 
 /** One caller's connection: its start-up, its batches in order, and its end. */
-export class CallerConnection implements WireHandlers {
-  private wire: Wire;
-  private output: Output;
+export class CallerConnection implements ProtocolHandlers {
+  private reader: ProtocolReader;
+  private output: CallerOutput;
   private runner: BatchRunner | undefined;
   private readonly collector: BatchCollector;
   private readonly input: InputQueue;
   private lastActiveAt: number;
-  private isWorking = false;
+  private isProcessing = false;
   private isPaused = false;
   private isDraining = false;
-  private isEnding = false;
+  private isClosing = false;
   private isClosed = false;
 
   constructor(
@@ -65,11 +69,11 @@
     private readonly host: ConnectionHost,
   ) {
     const { limits, clock } = host;
-    this.input = new InputQueue((bytes) => host.countInput(bytes));
+    this.input = new InputQueue((bytes) => host.countInputBytes(bytes));
     this.collector = new BatchCollector(limits.maxMessageBytes);
     this.lastActiveAt = clock.now();
-    this.output = new Output(socket, clock);
-    this.wire = new Wire(socket, this, limits.maxMessageBytes);
+    this.output = new CallerOutput(socket, clock);
+    this.reader = new ProtocolReader(socket, this, limits.maxMessageBytes);
     socket.on("error", () => socket.destroy());
     socket.on("close", () => this.handleClose());
   }
@@ -83,20 +87,20 @@
   /** Ends the connection as soon as nothing is in flight on it. */
   drain(): void {
     this.isDraining = true;
-    this.endIfDrained();
+    this.closeIfDrained();
   }
 
   /** Ends the connection with a last word. */
-  end(error: CallerError): void {
-    if (this.isEnding) return;
-    this.isEnding = true;
+  closeWithError(error: CallerError): void {
+    if (this.isClosing) return;
+    this.isClosing = true;
     this.lastActiveAt = this.host.clock.now();
-    this.wire.detach();
+    this.reader.detach();
     // What the caller still sends is read and dropped: closing over unread bytes resets the
     // connection, and the caller would lose this last message.
     this.socket.resume();
     this.output.end(encodeError(error));
-    if (!this.isWorking) this.runner?.close();
+    if (!this.isProcessing) this.runner?.close();
   }
 
   /** Ends the connection at once, with what is in flight. */
@@ -105,16 +109,16 @@
   }
 
   /** Ends the connection when it has overstepped a limit in time. */
-  checkTime(): void {
-    const expired = findExpired(this.describeActivity(), this.host.limits);
-    if (expired === undefined) return;
-    this.host.logger.write(callerEvents.dropped, { reason: expired.message });
-    const isSilent = this.isEnding || this.output.blockedMs > 0;
-    if (isSilent) this.destroy();
-    else this.end(expired);
+  checkTimeouts(): void {
+    const timeoutError = findTimeoutError(this.getActivity(), this.host.limits);
+    if (timeoutError === undefined) return;
+    this.host.logger.write(callerEvents.dropped, { reason: timeoutError.message });
+    const isUnresponsive = this.isClosing || this.output.writeBlockedMs > 0;
+    if (isUnresponsive) this.destroy();
+    else this.closeWithError(timeoutError);
   }
 
-  onEarly(request: EarlyRequest): void {
+  onPreStartupRequest(request: PreStartupRequest): void {
     const { getSecureContext, limits, clock } = this.host;
     switch (request.type) {
       case "cancel":
@@ -126,94 +130,94 @@
         break;
       case "ssl":
         this.socket.write(getSecureContext === undefined ? "N" : "S");
-        if (getSecureContext !== undefined) this.wrapSocket(getSecureContext());
+        if (getSecureContext !== undefined) this.startTls(getSecureContext());
         break;
     }
-    this.output = new Output(this.socket, clock);
-    this.wire = new Wire(this.socket, this, limits.maxMessageBytes);
+    this.output = new CallerOutput(this.socket, clock);
+    this.reader = new ProtocolReader(this.socket, this, limits.maxMessageBytes);
   }
 
   onStartup(parameters: Readonly<Record<string, string>>): void {
-    const welcome = this.host.welcome(this, parameters, this.socket instanceof TLSSocket);
-    if (welcome.type === "refused") {
-      this.host.logger.write(callerEvents.refused, { ...welcome.error });
-      this.end(welcome.error);
+    const result = this.host.startSession(this, parameters, this.socket instanceof TLSSocket);
+    if (result.type === "refused") {
+      this.host.logger.write(callerEvents.refused, { ...result.error });
+      this.closeWithError(result.error);
       return;
     }
-    const { session, applicationName, key } = welcome;
+    const { session, applicationName, key } = result;
     this.runner = new BatchRunner(session, this.output, this.host.runner);
     this.input.releaseAll();
     this.lastActiveAt = this.host.clock.now();
     this.host.logger.write(callerEvents.opened, { team: session.team.name, group: session.group });
     const { serverVersion } = this.host;
     const token = this.runner.signToken();
-    void this.output.write(encodeGreeting({ serverVersion, applicationName, token, key }));
-    this.endIfDrained();
+    void this.output.write(encodeStartupReply({ serverVersion, applicationName, token, key }));
+    this.closeIfDrained();
   }
 
   onMessage(message: Uint8Array): void {
-    if (this.isEnding) return;
+    if (this.isClosing) return;
     this.input.addMessage(message.length);
     const batch =
-      message[0] === frontend.terminate
+      message[0] === frontendTypes.terminate
         ? ({ type: "terminate" } as const)
         : this.collector.add(message);
     if (batch !== undefined) this.enqueue(batch);
   }
 
-  onBytes(count: number): void {
+  onBytesReceived(count: number): void {
     // The start-up has one limit in all: a caller could draw it out byte by byte.
     if (this.runner !== undefined) this.lastActiveAt = this.host.clock.now();
-    if (this.input.hold(count)) return;
+    if (this.input.addReceivedBytes(count)) return;
     const message = "all callers together have too many bytes waiting";
-    this.endInTurn({ severity: "FATAL", code: sqlStates.outOfMemory, message });
+    this.closeAfterQueuedInput({ severity: "FATAL", code: sqlStates.outOfMemory, message });
   }
 
-  onTaken(): void {
+  onChunkProcessed(): void {
     if (!this.input.isFull) return;
     this.isPaused = true;
     this.socket.pause();
   }
 
-  onViolation(error: ProtocolError): void {
+  onProtocolError(error: ProtocolError): void {
     this.host.logger.write(callerEvents.dropped, { reason: error.message });
     const { message } = error;
-    this.endInTurn({ severity: "FATAL", code: sqlStates.protocolViolation, message });
+    this.closeAfterQueuedInput({ severity: "FATAL", code: sqlStates.protocolViolation, message });
   }
 
   /** Ends the connection once the batches that came before are answered. */
-  private endInTurn(error: CallerError): void {
-    this.wire.detach();
-    if (this.runner === undefined) this.end(error);
+  private closeAfterQueuedInput(error: CallerError): void {
+    this.reader.detach();
+    if (this.runner === undefined) this.closeWithError(error);
     else this.enqueue({ type: "end", error });
   }
 
   private enqueue(item: QueuedItem): void {
     this.input.push(item);
-    if (!this.isWorking) void this.work();
+    if (!this.isProcessing) void this.processInput();
   }
 
-  private async work(): Promise<void> {
-    this.isWorking = true;
+  private async processInput(): Promise<void> {
+    this.isProcessing = true;
     try {
       for (let next = this.input.shift(); next !== undefined; next = this.input.shift()) {
         if (!(await this.runNext(next))) break;
       }
     } catch (error) {
-      this.endBroken(error);
+      this.closeAfterException(error);
     }
-    this.isWorking = false;
+    this.isProcessing = false;
     this.lastActiveAt = this.host.clock.now();
     if (this.isClosed) this.runner?.close();
-    else this.endIfDrained();
+    else this.closeIfDrained();
   }
 
   private async runNext(next: QueuedInput): Promise<boolean> {
-    const goesOn = !this.isClosed && !this.isEnding && (await this.runItem(next.item));
+    const canContinue = !this.isClosed && !this.isClosing && (await this.runItem(next.item));
     this.input.release(next);
-    if (goesOn) this.resume();
-    else if (!this.isEnding) this.output.end();
-    return goesOn;
+    if (canContinue) this.resumeReading();
+    else if (!this.isClosing) this.output.end();
+    return canContinue;
   }
 
   private async runItem(item: QueuedItem): Promise<boolean> {
@@ -221,7 +225,7 @@
       case "terminate":
         return false;
       case "end":
-        this.end(item.error);
+        this.closeWithError(item.error);
         return false;
       case "query":
       case "functionCall":
@@ -230,41 +234,41 @@
     }
   }
 
-  private endBroken(error: unknown): void {
+  private closeAfterException(error: unknown): void {
     const message = error instanceof Error ? error.message : String(error);
-    const isOfCaller = error instanceof ProtocolError;
-    const event = isOfCaller ? callerEvents.dropped : callerEvents.broken;
+    const isCallerFault = error instanceof ProtocolError;
+    const event = isCallerFault ? callerEvents.dropped : callerEvents.broken;
     this.host.logger.write(event, { reason: message });
-    const code = isOfCaller ? sqlStates.protocolViolation : sqlStates.internalError;
-    this.end({ severity: "FATAL", code, message });
+    const code = isCallerFault ? sqlStates.protocolViolation : sqlStates.internalError;
+    this.closeWithError({ severity: "FATAL", code, message });
   }
 
-  private resume(): void {
-    if (!this.isPaused || !this.input.hasRoom) return;
+  private resumeReading(): void {
+    if (!this.isPaused || !this.input.canResume) return;
     this.isPaused = false;
     this.socket.resume();
   }
 
-  private endIfDrained(): void {
-    const isInFlight = this.isWorking || !this.input.isEmpty || this.runner?.isInTransaction;
-    if (!this.isDraining || isInFlight === true || this.isEnding) return;
+  private closeIfDrained(): void {
+    const isInFlight = this.isProcessing || !this.input.isEmpty || this.runner?.isInTransaction;
+    if (!this.isDraining || isInFlight === true || this.isClosing) return;
     // A request that is on its way to here will not be read.
     const verdict = { type: "notRun", reason: "draining", retryAfterMs: 0 } as const;
-    const error = describeVerdict(verdict, "the proxy is leaving; connect again");
-    this.end({ ...error, severity: "FATAL" });
+    const error = createVerdictError(verdict, "the proxy is leaving; connect again");
+    this.closeWithError({ ...error, severity: "FATAL" });
   }
 
   private handleClose(): void {
     if (this.isClosed) return;
     this.isClosed = true;
-    this.isEnding = true;
-    this.wire.detach();
-    this.runner?.abandon();
+    this.isClosing = true;
+    this.reader.detach();
+    this.runner?.handleDisconnect();
     this.input.releaseAll();
     this.host.remove(this);
   }
 
-  private wrapSocket(secureContext: SecureContext): void {
+  private startTls(secureContext: SecureContext): void {
     const plain = this.socket;
     const secure = new TLSSocket(plain, { isServer: true, secureContext });
     secure.on("error", () => plain.destroy());
@@ -272,19 +276,19 @@
     this.socket = secure;
   }
 
-  private describeActivity(): ConnectionActivity {
+  private getActivity(): ConnectionActivity {
     return {
-      state: this.findState(),
+      state: this.getState(),
       isInTransaction: this.runner?.isInTransaction === true,
-      isPartial: this.wire.isPartial,
-      quietMs: this.host.clock.now() - this.lastActiveAt,
-      blockedMs: this.output.blockedMs,
+      hasPartialMessage: this.reader.isPartial,
+      inactiveMs: this.host.clock.now() - this.lastActiveAt,
+      writeBlockedMs: this.output.writeBlockedMs,
     };
   }
 
-  private findState(): ConnectionActivity["state"] {
-    if (this.isEnding) return "ending";
+  private getState(): ConnectionActivity["state"] {
+    if (this.isClosing) return "closing";
     if (this.runner === undefined) return "starting";
-    return this.isWorking ? "running" : "idle";
+    return this.isProcessing ? "running" : "idle";
   }
 }
--- a/src/caller/context.ts
+++ b/src/caller/context.ts
@@ -28,7 +28,7 @@
 }
 
 /** A part of the context that an earlier filter has added. */
-export function demand<T>(part: T | undefined): T {
+export function requirePart<T>(part: T | undefined): T {
   if (part === undefined) throw new Error("a filter stands out of order in the chain");
   return part;
 }
@@ -38,6 +38,6 @@
   { session, transaction }: Pick<RequestContext, "session" | "transaction">,
   plan: BatchPlan,
 ): string | undefined {
-  const ofTransaction = transaction.type === "open" ? transaction.kind : undefined;
-  return plan.tags.get("kind") ?? ofTransaction ?? session.kind;
+  const transactionKind = transaction.type === "open" ? transaction.kind : undefined;
+  return plan.tags.get("kind") ?? transactionKind ?? session.kind;
 }
--- a/src/caller/errors.ts
+++ b/src/caller/errors.ts
@@ -1,5 +1,5 @@
 import { findSqlState, mayHaveRunState, type Verdict } from "../model/index.js";
-import { backend, encodeMessage, encodeText } from "./message.js";
+import { backendTypes, encodeMessage, encodeCString } from "./message.js";
 
 /** An error as a caller sees it. */
 export interface CallerError {
@@ -30,7 +30,7 @@
 } as const;
 
 /** The request ran, but its answer is lost: an error that no driver takes for one to retry. */
-const ranState = "58000";
+const ranSqlState = "58000";
 
 /** Builds `ErrorResponse`. */
 export function encodeError(error: CallerError): Buffer {
@@ -42,11 +42,11 @@
   ];
   if (error.detail !== undefined) fields.push(encodeField("D", error.detail));
   if (error.hint !== undefined) fields.push(encodeField("H", error.hint));
-  return encodeMessage(backend.errorResponse, ...fields, Buffer.of(0));
+  return encodeMessage(backendTypes.errorResponse, ...fields, Buffer.of(0));
 }
 
 /** Says to the caller whether its request may have run, and when to come back. */
-export function describeVerdict(verdict: Verdict, message: string): CallerError {
+export function createVerdictError(verdict: Verdict, message: string): CallerError {
   switch (verdict.type) {
     case "notRun":
       return {
@@ -64,10 +64,10 @@
         detail: `verdict: mayHaveRun; reason: ${verdict.reason}`,
       };
     case "ran":
-      return { severity: "ERROR", code: ranState, message, detail: "verdict: ran" };
+      return { severity: "ERROR", code: ranSqlState, message, detail: "verdict: ran" };
   }
 }
 
 function encodeField(name: string, value: string): Buffer {
-  return Buffer.concat([Buffer.from(name), encodeText(value)]);
+  return Buffer.concat([Buffer.from(name), encodeCString(value)]);
 }
--- a/src/caller/extended.ts
+++ b/src/caller/extended.ts
@@ -1,5 +1,11 @@
 import { ProtocolError } from "./frame.js";
-import { encodeMessage, encodeText, frontend, headerLength, readText } from "./message.js";
+import {
+  encodeMessage,
+  encodeCString,
+  frontendTypes,
+  messageHeaderBytes,
+  readCString,
+} from "./message.js";
 
 /** An extended message as the plan of a batch needs it. */
 export type ExtendedMessage =
@@ -30,16 +36,16 @@
 export function parseExtended(message: Uint8Array): ExtendedMessage {
   const type = message[0] ?? 0;
   switch (type) {
-    case frontend.parse:
+    case frontendTypes.parse:
       return parseParse(message);
-    case frontend.bind:
+    case frontendTypes.bind:
       return parseBind(message);
-    case frontend.execute:
-      return { type: "execute", portal: take(message, headerLength).text, message };
-    case frontend.describe:
-      return parseNamed(message, "describeStatement", "describePortal");
-    case frontend.close:
-      return parseNamed(message, "closeStatement", "closePortal");
+    case frontendTypes.execute:
+      return { type: "execute", portal: requireCString(message, messageHeaderBytes).text, message };
+    case frontendTypes.describe:
+      return parseStatementOrPortal(message, "describeStatement", "describePortal");
+    case frontendTypes.close:
+      return parseStatementOrPortal(message, "closeStatement", "closePortal");
     default:
       throw new ProtocolError("not a message of an extended query");
   }
@@ -47,56 +53,59 @@
 
 /** Builds a statement's `Parse` under the unnamed statement. */
 export function encodeUnnamedParse(message: Uint8Array): Buffer {
-  const name = take(message, headerLength);
-  return encodeMessage(frontend.parse, encodeText(""), message.subarray(name.end));
+  const name = requireCString(message, messageHeaderBytes);
+  return encodeMessage(frontendTypes.parse, encodeCString(""), message.subarray(name.end));
 }
 
 /** Builds a `Bind` of the unnamed statement. */
 export function encodeUnnamedBind(portal: string, content: Uint8Array): Buffer {
-  return encodeMessage(frontend.bind, encodeText(portal), encodeText(""), content);
+  return encodeMessage(frontendTypes.bind, encodeCString(portal), encodeCString(""), content);
 }
 
 /** Builds `Describe` or `Close` of the unnamed statement. */
-export function encodeUnnamed(type: "describe" | "close"): Buffer {
-  return encodeMessage(frontend[type], Buffer.of(statementTarget), encodeText(""));
+export function encodeForUnnamedStatement(type: "describe" | "close"): Buffer {
+  return encodeMessage(frontendTypes[type], Buffer.of(statementTarget), encodeCString(""));
 }
 
 /** Builds `Sync`. */
 export function encodeSync(): Buffer {
-  return encodeMessage(frontend.sync);
+  return encodeMessage(frontendTypes.sync);
 }
 
 function parseParse(message: Uint8Array): ExtendedMessage {
-  const name = take(message, headerLength);
-  return { type: "parse", name: name.text, text: take(message, name.end).text, message };
+  const name = requireCString(message, messageHeaderBytes);
+  return { type: "parse", name: name.text, text: requireCString(message, name.end).text, message };
 }
 
 function parseBind(message: Uint8Array): ExtendedMessage {
-  const portal = take(message, headerLength);
-  const statement = take(message, portal.end);
+  const portal = requireCString(message, messageHeaderBytes);
+  const statement = requireCString(message, portal.end);
   const content = message.subarray(statement.end);
   return { type: "bind", portal: portal.text, statement: statement.text, content };
 }
 
-function parseNamed(
+function parseStatementOrPortal(
   message: Uint8Array,
-  ofStatement: "describeStatement" | "closeStatement",
-  ofPortal: "describePortal" | "closePortal",
+  statementType: "describeStatement" | "closeStatement",
+  portalType: "describePortal" | "closePortal",
 ): ExtendedMessage {
-  const { text } = take(message, headerLength + 1);
-  const target = message[headerLength] ?? 0;
+  const { text } = requireCString(message, messageHeaderBytes + 1);
+  const target = message[messageHeaderBytes] ?? 0;
   switch (target) {
     case statementTarget:
-      return { type: ofStatement, name: text };
+      return { type: statementType, name: text };
     case portalTarget:
-      return { type: ofPortal, portal: text, message };
+      return { type: portalType, portal: text, message };
     default:
       throw new ProtocolError("neither a statement nor a portal");
   }
 }
 
-function take(message: Uint8Array, from: number): { readonly text: string; readonly end: number } {
-  const found = readText(message, from);
+function requireCString(
+  message: Uint8Array,
+  from: number,
+): { readonly text: string; readonly end: number } {
+  const found = readCString(message, from);
   if (found === undefined) throw new ProtocolError("text without an end");
   return found;
 }
--- a/src/caller/frame.ts
+++ b/src/caller/frame.ts
@@ -1,4 +1,4 @@
-import { frontend, headerLength } from "./message.js";
+import { frontendTypes, messageHeaderBytes } from "./message.js";
 
 /** The caller broke the protocol; its connection can't be read any further. */
 export class ProtocolError extends Error {
@@ -8,17 +8,17 @@
 const maxStartupLength = 10_000;
 const startupHeaderLength = 4;
 const minStartupLength = 8;
-const knownTypes: ReadonlySet<number> = new Set<number>(Object.values(frontend));
+const knownTypes: ReadonlySet<number> = new Set<number>(Object.values(frontendTypes));
 
 /**
  * Follows the framing of a caller's bytes without keeping them. The protocol library trusts a
  * message's length: a huge one would let its buffer grow without bound, one below the header's size
  * would let it read in place for ever. Lengths are checked here as soon as they are there.
  */
-export class FrameGuard {
-  private hasStarted = false;
+export class FrameValidator {
+  private hasTypeByte = false;
   private header: number[] = [];
-  private remaining = 0;
+  private remainingBytes = 0;
 
   constructor(private readonly maxMessageBytes: number) {}
 
@@ -28,35 +28,35 @@
   }
 
   /** From here on messages have a type byte. */
-  startMessages(): void {
-    this.hasStarted = true;
+  expectTypedMessages(): void {
+    this.hasTypeByte = true;
   }
 
   /**
    * Checks bytes from `from` on, to the end of a message or of the chunk. Answers with the offset
    * reached; throws `ProtocolError`.
    */
-  check(chunk: Uint8Array, from: number): number {
+  validate(chunk: Uint8Array, from: number): number {
     let at = from;
     while (at < chunk.length) {
-      at = this.remaining > 0 ? this.skipContent(chunk, at) : this.checkHeader(chunk, at);
+      at = this.remainingBytes > 0 ? this.skipContent(chunk, at) : this.checkHeader(chunk, at);
       if (!this.isPartial) return at;
     }
     return at;
   }
 
   private skipContent(chunk: Uint8Array, at: number): number {
-    const length = Math.min(this.remaining, chunk.length - at);
-    this.remaining -= length;
-    if (this.remaining === 0) this.header = [];
+    const length = Math.min(this.remainingBytes, chunk.length - at);
+    this.remainingBytes -= length;
+    if (this.remainingBytes === 0) this.header = [];
     return at + length;
   }
 
   private checkHeader(chunk: Uint8Array, at: number): number {
     this.header.push(chunk[at] ?? 0);
-    if (this.hasStarted && this.header.length === 1) this.checkType(chunk[at] ?? 0);
-    const wanted = this.hasStarted ? headerLength : startupHeaderLength;
-    if (this.header.length === wanted) this.checkLength();
+    if (this.hasTypeByte && this.header.length === 1) this.checkType(chunk[at] ?? 0);
+    const headerBytes = this.hasTypeByte ? messageHeaderBytes : startupHeaderLength;
+    if (this.header.length === headerBytes) this.checkLength();
     return at + 1;
   }
 
@@ -66,10 +66,10 @@
 
   private checkLength(): void {
     const length = Buffer.from(this.header.slice(-4)).readUInt32BE();
-    const min = this.hasStarted ? 4 : minStartupLength;
-    const max = this.hasStarted ? this.maxMessageBytes : maxStartupLength;
+    const min = this.hasTypeByte ? 4 : minStartupLength;
+    const max = this.hasTypeByte ? this.maxMessageBytes : maxStartupLength;
     if (length < min || length > max) throw new ProtocolError(`message of ${length} bytes`);
-    this.remaining = length - 4;
-    if (this.remaining === 0) this.header = [];
+    this.remainingBytes = length - 4;
+    if (this.remainingBytes === 0) this.header = [];
   }
 }
--- a/src/caller/input.ts
+++ b/src/caller/input.ts
@@ -11,18 +11,18 @@
   readonly bytes: number;
 }
 
-const maxItems = 64;
-const maxBytes = 1024 * 1024;
+const maxQueuedItems = 64;
+const maxQueuedBytes = 1024 * 1024;
 
 /** What a caller has sent and the proxy has not answered yet, and the bytes that this takes. */
 export class InputQueue {
   private readonly items: QueuedInput[] = [];
   private queuedBytes = 0;
-  private pendingBytes = 0;
+  private unassignedBytes = 0;
   private heldBytes = 0;
 
   /** `count` hears of bytes taken in and, below zero, given back; false when all hold too many. */
-  constructor(private readonly count: (bytes: number) => boolean) {}
+  constructor(private readonly countBytes: (bytes: number) => boolean) {}
 
   get isEmpty(): boolean {
     return this.items.length === 0;
@@ -30,29 +30,29 @@
 
   /** Whether the caller should wait before it sends more. */
   get isFull(): boolean {
-    return this.items.length >= maxItems || this.queuedBytes >= maxBytes;
+    return this.items.length >= maxQueuedItems || this.queuedBytes >= maxQueuedBytes;
   }
 
   /** Whether there is room again for a caller that waits. */
-  get hasRoom(): boolean {
-    return this.items.length < maxItems / 2 && this.queuedBytes < maxBytes / 2;
+  get canResume(): boolean {
+    return this.items.length < maxQueuedItems / 2 && this.queuedBytes < maxQueuedBytes / 2;
   }
 
   /** Bytes have come. False when all callers together have sent too many. */
-  hold(bytes: number): boolean {
+  addReceivedBytes(bytes: number): boolean {
     this.heldBytes += bytes;
-    return this.count(bytes);
+    return this.countBytes(bytes);
   }
 
   /** A message has been read, for whatever item comes next. */
   addMessage(bytes: number): void {
-    this.pendingBytes += bytes;
+    this.unassignedBytes += bytes;
   }
 
   push(item: QueuedItem): void {
-    this.items.push({ item, bytes: this.pendingBytes });
-    this.queuedBytes += this.pendingBytes;
-    this.pendingBytes = 0;
+    this.items.push({ item, bytes: this.unassignedBytes });
+    this.queuedBytes += this.unassignedBytes;
+    this.unassignedBytes = 0;
   }
 
   shift(): QueuedInput | undefined {
@@ -62,17 +62,17 @@
   /** An item is done with. */
   release({ bytes }: QueuedInput): void {
     this.queuedBytes -= bytes;
-    this.giveBack(bytes);
+    this.releaseBytes(bytes);
   }
 
   /** All that is held is done with. */
   releaseAll(): void {
-    this.giveBack(this.heldBytes);
+    this.releaseBytes(this.heldBytes);
   }
 
-  private giveBack(bytes: number): void {
-    const given = Math.min(bytes, this.heldBytes);
-    this.heldBytes -= given;
-    this.count(-given);
+  private releaseBytes(bytes: number): void {
+    const releasedBytes = Math.min(bytes, this.heldBytes);
+    this.heldBytes -= releasedBytes;
+    this.countBytes(-releasedBytes);
   }
 }
--- a/src/caller/local.ts
+++ b/src/caller/local.ts
@@ -2,7 +2,7 @@
 import { verifyToken } from "../session/index.js";
 import type { StatementKind } from "../sql/index.js";
 import { type CallerError, sqlStates } from "./errors.js";
-import { backend, encodeComplete, encodeMessage } from "./message.js";
+import { backendTypes, encodeCommandComplete, encodeMessage } from "./message.js";
 import type { BatchPlan, ExpectedReply } from "./plan.js";
 
 /** How a batch is answered that goes to no target. */
@@ -19,10 +19,12 @@
 export function answerLocally(plan: BatchPlan, keys: readonly TokenKey[]): LocalAnswer {
   const refusal = findRefusal(plan.statements);
   if (refusal !== undefined) return { type: "refused", error: refusal };
-  const runs = plan.statements.filter((s) => s.type !== "setting" && s.type !== "discard");
-  if (runs.length > 0) return { type: "remote" };
-  const hasOther = plan.replies?.some((r) => r.type !== "closeStatement") ?? false;
-  if (plan.statements.length === 0 && hasOther) return { type: "remote" };
+  const otherStatements = plan.statements.filter(
+    (s) => s.type !== "setting" && s.type !== "discard",
+  );
+  if (otherStatements.length > 0) return { type: "remote" };
+  const hasOtherReplies = plan.replies?.some((r) => r.type !== "closeStatement") ?? false;
+  if (plan.statements.length === 0 && hasOtherReplies) return { type: "remote" };
   return answerSettings(plan, keys);
 }
 
@@ -35,36 +37,42 @@
   const isLocal = (s: StatementKind): boolean => s.type === "setting" || s.type === "discard";
   for (const statement of statements) {
     if (statement.type === "sessionState") {
-      return refuse(
-        `${statement.what} would change a connection that is shared`,
+      return createUnsupportedError(
+        `${statement.feature} would change a connection that is shared`,
         "use SET LOCAL and cursors without HOLD inside a transaction",
       );
     }
-    if (statement.type === "copyIn") return refuse("COPY FROM STDIN is not supported");
+    if (statement.type === "copyIn")
+      return createUnsupportedError("COPY FROM STDIN is not supported");
   }
   const isMixed = statements.some(isLocal) && !statements.every(isLocal);
-  return isMixed ? refuse("a radishwalk setting or DISCARD must stand alone") : undefined;
+  return isMixed
+    ? createUnsupportedError("a radishwalk setting or DISCARD must stand alone")
+    : undefined;
 }
 
 function answerSettings(plan: BatchPlan, keys: readonly TokenKey[]): LocalAnswer {
   const steps: SessionStep[] = [];
   for (const statement of plan.statements) {
-    const step = findStep(statement, keys);
+    const step = findSessionStep(statement, keys);
     if (step === undefined) {
       const message = "unrecognised radishwalk setting; known are kind, idempotency_key, session";
       return { type: "refused", error: { severity: "ERROR", code: "42704", message } };
     }
     steps.push(step);
   }
-  const ofReplies = (plan.replies ?? []).flatMap((reply) => ("step" in reply ? [reply.step] : []));
+  const replySteps = (plan.replies ?? []).flatMap((reply) => ("step" in reply ? [reply.step] : []));
   return {
     type: "local",
     messages: encodeReplies(plan, (s) => (s.type === "discard" ? s.tag : "SET")),
-    steps: [...ofReplies, ...steps],
+    steps: [...replySteps, ...steps],
   };
 }
 
-function findStep(statement: StatementKind, keys: readonly TokenKey[]): SessionStep | undefined {
+function findSessionStep(
+  statement: StatementKind,
+  keys: readonly TokenKey[],
+): SessionStep | undefined {
   if (statement.type === "discard") return { type: "closeStatements" };
   if (statement.type !== "setting") return undefined;
   const { name, value } = statement;
@@ -76,14 +84,14 @@
         ? { type: "setIdempotencyKey" }
         : { type: "setIdempotencyKey", key: value };
     case "session":
-      return value === undefined ? undefined : findTokenStep(value, keys);
+      return value === undefined ? undefined : createTokenStep(value, keys);
     default:
       return undefined;
   }
 }
 
 /** The step for a token that a caller presents: one that can't be relied on is no reason to refuse. */
-export function findTokenStep(text: string, keys: readonly TokenKey[]): SessionStep {
+export function createTokenStep(text: string, keys: readonly TokenKey[]): SessionStep {
   const check = verifyToken(text, keys);
   return check.type === "verified" ? { type: "join", token: check.token } : { type: "joinUnknown" };
 }
@@ -93,8 +101,8 @@
   findTag: (statement: StatementKind) => string,
 ): readonly Uint8Array[] {
   if (plan.replies !== undefined) return plan.replies.flatMap((r) => encodeReply(r, findTag));
-  if (plan.statements.length === 0) return [encodeMessage(backend.emptyQueryResponse)];
-  return plan.statements.map((statement) => encodeComplete(findTag(statement)));
+  if (plan.statements.length === 0) return [encodeMessage(backendTypes.emptyQueryResponse)];
+  return plan.statements.map((statement) => encodeCommandComplete(findTag(statement)));
 }
 
 function encodeReply(
@@ -105,25 +113,25 @@
     case "injectedParse":
       return [];
     case "parse":
-      return [encodeMessage(backend.parseComplete)];
+      return [encodeMessage(backendTypes.parseComplete)];
     case "bind":
-      return [encodeMessage(backend.bindComplete)];
+      return [encodeMessage(backendTypes.bindComplete)];
     case "closeStatement":
     case "closePortal":
-      return [encodeMessage(backend.closeComplete)];
+      return [encodeMessage(backendTypes.closeComplete)];
     case "describeStatement":
       return [
-        encodeMessage(backend.parameterDescription, Buffer.alloc(2)),
-        encodeMessage(backend.noData),
+        encodeMessage(backendTypes.parameterDescription, Buffer.alloc(2)),
+        encodeMessage(backendTypes.noData),
       ];
     case "describePortal":
-      return [encodeMessage(backend.noData)];
+      return [encodeMessage(backendTypes.noData)];
     case "execute":
-      return [encodeComplete(findTag(reply.kind))];
+      return [encodeCommandComplete(findTag(reply.kind))];
   }
 }
 
-function refuse(message: string, hint?: string): CallerError {
+function createUnsupportedError(message: string, hint?: string): CallerError {
   const error = { severity: "ERROR", code: sqlStates.featureNotSupported, message } as const;
   return hint === undefined ? error : { ...error, hint };
 }
--- a/src/caller/message.ts
+++ b/src/caller/message.ts
@@ -1,5 +1,5 @@
 /** Type bytes of messages that a caller sends. */
-export const frontend = {
+export const frontendTypes = {
   query: 0x51,
   parse: 0x50,
   bind: 0x42,
@@ -17,7 +17,7 @@
 } as const;
 
 /** Type bytes of messages that a caller receives. */
-export const backend = {
+export const backendTypes = {
   authentication: 0x52,
   backendKeyData: 0x4b,
   bindComplete: 0x32,
@@ -39,13 +39,13 @@
 } as const;
 
 /** Bytes before a message's content: its type and its length. */
-export const headerLength = 5;
+export const messageHeaderBytes = 5;
 
 const terminator = Buffer.of(0);
 
 /** Builds a message of one type. */
 export function encodeMessage(type: number, ...parts: readonly Uint8Array[]): Buffer {
-  const header = Buffer.alloc(headerLength);
+  const header = Buffer.alloc(messageHeaderBytes);
   const length = parts.reduce((sum, part) => sum + part.length, 4);
   header.writeUInt8(type, 0);
   header.writeUInt32BE(length, 1);
@@ -53,7 +53,7 @@
 }
 
 /** Builds the zero-terminated text of the protocol. */
-export function encodeText(text: string): Buffer {
+export function encodeCString(text: string): Buffer {
   return Buffer.concat([Buffer.from(text.replaceAll("\0", "")), terminator]);
 }
 
@@ -65,27 +65,27 @@
 }
 
 /** Builds `ParameterStatus`. */
-export function encodeParameter(name: string, value: string): Buffer {
-  return encodeMessage(backend.parameterStatus, encodeText(name), encodeText(value));
+export function encodeParameterStatus(name: string, value: string): Buffer {
+  return encodeMessage(backendTypes.parameterStatus, encodeCString(name), encodeCString(value));
 }
 
 /** Builds `ReadyForQuery`. */
-export function encodeReady(status: "I" | "T" | "E"): Buffer {
-  return encodeMessage(backend.readyForQuery, Buffer.from(status));
+export function encodeReadyForQuery(status: "I" | "T" | "E"): Buffer {
+  return encodeMessage(backendTypes.readyForQuery, Buffer.from(status));
 }
 
 /** Builds `CommandComplete`. */
-export function encodeComplete(tag: string): Buffer {
-  return encodeMessage(backend.commandComplete, encodeText(tag));
+export function encodeCommandComplete(tag: string): Buffer {
+  return encodeMessage(backendTypes.commandComplete, encodeCString(tag));
 }
 
 /** Whether a message has the length that it states. */
-export function isWholeMessage(message: Uint8Array): boolean {
-  return message.length >= headerLength && readLength(message) + 1 === message.length;
+export function hasStatedLength(message: Uint8Array): boolean {
+  return message.length >= messageHeaderBytes && readLength(message) + 1 === message.length;
 }
 
 /** Reads a zero-terminated text at `from`, with the offset behind it; `undefined` without an end. */
-export function readText(
+export function readCString(
   message: Uint8Array,
   from: number,
 ): { readonly text: string; readonly end: number } | undefined {
--- a/src/caller/output.ts
+++ b/src/caller/output.ts
@@ -2,8 +2,8 @@
 import type { Clock } from "../model/index.js";
 
 /** Writes to a caller, at the pace at which it reads. */
-export class Output {
-  private blockedAt: number | undefined;
+export class CallerOutput {
+  private blockedSince: number | undefined;
   private isCorked = false;
 
   constructor(
@@ -12,8 +12,8 @@
   ) {}
 
   /** How long the caller has not read what waits for it, in milliseconds. */
-  get blockedMs(): number {
-    return this.blockedAt === undefined ? 0 : this.clock.now() - this.blockedAt;
+  get writeBlockedMs(): number {
+    return this.blockedSince === undefined ? 0 : this.clock.now() - this.blockedSince;
   }
 
   get isOpen(): boolean {
@@ -24,7 +24,7 @@
   write(bytes: Uint8Array): Promise<void> | undefined {
     if (!this.isOpen) return undefined;
     this.cork();
-    return this.socket.write(bytes) ? undefined : this.waitForReader();
+    return this.socket.write(bytes) ? undefined : this.waitForDrain();
   }
 
   /** Sends the last bytes and closes. */
@@ -44,13 +44,13 @@
     });
   }
 
-  private waitForReader(): Promise<void> {
-    this.blockedAt ??= this.clock.now();
+  private waitForDrain(): Promise<void> {
+    this.blockedSince ??= this.clock.now();
     return new Promise((resolve) => {
       const finish = (): void => {
         this.socket.off("drain", finish);
         this.socket.off("close", finish);
-        this.blockedAt = undefined;
+        this.blockedSince = undefined;
         resolve();
       };
       this.socket.on("drain", finish);
--- a/src/caller/plan.ts
+++ b/src/caller/plan.ts
@@ -12,7 +12,7 @@
 import { type CallerError, sqlStates } from "./errors.js";
 import {
   encodeSync,
-  encodeUnnamed,
+  encodeForUnnamedStatement,
   encodeUnnamedBind,
   encodeUnnamedParse,
   type ExtendedMessage,
@@ -97,7 +97,7 @@
   private readonly hash = createHash("sha256");
   private effect: Effect = "read";
   /** What the unnamed statement is at the target by now. */
-  private unnamed: PreparedStatement | undefined;
+  private unnamedStatement: PreparedStatement | undefined;
   private error: CallerError | undefined;
 
   constructor(
@@ -138,7 +138,7 @@
         break;
       case "describePortal":
       case "closePortal":
-        this.send(message.message, { type: message.type });
+        this.addMessage(message.message, { type: message.type });
         break;
       case "execute":
         this.addExecute(message.portal, message.message);
@@ -149,62 +149,63 @@
   private addParse(name: string, text: string, message: Uint8Array): void {
     const statement: PreparedStatement = { ...parseTags(text), message };
     const step: SessionStep = { type: "prepare", name, statement };
-    if (!this.apply(step)) return;
-    this.unnamed = statement;
-    this.send(encodeUnnamedParse(message), { type: "parse", step });
+    if (!this.applySessionStep(step)) return;
+    this.unnamedStatement = statement;
+    this.addMessage(encodeUnnamedParse(message), { type: "parse", step });
   }
 
   private addBind(portal: string, name: string, content: Uint8Array): void {
-    const statement = this.use(name);
+    const statement = this.ensureParsed(name);
     if (statement === undefined) return;
     this.portals.set(portal, statement);
     this.hash.update(statement.statement).update("\0").update(content);
-    this.send(encodeUnnamedBind(portal, content), { type: "bind" });
+    this.addMessage(encodeUnnamedBind(portal, content), { type: "bind" });
   }
 
   private addDescribeStatement(name: string): void {
-    if (this.use(name) === undefined) return;
-    this.send(encodeUnnamed("describe"), { type: "describeStatement" });
+    if (this.ensureParsed(name) === undefined) return;
+    this.addMessage(encodeForUnnamedStatement("describe"), { type: "describeStatement" });
   }
 
   private addCloseStatement(name: string): void {
     const step: SessionStep = { type: "closeStatement", name };
-    if (!this.apply(step)) return;
-    this.unnamed = undefined;
-    this.send(encodeUnnamed("close"), { type: "closeStatement", step });
+    if (!this.applySessionStep(step)) return;
+    this.unnamedStatement = undefined;
+    this.addMessage(encodeForUnnamedStatement("close"), { type: "closeStatement", step });
   }
 
   private addExecute(portal: string, message: Uint8Array): void {
     const statement = this.portals.get(portal);
-    const found = statement === undefined ? undefined : classifyStatement(statement.statement);
-    if (found?.effect !== "read") this.effect = "write";
-    for (const table of found?.tables ?? []) this.tables.add(table);
+    const classification =
+      statement === undefined ? undefined : classifyStatement(statement.statement);
+    if (classification?.effect !== "read") this.effect = "write";
+    for (const table of classification?.tables ?? []) this.tables.add(table);
     for (const [key, value] of statement?.tags ?? []) this.tags.set(key, value);
-    const kind = found?.statements[0] ?? { type: "plain" };
+    const kind = classification?.statements[0] ?? { type: "plain" };
     this.statements.push(kind);
-    this.send(message, { type: "execute", kind });
+    this.addMessage(message, { type: "execute", kind });
   }
 
   /** Makes the unnamed statement at the target the one that the caller means by `name`. */
-  private use(name: string): PreparedStatement | undefined {
+  private ensureParsed(name: string): PreparedStatement | undefined {
     const statement = this.session.statements.get(name);
     if (statement === undefined) {
-      this.refuse(sqlStates.invalidStatementName, `prepared statement "${name}" does not exist`);
+      this.setError(sqlStates.invalidStatementName, `prepared statement "${name}" does not exist`);
       return undefined;
     }
-    if (this.unnamed !== statement) {
-      this.unnamed = statement;
-      this.send(encodeUnnamedParse(statement.message), { type: "injectedParse" });
+    if (this.unnamedStatement !== statement) {
+      this.unnamedStatement = statement;
+      this.addMessage(encodeUnnamedParse(statement.message), { type: "injectedParse" });
     }
     return statement;
   }
 
-  private send(message: Uint8Array, reply: ExpectedReply): void {
+  private addMessage(message: Uint8Array, reply: ExpectedReply): void {
     this.messages.push(message);
     this.replies.push(reply);
   }
 
-  private apply(step: SessionStep): boolean {
+  private applySessionStep(step: SessionStep): boolean {
     const result = applyStep(this.session, step, this.limits);
     if (result.type === "applied") {
       this.session = result.state;
@@ -212,11 +213,11 @@
     }
     const code =
       result.failure === "statementExists" ? sqlStates.duplicateStatement : sqlStates.outOfMemory;
-    this.refuse(code, `prepared statement refused: ${result.failure}`);
+    this.setError(code, `prepared statement refused: ${result.failure}`);
     return false;
   }
 
-  private refuse(code: string, message: string): void {
+  private setError(code: string, message: string): void {
     this.error ??= { severity: "ERROR", code, message };
   }
 }
--- a/src/caller/wire.ts
+++ b/src/caller/protocol-reader.ts
@@ -1,6 +1,6 @@
 import type { Socket } from "node:net";
 import { PostgresConnection } from "pg-gateway";
-import { FrameGuard, ProtocolError } from "./frame.js";
+import { FrameValidator, ProtocolError } from "./frame.js";
 
 const sslRequestCode = 80877103;
 const gssRequestCode = 80877104;
@@ -8,22 +8,22 @@
 const cancelRequestLength = 16;
 
 /** What a caller asks for before its start-up message. */
-export type EarlyRequest =
+export type PreStartupRequest =
   | { readonly type: "ssl" }
   | { readonly type: "gss" }
   | { readonly type: "cancel"; readonly processId: number; readonly secret: number };
 
 /** Hears of a caller's messages, each called synchronously and in order. */
-export interface WireHandlers {
+export interface ProtocolHandlers {
   /** Must not start a new `Wire` on the socket before `take` has returned. */
-  onEarly(request: EarlyRequest): void;
+  onPreStartupRequest(request: PreStartupRequest): void;
   onStartup(parameters: Readonly<Record<string, string>>): void;
   /** The bytes are valid only during the call. */
   onMessage(message: Uint8Array): void;
-  onBytes(count: number): void;
+  onBytesReceived(count: number): void;
   /** All bytes at hand have been taken in; the socket may be paused now. */
-  onTaken(): void;
-  onViolation(error: ProtocolError): void;
+  onChunkProcessed(): void;
+  onProtocolError(error: ProtocolError): void;
 }
 
 /**
@@ -32,26 +32,26 @@
  * library then yields only to the microtask queue, which is empty before the next chunk is read.
  * It is given no more than one message at a time: of several it cuts the second one wrong.
  */
-export class Wire {
+export class ProtocolReader {
   private readonly gateway: PostgresConnection;
-  private readonly guard: FrameGuard;
-  private early: EarlyRequest | undefined;
+  private readonly frameValidator: FrameValidator;
+  private preStartupRequest: PreStartupRequest | undefined;
 
   constructor(
     private readonly socket: Socket,
-    private readonly handlers: WireHandlers,
+    private readonly handlers: ProtocolHandlers,
     maxMessageBytes: number,
   ) {
-    this.guard = new FrameGuard(maxMessageBytes);
+    this.frameValidator = new FrameValidator(maxMessageBytes);
     this.gateway = new PostgresConnection(socket, {
       authMode: "none",
       onStartup: ({ clientInfo }) => {
-        this.guard.startMessages();
-        this.attempt(() => handlers.onStartup(clientInfo?.parameters ?? {}));
+        this.frameValidator.expectTypedMessages();
+        this.callHandler(() => handlers.onStartup(clientInfo?.parameters ?? {}));
         return true;
       },
       onMessage: (message, { hasStarted }) =>
-        hasStarted ? this.takeMessage(message) : this.takeEarly(message),
+        hasStarted ? this.handleMessage(message) : this.handlePreStartupMessage(message),
     });
     this.gateway.detach();
     socket.on("data", this.onData);
@@ -59,7 +59,7 @@
 
   /** Whether a message has begun and not ended. */
   get isPartial(): boolean {
-    return this.guard.isPartial;
+    return this.frameValidator.isPartial;
   }
 
   /** Stops reading; the socket goes to another reader. */
@@ -68,44 +68,44 @@
   }
 
   private readonly onData = (chunk: Buffer): void => {
-    this.handlers.onBytes(chunk.length);
-    this.take(chunk).catch((error: unknown) => this.fail(error));
+    this.handlers.onBytesReceived(chunk.length);
+    this.processChunk(chunk).catch((error: unknown) => this.fail(error));
   };
 
-  private async take(chunk: Buffer): Promise<void> {
+  private async processChunk(chunk: Buffer): Promise<void> {
     for (let from = 0; from < chunk.length;) {
-      const to = this.guard.check(chunk, from);
+      const to = this.frameValidator.validate(chunk, from);
       await this.gateway.handleData(chunk.subarray(from, to));
       from = to;
-      if (this.early !== undefined) {
-        this.endEarly(this.early, chunk.length - from);
+      if (this.preStartupRequest !== undefined) {
+        this.finishPreStartup(this.preStartupRequest, chunk.length - from);
         return;
       }
     }
-    this.handlers.onTaken();
+    this.handlers.onChunkProcessed();
   }
 
   /**
    * Bytes behind a request for encryption may have been put there by somebody in between, who wants
    * them taken for the caller's own once the line is encrypted. An honest caller waits.
    */
-  private endEarly(request: EarlyRequest, bytesLeft: number): void {
+  private finishPreStartup(request: PreStartupRequest, bytesLeft: number): void {
     this.detach();
     if (bytesLeft > 0) throw new ProtocolError("bytes follow a request that wants an answer first");
-    this.handlers.onEarly(request);
+    this.handlers.onPreStartupRequest(request);
   }
 
-  private takeMessage(message: Uint8Array): boolean {
-    this.attempt(() => this.handlers.onMessage(message));
+  private handleMessage(message: Uint8Array): boolean {
+    this.callHandler(() => this.handlers.onMessage(message));
     return true;
   }
 
-  private takeEarly(message: Uint8Array): boolean {
-    this.early = readEarlyRequest(message);
-    return this.early !== undefined;
+  private handlePreStartupMessage(message: Uint8Array): boolean {
+    this.preStartupRequest = parsePreStartupRequest(message);
+    return this.preStartupRequest !== undefined;
   }
 
-  private attempt(handle: () => void): void {
+  private callHandler(handle: () => void): void {
     try {
       handle();
     } catch (error) {
@@ -115,12 +115,12 @@
 
   private fail(error: unknown): void {
     this.detach();
-    const known = error instanceof ProtocolError;
-    this.handlers.onViolation(known ? error : new ProtocolError(String(error)));
+    const isProtocolError = error instanceof ProtocolError;
+    this.handlers.onProtocolError(isProtocolError ? error : new ProtocolError(String(error)));
   }
 }
 
-function readEarlyRequest(message: Uint8Array): EarlyRequest | undefined {
+function parsePreStartupRequest(message: Uint8Array): PreStartupRequest | undefined {
   const bytes = Buffer.from(message.buffer, message.byteOffset, message.length);
   switch (bytes.readInt32BE(4)) {
     case sslRequestCode:
--- a/src/caller/retry.ts
+++ b/src/caller/retry.ts
@@ -2,7 +2,7 @@
 import { callerEvents } from "../log/events/caller.js";
 import type { Logger } from "../log/index.js";
 import type { Clock, Outcome, Random, Verdict } from "../model/index.js";
-import { demand, type RequestContext } from "./context.js";
+import { requirePart, type RequestContext } from "./context.js";
 
 /**
  * Tries a request again whose owner was lost on the way, at whoever owns the group then. The owner
@@ -26,14 +26,14 @@
     if (beginAttempt === undefined) return next(context);
     let { attempt } = context;
     return this.retrier.run({
-      request: demand(context.request),
+      request: requirePart(context.request),
       signal,
       run: (tries) => {
         if (tries > 1) attempt = beginAttempt();
         return next({ ...context, attempt });
       },
       isOurs: isOwnerLost,
-      hasBegun: () => attempt.relay.hasBegun,
+      hasBegun: () => attempt.relay.hasForwarded,
       onRetry: (outcome, delayMs) => {
         this.logger.write(callerEvents.retried, { request: context.id, ...outcome, delayMs });
       },
--- a/src/caller/runner.ts
+++ b/src/caller/runner.ts
@@ -6,16 +6,16 @@
 import { AnswerRelay } from "./answer.js";
 import type { Batch } from "./batch.js";
 import { type Attempt, findKind, type RequestContext } from "./context.js";
-import { type CallerError, describeVerdict, encodeError, sqlStates } from "./errors.js";
+import { type CallerError, createVerdictError, encodeError, sqlStates } from "./errors.js";
 import { answerLocally, answerRollback } from "./local.js";
-import { encodeReady } from "./message.js";
-import type { Output } from "./output.js";
+import { encodeReadyForQuery } from "./message.js";
+import type { CallerOutput } from "./output.js";
 import { type BatchPlan, planBatch } from "./plan.js";
-import { SessionHolder } from "./session-holder.js";
+import { CallerSession } from "./caller-session.js";
 import {
-  findNextTransaction,
-  findStatus,
-  hasEnd,
+  getNextTransactionState,
+  getTransactionStatus,
+  hasTransactionEnd,
   noTransaction,
   type TransactionState,
 } from "./transaction.js";
@@ -32,19 +32,19 @@
 
 /** Runs the batches of one session, one after the other, each to its `ReadyForQuery`. */
 export class BatchRunner {
-  private readonly session: SessionHolder;
+  private readonly session: CallerSession;
   private transaction: TransactionState = noTransaction;
   /** After an error before a `Flush`, messages are passed over up to the `Sync`. */
-  private isSkipping = false;
+  private isSkippingToSync = false;
   private inFlight: { readonly abort: AbortController; readonly isWrite: boolean } | undefined;
   private isCancelled = false;
 
   constructor(
     session: Session,
-    private readonly output: Output,
+    private readonly output: CallerOutput,
     private readonly options: RunnerOptions,
   ) {
-    this.session = new SessionHolder(session, output, options.limits, options.tokenKeys);
+    this.session = new CallerSession(session, output, options.limits, options.tokenKeys);
   }
 
   /** Whether an interactive transaction is open. */
@@ -54,19 +54,19 @@
 
   /** Runs one batch. False when the connection can't go on. Throws `ProtocolError`. */
   async run(batch: Batch): Promise<boolean> {
-    if (this.skip(batch)) return true;
+    if (this.skipAfterError(batch)) return true;
     const plan = planBatch(batch, this.session.state, this.options.limits);
-    if (plan.type === "refused") return this.fail(batch, plan.error);
+    if (plan.type === "refused") return this.failBatch(batch, plan.error);
     const local = answerLocally(plan, this.options.tokenKeys());
     switch (local.type) {
       case "refused":
-        return this.fail(batch, local.error);
+        return this.failBatch(batch, local.error);
       case "local":
-        return this.reply(batch, local.messages, local.steps);
+        return this.replyLocally(batch, local.messages, local.steps);
       case "remote":
         return this.transaction.type === "aborted"
-          ? this.endAborted(batch, plan)
-          : this.relay(batch, plan);
+          ? this.answerAborted(batch, plan)
+          : this.runOnTarget(batch, plan);
     }
   }
 
@@ -81,9 +81,9 @@
    * The caller is gone. A read in flight gives its slot back; a write runs on, so that it lands or
    * not by itself rather than by the moment at which a connection broke.
    */
-  abandon(): void {
-    const canStop = this.isInTransaction || this.inFlight?.isWrite === false;
-    if (canStop) this.inFlight?.abort.abort(new Error("the caller has gone"));
+  handleDisconnect(): void {
+    const canAbort = this.isInTransaction || this.inFlight?.isWrite === false;
+    if (canAbort) this.inFlight?.abort.abort(new Error("the caller has gone"));
     if (this.inFlight === undefined) this.close();
   }
 
@@ -98,24 +98,24 @@
     return this.session.signToken();
   }
 
-  private skip(batch: Batch): boolean {
-    if (!this.isSkipping) return false;
+  private skipAfterError(batch: Batch): boolean {
+    if (!this.isSkippingToSync) return false;
     // PostgreSQL passes a Query over as well: it would else answer twice before one ReadyForQuery.
     if (batch.type !== "extended" || batch.end === "flush") return true;
-    this.isSkipping = false;
-    this.sendReady(batch, findStatus(this.transaction));
+    this.isSkippingToSync = false;
+    this.sendReady(batch, getTransactionStatus(this.transaction));
     return true;
   }
 
-  private async relay(batch: Batch, plan: BatchPlan): Promise<boolean> {
+  private async runOnTarget(batch: Batch, plan: BatchPlan): Promise<boolean> {
     const { transaction } = this;
     const isOpen = transaction.type === "open";
-    const conversation = isOpen ? transaction.conversation : this.open();
+    const conversation = isOpen ? transaction.conversation : this.openConversation();
     let attempt: Attempt = { conversation, relay: new AnswerRelay(this.output, plan.replies) };
     const beginAttempt = (): Attempt => {
       attempt.conversation.close();
       const relay = new AnswerRelay(this.output, plan.replies);
-      return (attempt = { conversation: this.open(), relay });
+      return (attempt = { conversation: this.openConversation(), relay });
     };
     const context: RequestContext = {
       id: this.options.createId(),
@@ -124,28 +124,28 @@
       plan,
       attempt,
       ...(isOpen ? {} : { beginAttempt }),
-      signal: this.begin(plan, transaction),
+      signal: this.beginRequest(plan, transaction),
     };
     const outcome = await this.options.chain(context);
     return this.finish(batch, context, attempt, outcome);
   }
 
-  private open(): Conversation {
+  private openConversation(): Conversation {
     return this.options.gateway.open(this.session.state.group);
   }
 
-  private begin(plan: BatchPlan, transaction: TransactionState): AbortSignal {
+  private beginRequest(plan: BatchPlan, transaction: TransactionState): AbortSignal {
     const abort = new AbortController();
     this.isCancelled = false;
     this.inFlight = { abort, isWrite: transaction.type === "open" || plan.effect === "write" };
     return abort.signal;
   }
 
-  private finishSteps(batch: Batch, plan: BatchPlan, relay: AnswerRelay): void {
-    this.session.apply(relay.steps);
+  private applySessionSteps(batch: Batch, plan: BatchPlan, relay: AnswerRelay): void {
+    this.session.apply(relay.sessionSteps);
     if (batch.type === "query") this.session.apply([{ type: "closeStatement", name: "" }]);
-    const usesKey = plan.effect === "write" && plan.statements.some((s) => s.type === "plain");
-    if (usesKey) this.session.apply([{ type: "setIdempotencyKey" }]);
+    const isKeyUsed = plan.effect === "write" && plan.statements.some((s) => s.type === "plain");
+    if (isKeyUsed) this.session.apply([{ type: "setIdempotencyKey" }]);
   }
 
   private finish(
@@ -157,19 +157,19 @@
     const { plan, transaction } = context;
     const kind = findKind(context, plan);
     const { statements } = plan;
-    this.transaction = findNextTransaction(
+    this.transaction = getNextTransactionState(
       transaction,
       { conversation, statements, kind },
       outcome,
     );
     if (this.transaction.type !== "open") conversation.close();
-    this.finishSteps(batch, plan, relay);
-    const goesOn =
+    this.applySessionSteps(batch, plan, relay);
+    const canContinue =
       outcome.type === "answered"
         ? this.finishAnswered(batch, context.id, relay, outcome)
         : this.finishFailed(batch, context.id, relay, outcome);
     this.inFlight = undefined;
-    return goesOn;
+    return canContinue;
   }
 
   private finishAnswered(
@@ -180,10 +180,10 @@
   ): boolean {
     relay.finish();
     this.options.logger.write(callerEvents.answered, { request, ...outcome.servedBy });
-    if (relay.isBroken) return this.breakOff();
-    this.session.see(outcome.mark);
-    if (relay.hasFailed && isFlush(batch)) this.isSkipping = true;
-    this.sendReady(batch, findStatus(this.transaction));
+    if (relay.hasMismatch) return this.failConnection();
+    this.session.recordMark(outcome.mark);
+    if (relay.hasFailed && isFlush(batch)) this.isSkippingToSync = true;
+    this.sendReady(batch, getTransactionStatus(this.transaction));
     return true;
   }
 
@@ -195,21 +195,21 @@
   ): boolean {
     relay.close();
     this.options.logger.write(callerEvents.failed, { request, ...outcome });
-    if (relay.isBroken) return this.breakOff();
+    if (relay.hasMismatch) return this.failConnection();
     // The target's own error has gone out before; a second one would pass for the next answer.
-    if (relay.hasFailed) return this.endFailed(batch);
-    return this.sendFailure(batch, this.describeFailure(outcome));
+    if (relay.hasFailed) return this.finishFailedBatch(batch);
+    return this.sendFailure(batch, this.createFailureError(outcome));
   }
 
-  private describeFailure(outcome: Extract<Outcome, { type: "failed" }>): CallerError {
-    const error = describeVerdict(outcome.verdict, outcome.message);
+  private createFailureError(outcome: Extract<Outcome, { type: "failed" }>): CallerError {
+    const error = createVerdictError(outcome.verdict, outcome.message);
     // What was cancelled and changed nothing is what the caller wanted; a write may have landed.
-    const isHarmless = outcome.verdict.type === "notRun" || this.inFlight?.isWrite === false;
-    return this.isCancelled && isHarmless ? { ...error, code: sqlStates.queryCancelled } : error;
+    const hasNoEffect = outcome.verdict.type === "notRun" || this.inFlight?.isWrite === false;
+    return this.isCancelled && hasNoEffect ? { ...error, code: sqlStates.queryCancelled } : error;
   }
 
   /** Answers an error of this side's own. An open transaction is rolled back, as at a target. */
-  private fail(batch: Batch, error: CallerError): boolean {
+  private failBatch(batch: Batch, error: CallerError): boolean {
     if (this.transaction.type === "open") {
       this.transaction.conversation.close();
       this.transaction = { type: "aborted" };
@@ -217,10 +217,10 @@
     return this.sendFailure(batch, error);
   }
 
-  private endAborted(batch: Batch, plan: BatchPlan): boolean {
-    if (plan.statements.length === 1 && hasEnd(plan.statements)) {
+  private answerAborted(batch: Batch, plan: BatchPlan): boolean {
+    if (plan.statements.length === 1 && hasTransactionEnd(plan.statements)) {
       this.transaction = noTransaction;
-      return this.reply(batch, answerRollback(plan), []);
+      return this.replyLocally(batch, answerRollback(plan), []);
     }
     return this.sendFailure(batch, {
       severity: "ERROR",
@@ -231,16 +231,16 @@
 
   private sendFailure(batch: Batch, error: CallerError): boolean {
     void this.output.write(encodeError(error));
-    return this.endFailed(batch);
+    return this.finishFailedBatch(batch);
   }
 
-  private endFailed(batch: Batch): boolean {
-    if (isFlush(batch)) this.isSkipping = true;
-    this.sendReady(batch, findStatus(this.transaction));
+  private finishFailedBatch(batch: Batch): boolean {
+    if (isFlush(batch)) this.isSkippingToSync = true;
+    this.sendReady(batch, getTransactionStatus(this.transaction));
     return true;
   }
 
-  private reply(
+  private replyLocally(
     batch: Batch,
     messages: readonly Uint8Array[],
     steps: readonly SessionStep[],
@@ -248,18 +248,22 @@
     const failure = this.session.apply(steps);
     if (failure !== undefined) {
       const message = `radishwalk setting refused: ${failure}`;
-      return this.fail(batch, { severity: "ERROR", code: sqlStates.invalidParameter, message });
+      return this.failBatch(batch, {
+        severity: "ERROR",
+        code: sqlStates.invalidParameter,
+        message,
+      });
     }
     for (const message of messages) void this.output.write(message);
-    this.sendReady(batch, findStatus(this.transaction));
+    this.sendReady(batch, getTransactionStatus(this.transaction));
     return true;
   }
 
   private sendReady(batch: Batch, status: "I" | "T" | "E"): void {
-    if (!isFlush(batch)) void this.output.write(encodeReady(status));
+    if (!isFlush(batch)) void this.output.write(encodeReadyForQuery(status));
   }
 
-  private breakOff(): false {
+  private failConnection(): false {
     this.close();
     const message = "the answer did not fit the request";
     const { protocolViolation: code } = sqlStates;
--- a/src/caller/server.ts
+++ b/src/caller/server.ts
@@ -6,18 +6,18 @@
 import type { Address, Disposable, GroupGateway, Random } from "../model/index.js";
 import { applyStep, createSession, type Session, type TokenKey } from "../session/index.js";
 import { buildRequestChain, type ChainOptions } from "./chain.js";
-import { CallerConnection, type ConnectionHost, type Welcome } from "./connection.js";
+import { CallerConnection, type ConnectionHost, type StartupResult } from "./connection.js";
 import { encodeError, sqlStates } from "./errors.js";
 import { type CallerLimits, defaultCallerLimits } from "./limits.js";
-import { findTokenStep } from "./local.js";
+import { createTokenStep } from "./local.js";
 import type { RunnerOptions } from "./runner.js";
-import { SteadyClock } from "./steady-clock.js";
+import { StallExcludingClock } from "./stall-excluding-clock.js";
 import {
   type BackendKey,
-  drawBackendKey,
-  type Introduction,
-  isRefused,
-  readIntroduction,
+  generateBackendKey,
+  type StartupRequest,
+  isCallerError,
+  parseStartupParameters,
 } from "./startup.js";
 
 /** What a `CallerServer` is built from. */
@@ -41,14 +41,14 @@
 }
 
 const defaultServerVersion = "16.4";
-const sweepMs = 200;
-const maxLingering = 100;
-const drainStepMs = 20;
+const timeoutCheckIntervalMs = 200;
+const maxOpenRefusedSockets = 100;
+const drainPollIntervalMs = 20;
 
 /** Serves callers by the PostgreSQL protocol. `loadParser` must have resolved. */
 export class CallerServer implements Disposable, ConnectionHost {
   readonly limits: CallerLimits;
-  readonly clock: SteadyClock;
+  readonly clock: StallExcludingClock;
   readonly logger: Logger;
   readonly runner: RunnerOptions;
   readonly serverVersion: string;
@@ -56,24 +56,26 @@
   private readonly server: Server;
   private readonly connections = new Set<CallerConnection>();
   private readonly sessions = new Map<CallerConnection, { team: string; key: BackendKey }>();
-  private readonly byProcessId = new Map<number, CallerConnection>();
-  private readonly perTeam = new Map<string, number>();
-  private readonly stopped = new AbortController();
+  private readonly connectionsByProcessId = new Map<number, CallerConnection>();
+  private readonly connectionsPerTeam = new Map<string, number>();
+  private readonly disposeController = new AbortController();
   private inputBytes = 0;
-  private lingering = 0;
+  private openRefusedSockets = 0;
   private isDraining = false;
 
   constructor(private readonly options: CallerServerOptions) {
     const { clock, logger = silentLogger, gateway, tokenKeys, createId = randomUUID } = options;
     this.limits = { ...defaultCallerLimits, ...options.limits };
-    this.clock = new SteadyClock(clock);
+    this.clock = new StallExcludingClock(clock);
     this.logger = logger;
     this.serverVersion = options.serverVersion ?? defaultServerVersion;
     if (options.getSecureContext !== undefined) this.getSecureContext = options.getSecureContext;
     const { random = { draw: Math.random } } = options;
     const chain = buildRequestChain({ ...options, random, logger });
     this.runner = { chain, gateway, limits: this.limits, tokenKeys, createId, logger };
-    this.server = createServer({ noDelay: true, keepAlive: true }, (socket) => this.admit(socket));
+    this.server = createServer({ noDelay: true, keepAlive: true }, (socket) =>
+      this.acceptSocket(socket),
+    );
   }
 
   /** Connections open now. */
@@ -91,7 +93,7 @@
     const bound = this.server.address();
     const address = { host, port: typeof bound === "object" ? (bound?.port ?? port) : port };
     this.logger.write(callerEvents.listening, address);
-    void this.sweep();
+    void this.runTimeoutChecks();
     return address;
   }
 
@@ -106,7 +108,7 @@
     for (const connection of this.connections) connection.drain();
     const { clock } = this.options;
     const endAt = clock.now() + this.limits.drainMs;
-    while (this.connections.size > 0 && clock.now() < endAt) await clock.sleep(drainStepMs);
+    while (this.connections.size > 0 && clock.now() < endAt) await clock.sleep(drainPollIntervalMs);
     const cutOff = this.connections.size;
     for (const connection of this.connections) connection.destroy();
     this.logger.write(callerEvents.drained, { cutOff });
@@ -115,31 +117,31 @@
 
   /** Ends everything at once. */
   dispose(): void {
-    this.stopped.abort();
+    this.disposeController.abort();
     if (this.server.listening) this.server.close();
     for (const connection of this.connections) connection.destroy();
   }
 
-  welcome(
+  startSession(
     connection: CallerConnection,
     parameters: Readonly<Record<string, string>>,
     isSecure: boolean,
-  ): Welcome {
-    const introduction = readIntroduction(parameters);
-    if (isRefused(introduction)) return { type: "refused", error: introduction };
-    const session = this.openSession(introduction, isSecure);
+  ): StartupResult {
+    const startup = parseStartupParameters(parameters);
+    if (isCallerError(startup)) return { type: "refused", error: startup };
+    const session = this.openSession(startup, isSecure);
     if (session.type === "refused") return session;
-    const key = this.register(connection, introduction.team);
-    return { ...session, applicationName: introduction.applicationName, key };
+    const key = this.register(connection, startup.team);
+    return { ...session, applicationName: startup.applicationName, key };
   }
 
   cancel(processId: number, secret: number): void {
-    const connection = this.byProcessId.get(processId);
+    const connection = this.connectionsByProcessId.get(processId);
     if (connection === undefined || this.sessions.get(connection)?.key.secret !== secret) return;
     connection.cancel();
   }
 
-  countInput(bytes: number): boolean {
+  countInputBytes(bytes: number): boolean {
     this.inputBytes += bytes;
     return this.inputBytes <= this.limits.maxInputBytes;
   }
@@ -149,96 +151,98 @@
     const session = this.sessions.get(connection);
     if (session === undefined) return;
     this.sessions.delete(connection);
-    this.countTeam(session.team, -1);
-    this.byProcessId.delete(session.key.processId);
+    this.adjustTeamCount(session.team, -1);
+    this.connectionsByProcessId.delete(session.key.processId);
     this.logger.write(callerEvents.closed, { team: session.team });
   }
 
-  private admit(socket: Socket): void {
+  private acceptSocket(socket: Socket): void {
     if (this.connections.size < this.limits.maxConnections) {
       const connection = new CallerConnection(socket, this);
       this.connections.add(connection);
       if (this.isDraining) connection.drain();
       return;
     }
-    this.turnAway(socket);
+    this.refuseSocket(socket);
   }
 
   /** Says why and closes; callers that stay on cost a bounded number of sockets. */
-  private turnAway(socket: Socket): void {
+  private refuseSocket(socket: Socket): void {
     const { tooManyConnections: code } = sqlStates;
     const error = { severity: "FATAL", code, message: "the proxy has too many callers" } as const;
     this.logger.write(callerEvents.refused, error);
     socket.on("error", () => socket.destroy());
-    if (this.lingering >= maxLingering) {
+    if (this.openRefusedSockets >= maxOpenRefusedSockets) {
       socket.destroy();
       return;
     }
-    this.lingering += 1;
-    socket.on("close", () => (this.lingering -= 1));
+    this.openRefusedSockets += 1;
+    socket.on("close", () => (this.openRefusedSockets -= 1));
     socket.setTimeout(this.limits.startupMs, () => socket.destroy());
     socket.resume();
     socket.end(encodeError(error));
   }
 
   private openSession(
-    { team: name, group, kind, token }: Introduction,
+    { team: name, group, kind, token }: StartupRequest,
     isSecure: boolean,
   ):
-    | Extract<Welcome, { type: "refused" }>
+    | Extract<StartupResult, { type: "refused" }>
     | { readonly type: "accepted"; readonly session: Session } {
     const { hasGroup, findTeam, getSecureContext } = this.options;
-    if (this.isDraining) return refuse(sqlStates.adminShutdown, "the proxy is leaving");
+    if (this.isDraining) return createRefusal(sqlStates.adminShutdown, "the proxy is leaving");
     if (getSecureContext !== undefined && !isSecure) {
-      return refuse(sqlStates.invalidAuthorization, "the proxy wants TLS");
+      return createRefusal(sqlStates.invalidAuthorization, "the proxy wants TLS");
     }
     const team = findTeam(name);
     if (team === undefined) {
-      return refuse(sqlStates.invalidAuthorization, `team "${name}" is not on the roster`);
+      return createRefusal(sqlStates.invalidAuthorization, `team "${name}" is not on the roster`);
     }
     if (!hasGroup(group)) {
-      return refuse(sqlStates.undefinedDatabase, `database group "${group}" does not exist`);
+      return createRefusal(sqlStates.undefinedDatabase, `database group "${group}" does not exist`);
     }
-    if ((this.perTeam.get(name) ?? 0) >= this.limits.maxConnectionsPerTeam) {
-      return refuse(sqlStates.tooManyConnections, `team "${name}" has too many connections`);
+    if ((this.connectionsPerTeam.get(name) ?? 0) >= this.limits.maxConnectionsPerTeam) {
+      return createRefusal(sqlStates.tooManyConnections, `team "${name}" has too many connections`);
     }
-    const session = this.join({ ...createSession(team, group), kind }, token);
+    const session = this.applyToken({ ...createSession(team, group), kind }, token);
     return { type: "accepted", session };
   }
 
-  private join(session: Session, token: string | undefined): Session {
+  private applyToken(session: Session, token: string | undefined): Session {
     if (token === undefined) return session;
-    const joined = applyStep(session, findTokenStep(token, this.options.tokenKeys()));
+    const joined = applyStep(session, createTokenStep(token, this.options.tokenKeys()));
     if (joined.type === "applied" && joined.state.isComplete) return joined.state;
     this.logger.write(callerEvents.tokenRejected, { team: session.team.name });
     return joined.type === "applied" ? joined.state : { ...session, isComplete: false };
   }
 
   private register(connection: CallerConnection, team: string): BackendKey {
-    let key = drawBackendKey();
-    while (this.byProcessId.has(key.processId)) key = drawBackendKey();
-    this.byProcessId.set(key.processId, connection);
+    let key = generateBackendKey();
+    while (this.connectionsByProcessId.has(key.processId)) key = generateBackendKey();
+    this.connectionsByProcessId.set(key.processId, connection);
     this.sessions.set(connection, { team, key });
-    this.countTeam(team, 1);
+    this.adjustTeamCount(team, 1);
     return key;
   }
 
-  private countTeam(team: string, change: number): void {
-    const count = (this.perTeam.get(team) ?? 0) + change;
-    if (count === 0) this.perTeam.delete(team);
-    else this.perTeam.set(team, count);
+  private adjustTeamCount(team: string, change: number): void {
+    const count = (this.connectionsPerTeam.get(team) ?? 0) + change;
+    if (count === 0) this.connectionsPerTeam.delete(team);
+    else this.connectionsPerTeam.set(team, count);
   }
 
   /** One timer for all connections: a caller that sends nothing costs no timer of its own. */
-  private async sweep(): Promise<void> {
-    while (!this.stopped.signal.aborted) {
-      this.clock.look();
-      for (const connection of this.connections) connection.checkTime();
-      await this.options.clock.sleep(sweepMs, this.stopped.signal).catch(() => undefined);
+  private async runTimeoutChecks(): Promise<void> {
+    while (!this.disposeController.signal.aborted) {
+      this.clock.detectStall();
+      for (const connection of this.connections) connection.checkTimeouts();
+      await this.options.clock
+        .sleep(timeoutCheckIntervalMs, this.disposeController.signal)
+        .catch(() => undefined);
     }
   }
 }
 
-function refuse(code: string, message: string): Extract<Welcome, { type: "refused" }> {
+function createRefusal(code: string, message: string): Extract<StartupResult, { type: "refused" }> {
   return { type: "refused", error: { severity: "FATAL", code, message } };
 }
--- a/src/caller/startup.ts
+++ b/src/caller/startup.ts
@@ -1,10 +1,16 @@
 import { randomInt } from "node:crypto";
 import { settingPrefix } from "../sql/index.js";
 import { type CallerError, sqlStates } from "./errors.js";
-import { backend, encodeInt32, encodeMessage, encodeParameter, encodeReady } from "./message.js";
+import {
+  backendTypes,
+  encodeInt32,
+  encodeMessage,
+  encodeParameterStatus,
+  encodeReadyForQuery,
+} from "./message.js";
 
 /** What a caller says of itself when it connects. */
-export interface Introduction {
+export interface StartupRequest {
   readonly team: string;
   readonly group: string;
   readonly applicationName: string;
@@ -26,15 +32,18 @@
 const utf8Names: ReadonlySet<string> = new Set(["utf8", "utf-8", "unicode", "'utf-8'", "'utf8'"]);
 
 /** Reads the parameters of a start-up message. */
-export function readIntroduction(
+export function parseStartupParameters(
   parameters: Readonly<Record<string, string>>,
-): Introduction | CallerError {
+): StartupRequest | CallerError {
   const encoding = parameters.client_encoding;
   if (encoding !== undefined && !utf8Names.has(encoding.toLowerCase())) {
-    return refuse(sqlStates.invalidParameter, "the proxy speaks UTF8 only");
+    return createFatalError(sqlStates.invalidParameter, "the proxy speaks UTF8 only");
   }
   if (parameters.replication !== undefined) {
-    return refuse(sqlStates.featureNotSupported, "replication connections are not supported");
+    return createFatalError(
+      sqlStates.featureNotSupported,
+      "replication connections are not supported",
+    );
   }
   const team = parameters.user ?? "";
   const settings = new Map([...Object.entries(parameters), ...parseOptions(parameters.options)]);
@@ -51,41 +60,41 @@
 }
 
 /** Whether a start-up was refused. */
-export function isRefused(result: Introduction | CallerError): result is CallerError {
+export function isCallerError(result: StartupRequest | CallerError): result is CallerError {
   return "severity" in result;
 }
 
 /** Draws the key under which a caller may cancel its requests. */
-export function drawBackendKey(): BackendKey {
+export function generateBackendKey(): BackendKey {
   const max = 2 ** 31 - 1;
   return { processId: randomInt(1, max), secret: randomInt(1, max) };
 }
 
 /** Builds the answer to a start-up that is accepted. */
-export function encodeGreeting(greeting: {
+export function encodeStartupReply(reply: {
   readonly serverVersion: string;
   readonly applicationName: string;
   readonly token: string;
   readonly key: BackendKey;
 }): Buffer {
   const parameters: readonly (readonly [string, string])[] = [
-    ["server_version", greeting.serverVersion],
+    ["server_version", reply.serverVersion],
     ["server_encoding", "UTF8"],
     ["client_encoding", "UTF8"],
-    ["application_name", greeting.applicationName],
+    ["application_name", reply.applicationName],
     ["DateStyle", "ISO, MDY"],
     ["IntervalStyle", "postgres"],
     ["TimeZone", "UTC"],
     ["integer_datetimes", "on"],
     ["standard_conforming_strings", "on"],
-    [tokenParameter, greeting.token],
+    [tokenParameter, reply.token],
   ];
-  const { processId, secret } = greeting.key;
+  const { processId, secret } = reply.key;
   return Buffer.concat([
-    encodeMessage(backend.authentication, encodeInt32(0)),
-    ...parameters.map(([name, value]) => encodeParameter(name, value)),
-    encodeMessage(backend.backendKeyData, encodeInt32(processId), encodeInt32(secret)),
-    encodeReady("I"),
+    encodeMessage(backendTypes.authentication, encodeInt32(0)),
+    ...parameters.map(([name, value]) => encodeParameterStatus(name, value)),
+    encodeMessage(backendTypes.backendKeyData, encodeInt32(processId), encodeInt32(secret)),
+    encodeReadyForQuery("I"),
   ]);
 }
 
@@ -104,6 +113,6 @@
     : undefined;
 }
 
-function refuse(code: string, message: string): CallerError {
+function createFatalError(code: string, message: string): CallerError {
   return { severity: "FATAL", code, message };
 }
--- a/src/caller/transaction.ts
+++ b/src/caller/transaction.ts
@@ -9,7 +9,7 @@
       readonly conversation: Conversation;
       /** As the target said last: in a transaction, or in one that has failed there. */
       readonly status: "T" | "E";
-      readonly readOnly: boolean;
+      readonly isReadOnly: boolean;
       /** The kind that the caller gave with its first statement. */
       readonly kind: string | undefined;
     }
@@ -27,7 +27,7 @@
 }
 
 /** The state after a batch; the conversation of a transaction that ended is closed by the caller. */
-export function findNextTransaction(
+export function getNextTransactionState(
   before: TransactionState,
   batch: TransactionBatch,
   outcome: Outcome,
@@ -40,18 +40,18 @@
         type: "open",
         conversation: batch.conversation,
         status: outcome.status,
-        readOnly: isReadOnlyBegin(batch.statements),
+        isReadOnly: isReadOnlyBegin(batch.statements),
         kind: batch.kind,
       };
     case "failed": {
-      const isOver = before.type === "none" || hasEnd(batch.statements);
-      return isOver ? noTransaction : { type: "aborted" };
+      const hasEnded = before.type === "none" || hasTransactionEnd(batch.statements);
+      return hasEnded ? noTransaction : { type: "aborted" };
     }
   }
 }
 
 /** The status byte that the caller sees. */
-export function findStatus(state: TransactionState): "I" | "T" | "E" {
+export function getTransactionStatus(state: TransactionState): "I" | "T" | "E" {
   switch (state.type) {
     case "none":
       return "I";
@@ -63,17 +63,17 @@
 }
 
 /** Whether a batch leaves a transaction open that it began. */
-export function opensTransaction(statements: readonly StatementKind[]): boolean {
+export function leavesTransactionOpen(statements: readonly StatementKind[]): boolean {
   const last = statements.findLast((s) => s.type === "begin" || s.type === "end");
-  return last?.type === "begin" || (last?.type === "end" && last.chain);
+  return last?.type === "begin" || (last?.type === "end" && last.isChained);
 }
 
 /** Whether a batch ends the transaction that it meets. */
-export function hasEnd(statements: readonly StatementKind[]): boolean {
+export function hasTransactionEnd(statements: readonly StatementKind[]): boolean {
   return statements.some((s) => s.type === "end");
 }
 
 function isReadOnlyBegin(statements: readonly StatementKind[]): boolean {
   const begins = statements.filter((s) => s.type === "begin");
-  return begins.length > 0 && begins.every((s) => s.readOnly);
+  return begins.length > 0 && begins.every((s) => s.isReadOnly);
 }
--- a/src/sql/cache.ts
+++ b/src/sql/cache.ts
@@ -1,5 +1,5 @@
 /** Bounds of a cache. */
-export interface CacheBounds {
+export interface CacheLimits {
   readonly maxEntries: number;
   readonly maxBytes: number;
 }
@@ -16,23 +16,23 @@
  * in its bucket, and each use walks them all.
  */
 export class LruCache<V> {
-  private young = new Map<string, Entry<V>>();
-  private old = new Map<string, Entry<V>>();
-  private youngBytes = 0;
+  private current = new Map<string, Entry<V>>();
+  private previous = new Map<string, Entry<V>>();
+  private currentBytes = 0;
 
-  constructor(private readonly bounds: CacheBounds) {}
+  constructor(private readonly limits: CacheLimits) {}
 
   /** Entries held now. */
   get size(): number {
-    return this.young.size + this.old.size;
+    return this.current.size + this.previous.size;
   }
 
   get(key: string): V | undefined {
-    const known = this.young.get(key);
-    if (known !== undefined) return known.value;
-    const entry = this.old.get(key);
+    const currentEntry = this.current.get(key);
+    if (currentEntry !== undefined) return currentEntry.value;
+    const entry = this.previous.get(key);
     if (entry === undefined) return undefined;
-    this.old.delete(key);
+    this.previous.delete(key);
     this.add(key, entry);
     return entry.value;
   }
@@ -40,27 +40,27 @@
   /** Keeps `value`, unless it alone would fill a large part of the cache. */
   set(key: string, value: V, bytes: number): void {
     this.remove(key);
-    if (bytes <= this.bounds.maxBytes / 16) this.add(key, { value, bytes });
+    if (bytes <= this.limits.maxBytes / 16) this.add(key, { value, bytes });
   }
 
   private add(key: string, entry: Entry<V>): void {
     const isFull =
-      this.young.size >= Math.max(1, Math.floor(this.bounds.maxEntries / 2)) ||
-      this.youngBytes + entry.bytes > this.bounds.maxBytes / 2;
-    if (isFull) this.age();
-    this.young.set(key, entry);
-    this.youngBytes += entry.bytes;
+      this.current.size >= Math.max(1, Math.floor(this.limits.maxEntries / 2)) ||
+      this.currentBytes + entry.bytes > this.limits.maxBytes / 2;
+    if (isFull) this.rotate();
+    this.current.set(key, entry);
+    this.currentBytes += entry.bytes;
   }
 
-  private age(): void {
-    this.old = this.young;
-    this.young = new Map();
-    this.youngBytes = 0;
+  private rotate(): void {
+    this.previous = this.current;
+    this.current = new Map();
+    this.currentBytes = 0;
   }
 
   private remove(key: string): void {
-    this.old.delete(key);
-    this.youngBytes -= this.young.get(key)?.bytes ?? 0;
-    this.young.delete(key);
+    this.previous.delete(key);
+    this.currentBytes -= this.current.get(key)?.bytes ?? 0;
+    this.current.delete(key);
   }
 }
--- a/src/sql/classify.ts
+++ b/src/sql/classify.ts
@@ -15,7 +15,7 @@
 
 const maxEntries = 10_000;
 const maxBytes = 16 * 1024 * 1024;
-const bytesOfEntry = 400;
+const entryOverheadBytes = 400;
 
 const unparsable: Classification = {
   effect: "write",
@@ -30,25 +30,25 @@
  * primary. `loadParser` must have resolved. Results are kept by text, in bounded memory.
  */
 export function classifyStatement(text: string): Classification {
-  const known = cache.get(text);
-  if (known !== undefined) return known;
-  const found = classifyText(text);
-  cache.set(text, found, bytesOfEntry + 2 * text.length);
-  return found;
+  const cached = cache.get(text);
+  if (cached !== undefined) return cached;
+  const classification = classifyText(text);
+  cache.set(text, classification, entryOverheadBytes + 2 * text.length);
+  return classification;
 }
 
 function classifyText(text: string): Classification {
   try {
     const statements = parseStatements(text);
-    return statements === undefined ? unparsable : mergeFindings(statements);
+    return statements === undefined ? unparsable : mergeClassifications(statements);
   } catch {
     // A tree nested deeper than the stack; the target's own parser will have its say.
     return unparsable;
   }
 }
 
-function mergeFindings(statements: readonly ParsedStatement[]): Classification {
-  const parts = statements.map(classifyOne);
+function mergeClassifications(statements: readonly ParsedStatement[]): Classification {
+  const parts = statements.map(classifyParsed);
   return {
     effect: parts.every((part) => part.effect === "read") ? "read" : "write",
     tables: [...new Set(parts.flatMap((part) => part.tables))].sort(),
@@ -56,7 +56,7 @@
   };
 }
 
-function classifyOne(statement: ParsedStatement): {
+function classifyParsed(statement: ParsedStatement): {
   readonly effect: Effect;
   readonly tables: readonly string[];
   readonly kind: StatementKind;
@@ -64,8 +64,8 @@
   const kind = classifyKind(statement);
   const { effect, tables, sessionFunction } = findEffect(statement);
   if (sessionFunction !== undefined) {
-    return { effect, tables, kind: { type: "sessionState", what: sessionFunction } };
+    return { effect, tables, kind: { type: "sessionState", feature: sessionFunction } };
   }
-  const isReadOnly = kind.type === "begin" && kind.readOnly;
+  const isReadOnly = kind.type === "begin" && kind.isReadOnly;
   return { effect: isReadOnly ? "read" : effect, tables, kind };
 }
--- a/src/sql/effect.ts
+++ b/src/sql/effect.ts
@@ -10,16 +10,16 @@
 } from "./parser.js";
 
 /** What a walk over a statement's tree finds. */
-export interface Findings {
+export interface StatementEffect {
   readonly effect: Effect;
   readonly tables: readonly string[];
   /** A function whose effect outlives the transaction on its connection. */
   readonly sessionFunction?: string;
 }
 
-const writingNodes = new Set(["InsertStmt", "UpdateStmt", "DeleteStmt", "MergeStmt"]);
-const writingKeys = new Set(["intoClause", "lockingClause"]);
-const readingStatements = new Set([
+const writeNodeTypes = new Set(["InsertStmt", "UpdateStmt", "DeleteStmt", "MergeStmt"]);
+const writeClauses = new Set(["intoClause", "lockingClause"]);
+const readStatementTypes = new Set([
   "SelectStmt",
   "VariableShowStmt",
   "FetchStmt",
@@ -28,21 +28,21 @@
 ]);
 
 /** Finds effect and tables of one statement. What isn't known to read writes. */
-export function findEffect(statement: ParsedStatement): Findings {
-  const walk = new Walk();
-  walk.visit(statement.name, statement.node);
+export function findEffect(statement: ParsedStatement): StatementEffect {
+  const walker = new TreeWalker();
+  walker.visit(statement.nodeType, statement.node);
   return {
-    effect: canRead(statement) && !walk.writes ? "read" : "write",
-    tables: walk.listTables(),
-    ...(walk.sessionFunction === undefined ? {} : { sessionFunction: walk.sessionFunction }),
+    effect: isReadStatement(statement) && !walker.hasWrite ? "read" : "write",
+    tables: walker.listTables(),
+    ...(walker.sessionFunction === undefined ? {} : { sessionFunction: walker.sessionFunction }),
   };
 }
 
-class Walk {
-  writes = false;
+class TreeWalker {
+  hasWrite = false;
   sessionFunction: string | undefined;
   private readonly tables = new Set<string>();
-  private readonly withNames = new Set<string>();
+  private readonly cteNames = new Set<string>();
 
   visit(key: string, value: unknown): void {
     if (Array.isArray(value)) {
@@ -50,31 +50,31 @@
       return;
     }
     if (!isNode(value)) return;
-    this.note(key, value);
+    this.inspectNode(key, value);
     for (const [childKey, child] of Object.entries(value)) {
-      if (writingKeys.has(childKey)) this.writes = true;
+      if (writeClauses.has(childKey)) this.hasWrite = true;
       this.visit(childKey, child);
     }
   }
 
   listTables(): readonly string[] {
-    return [...this.tables].filter((table) => !this.withNames.has(table));
+    return [...this.tables].filter((table) => !this.cteNames.has(table));
   }
 
-  private note(key: string, node: TreeNode): void {
-    if (writingNodes.has(key)) this.writes = true;
+  private inspectNode(key: string, node: TreeNode): void {
+    if (writeNodeTypes.has(key)) this.hasWrite = true;
     const relation = getText(node, "relname");
-    if (relation !== undefined) this.tables.add(nameTable(node, relation));
-    const withName = getText(node, "ctename");
-    if (withName !== undefined) this.withNames.add(withName);
-    if (key === "FuncCall") this.noteFunction(node);
+    if (relation !== undefined) this.tables.add(formatTableName(node, relation));
+    const cteName = getText(node, "ctename");
+    if (cteName !== undefined) this.cteNames.add(cteName);
+    if (key === "FuncCall") this.inspectFunction(node);
   }
 
-  private noteFunction(node: TreeNode): void {
+  private inspectFunction(node: TreeNode): void {
     const path = getList(node, "funcname").map(readName);
     const name = path.at(-1) ?? "";
     const isBuiltIn = path.length === 1 || path[0] === "pg_catalog";
-    if (!isBuiltIn || !readOnlyFunctions.has(name)) this.writes = true;
+    if (!isBuiltIn || !readOnlyFunctions.has(name)) this.hasWrite = true;
     if (isBuiltIn && sessionFunctions.has(name)) this.sessionFunction = name;
   }
 }
@@ -84,13 +84,13 @@
   return text === undefined ? "" : (getText(text, "sval") ?? "");
 }
 
-function nameTable(node: TreeNode, relation: string): string {
+function formatTableName(node: TreeNode, relation: string): string {
   const schema = getText(node, "schemaname");
   return schema === undefined || schema === "public" ? relation : `${schema}.${relation}`;
 }
 
-function canRead({ name, node }: ParsedStatement): boolean {
-  if (name !== "ExplainStmt") return readingStatements.has(name);
+function isReadStatement({ nodeType, node }: ParsedStatement): boolean {
+  if (nodeType !== "ExplainStmt") return readStatementTypes.has(nodeType);
   return !getList(node, "options").some((option) => {
     const element = isNode(option) ? getChild(option, "DefElem") : undefined;
     return element !== undefined && getText(element, "defname") === "analyze";
--- a/src/sql/functions.ts
+++ b/src/sql/functions.ts
@@ -1,4 +1,4 @@
-const readOnly = `
+const readOnlyFunctionNames = `
   abs acos age array_agg array_append array_cat array_dims array_length array_lower array_ndims
   array_position array_positions array_prepend array_remove array_replace array_to_json
   array_to_string array_upper ascii asin atan atan2 avg bit_and bit_length bit_or bool_and bool_or
@@ -38,18 +38,18 @@
   version websearch_to_tsquery width_bucket xmlagg xpath xpath_exists
 `;
 
-const sessionBound = `
+const sessionFunctionNames = `
   pg_advisory_lock pg_advisory_lock_shared pg_advisory_unlock pg_advisory_unlock_all
   pg_advisory_unlock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
 `;
 
-const split = (names: string): ReadonlySet<string> => new Set(names.trim().split(/\s+/));
+const splitNames = (names: string): ReadonlySet<string> => new Set(names.trim().split(/\s+/));
 
 /**
  * PostgreSQL's own functions that write nothing and keep nothing on the connection. A function that
  * isn't listed may write, and a replica would then refuse it after a useless trip.
  */
-export const readOnlyFunctions = split(readOnly);
+export const readOnlyFunctions = splitNames(readOnlyFunctionNames);
 
 /** Functions whose effect outlives the transaction on its connection, which callers share. */
-export const sessionFunctions = split(sessionBound);
+export const sessionFunctions = splitNames(sessionFunctionNames);
--- a/src/sql/index.ts
+++ b/src/sql/index.ts
@@ -2,4 +2,4 @@
 export { type StatementKind, settingPrefix } from "./statement.js";
 export { type Classification, classifyStatement } from "./classify.js";
 export { type TaggedText, parseTags } from "./tags.js";
-export { type CacheBounds, LruCache } from "./cache.js";
+export { type CacheLimits, LruCache } from "./cache.js";
--- a/src/sql/kind.ts
+++ b/src/sql/kind.ts
@@ -13,8 +13,8 @@
 
 /** Tells what a statement means to the session that sends it. */
 export function classifyKind(statement: ParsedStatement): StatementKind {
-  const { name, node } = statement;
-  switch (name) {
+  const { nodeType, node } = statement;
+  switch (nodeType) {
     case "TransactionStmt":
       return classifyTransaction(node);
     case "VariableSetStmt":
@@ -23,23 +23,23 @@
       return classifyDiscard(node);
     case "DeallocateStmt":
       return node.isall === true
-        ? { type: "discard", tag: "DEALLOCATE ALL", what: "plans" }
-        : { type: "sessionState", what: "DEALLOCATE" };
+        ? { type: "discard", tag: "DEALLOCATE ALL", scope: "plans" }
+        : { type: "sessionState", feature: "DEALLOCATE" };
     case "PrepareStmt":
-      return { type: "sessionState", what: "PREPARE" };
+      return { type: "sessionState", feature: "PREPARE" };
     case "ExecuteStmt":
-      return { type: "sessionState", what: "EXECUTE" };
+      return { type: "sessionState", feature: "EXECUTE" };
     case "ListenStmt":
     case "UnlistenStmt":
-      return { type: "sessionState", what: "LISTEN" };
+      return { type: "sessionState", feature: "LISTEN" };
     case "LoadStmt":
-      return { type: "sessionState", what: "LOAD" };
+      return { type: "sessionState", feature: "LOAD" };
     case "CopyStmt":
       return isCopyIn(node) ? { type: "copyIn" } : plain;
     case "DeclareCursorStmt":
       return (Number(node.options ?? 0) & cursorWithHold) === 0
         ? plain
-        : { type: "sessionState", what: "DECLARE … WITH HOLD" };
+        : { type: "sessionState", feature: "DECLARE … WITH HOLD" };
     case "CreateStmt":
       return classifyCreate(getChild(node, "relation"));
     case "CreateTableAsStmt":
@@ -54,13 +54,13 @@
   switch (kind) {
     case "TRANS_STMT_BEGIN":
     case "TRANS_STMT_START":
-      return { type: "begin", readOnly: isReadOnly(node) };
+      return { type: "begin", isReadOnly: isReadOnly(node) };
     case "TRANS_STMT_COMMIT":
-      return { type: "end", commits: true, chain: node.chain === true };
+      return { type: "end", isCommit: true, isChained: node.chain === true };
     case "TRANS_STMT_ROLLBACK":
-      return { type: "end", commits: false, chain: node.chain === true };
+      return { type: "end", isCommit: false, isChained: node.chain === true };
     case "TRANS_STMT_PREPARE":
-      return { type: "end", commits: true, chain: false };
+      return { type: "end", isCommit: true, isChained: false };
     default:
       return plain;
   }
@@ -78,17 +78,18 @@
 
 function classifySetting(node: TreeNode): StatementKind {
   const name = getText(node, "name") ?? "";
-  if (getText(node, "kind") === "VAR_RESET_ALL") return { type: "sessionState", what: "RESET ALL" };
+  if (getText(node, "kind") === "VAR_RESET_ALL")
+    return { type: "sessionState", feature: "RESET ALL" };
   if (name.startsWith(settingPrefix)) {
     const value = readSettingValue(node);
-    const short = name.slice(settingPrefix.length);
+    const settingName = name.slice(settingPrefix.length);
     return value === undefined
-      ? { type: "setting", name: short }
-      : { type: "setting", name: short, value };
+      ? { type: "setting", name: settingName }
+      : { type: "setting", name: settingName, value };
   }
   const isLocal =
     node.is_local === true || name === "TRANSACTION" || name === "TRANSACTION SNAPSHOT";
-  return isLocal ? plain : { type: "sessionState", what: `SET ${name}` };
+  return isLocal ? plain : { type: "sessionState", feature: `SET ${name}` };
 }
 
 function readSettingValue(node: TreeNode): string | undefined {
@@ -107,17 +108,17 @@
   const target = getText(node, "target") ?? "";
   switch (target) {
     case "DISCARD_ALL":
-      return { type: "discard", tag: "DISCARD ALL", what: "all" };
+      return { type: "discard", tag: "DISCARD ALL", scope: "all" };
     case "DISCARD_PLANS":
-      return { type: "discard", tag: "DISCARD PLANS", what: "plans" };
+      return { type: "discard", tag: "DISCARD PLANS", scope: "plans" };
     default:
-      return { type: "sessionState", what: "DISCARD" };
+      return { type: "sessionState", feature: "DISCARD" };
   }
 }
 
 function classifyCreate(relation: TreeNode | undefined): StatementKind {
   const isTemporary = relation !== undefined && getText(relation, "relpersistence") === "t";
-  return isTemporary ? { type: "sessionState", what: "a temporary table" } : plain;
+  return isTemporary ? { type: "sessionState", feature: "a temporary table" } : plain;
 }
 
 function isCopyIn(node: TreeNode): boolean {
--- a/src/sql/parser.ts
+++ b/src/sql/parser.ts
@@ -5,7 +5,7 @@
 
 /** One parsed statement: the name of its node and the node itself. */
 export interface ParsedStatement {
-  readonly name: string;
+  readonly nodeType: string;
   readonly node: TreeNode;
 }
 
@@ -60,8 +60,8 @@
   return getList(result, "stmts").flatMap((entry) => {
     const wrapped = isNode(entry) ? getChild(entry, "stmt") : undefined;
     if (wrapped === undefined) return [];
-    return Object.entries(wrapped).flatMap(([name, node]) =>
-      isNode(node) ? [{ name, node }] : [],
+    return Object.entries(wrapped).flatMap(([nodeType, node]) =>
+      isNode(node) ? [{ nodeType, node }] : [],
     );
   });
 }
--- a/src/sql/statement.ts
+++ b/src/sql/statement.ts
@@ -2,15 +2,15 @@
 export type StatementKind =
   | { readonly type: "plain" }
   /** Opens an interactive transaction. */
-  | { readonly type: "begin"; readonly readOnly: boolean }
+  | { readonly type: "begin"; readonly isReadOnly: boolean }
   /** Ends one: commits it or rolls it back. `chain` opens the next at once. */
-  | { readonly type: "end"; readonly commits: boolean; readonly chain: boolean }
+  | { readonly type: "end"; readonly isCommit: boolean; readonly isChained: boolean }
   /** `SET radishwalk.name = value`; without a value, back to its default. */
   | { readonly type: "setting"; readonly name: string; readonly value?: string }
   /** Throws away what the session keeps, such as its prepared statements. */
-  | { readonly type: "discard"; readonly tag: string; readonly what: "all" | "plans" }
+  | { readonly type: "discard"; readonly tag: string; readonly scope: "all" | "plans" }
   /** Would change a connection that callers share, beyond the transaction. */
-  | { readonly type: "sessionState"; readonly what: string }
+  | { readonly type: "sessionState"; readonly feature: string }
   /** Wants data from the caller in the middle of its answer. */
   | { readonly type: "copyIn" };
 
--- a/test/caller/fake.ts
+++ b/test/caller/fake.ts
@@ -3,10 +3,10 @@
 import pg from "pg";
 import { CallerServer, type CallerServerOptions } from "../../src/caller/index.js";
 import {
-  encodeComplete,
+  encodeCommandComplete,
   encodeInt32,
   encodeMessage,
-  encodeText,
+  encodeCString,
 } from "../../src/caller/message.js";
 import type {
   Address,
@@ -39,7 +39,7 @@
   sleep: (ms, signal) => setTimeout(ms, undefined, signal === undefined ? {} : { signal }),
 };
 
-export const serve: RuleAction = {
+export const serveAction: RuleAction = {
   type: "serve",
   route: { type: "replica" },
   priority: "normal",
@@ -49,7 +49,7 @@
   acknowledgement: "replicated",
 };
 
-export const mark = (offset: number): Mark => ({ term: { round: 1, vm: "a" }, offset });
+export const createMark = (offset: number): Mark => ({ term: { round: 1, vm: "a" }, offset });
 
 /** A group that answers by a function from statement to reply, and keeps what it was asked. */
 export class FakeGroup implements GroupGateway {
@@ -97,7 +97,7 @@
         await Promise.race([last.wait, waitForAbort(signal)]);
         if (signal.aborted) {
           this.aborted += 1;
-          return failed("mayHaveRun");
+          return createFailedOutcome("mayHaveRun");
         }
       }
       for (const message of answerTo(type, last, text)) await sink(message);
@@ -112,7 +112,7 @@
   }
 }
 
-export function failed(type: "mayHaveRun" | "notRun"): Outcome {
+export function createFailedOutcome(type: "mayHaveRun" | "notRun"): Outcome {
   const verdict =
     type === "notRun"
       ? ({ type, reason: "noPrimary", retryAfterMs: 250 } as const)
@@ -121,10 +121,10 @@
 }
 
 /** Waits for something that must come about; rejects when it does not. */
-export async function waitUntil(holds: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
   const endAt = clock.now() + 10_000;
-  while (!holds()) {
-    if (clock.now() > endAt) throw new Error(`waited in vain for ${String(holds)}`);
+  while (!condition()) {
+    if (clock.now() > endAt) throw new Error(`waited in vain for ${String(condition)}`);
     await setTimeout(2);
   }
 }
@@ -136,7 +136,7 @@
     address: { host: "127.0.0.1", port: 0 },
     gateway: group,
     hasGroup: (name) => name === "g",
-    match: () => ({ rule: "all", action: serve }),
+    match: () => ({ rule: "all", action: serveAction }),
     findTeam: (name) => (name === "nobody" ? undefined : { name, plan: "paying" }),
     tokenKeys: () => [Buffer.from("key")],
     clock,
@@ -176,7 +176,10 @@
 }
 
 export function startupMessage(parameters: Readonly<Record<string, string>>): Buffer {
-  const pairs = Object.entries(parameters).flatMap(([k, v]) => [encodeText(k), encodeText(v)]);
+  const pairs = Object.entries(parameters).flatMap(([k, v]) => [
+    encodeCString(k),
+    encodeCString(v),
+  ]);
   const body = Buffer.concat([encodeInt32(196608), ...pairs, Buffer.of(0)]);
   return Buffer.concat([encodeInt32(body.length + 4), body]);
 }
@@ -188,13 +191,13 @@
   const columns = encodeMessage(
     code("T"),
     Buffer.of(0, 1),
-    encodeText("v"),
+    encodeCString("v"),
     Buffer.from("0000000000000000001900000000ffffffff0000".slice(0, 36), "hex"),
   );
   const rows = (reply.rows ?? []).map((row) =>
     encodeMessage(code("D"), Buffer.of(0, 1), encodeInt32(row.length), Buffer.from(row)),
   );
-  const complete = encodeComplete(/^\w+/.exec(text)?.[0]?.toUpperCase() ?? "");
+  const complete = encodeCommandComplete(/^\w+/.exec(text)?.[0]?.toUpperCase() ?? "");
   switch (type) {
     case "P":
       return [encodeMessage(code("1"))];
@@ -214,7 +217,7 @@
 }
 
 function encodeError(message: string): Buffer {
-  const fields = ["SERROR", "C23505", `M${message}`].map(encodeText);
+  const fields = ["SERROR", "C23505", `M${message}`].map(encodeCString);
   return encodeMessage("E".charCodeAt(0), ...fields, Buffer.of(0));
 }
 
--- a/test/caller/limits.test.ts
+++ b/test/caller/limits.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, expect, test } from "@jest/globals";
 import fc from "fast-check";
 import pgProtocol from "pg-protocol";
-import { encodeInt32, encodeMessage, frontend } from "../../src/caller/message.js";
+import { encodeInt32, encodeMessage, frontendTypes } from "../../src/caller/message.js";
 import {
   clock,
   FakeGroup,
@@ -38,7 +38,7 @@
   return { promise, open };
 }
 
-const hello = startupMessage({ user: "acme", database: "g" });
+const startup = startupMessage({ user: "acme", database: "g" });
 const sslRequest = Buffer.concat([encodeInt32(8), encodeInt32(80877103)]);
 const query = pgProtocol.serialize.query("select 1");
 
@@ -66,17 +66,17 @@
 
 test.each([
   ["an unknown type", header(0x21, 4)],
-  ["a length below its header's", header(frontend.query, 0)],
-  ["a length over the limit", header(frontend.query, 2_000_000_000)],
-  ["a text without its end", encodeMessage(frontend.query, Buffer.from("select 1"))],
-  ["a password that nobody asked for", encodeMessage(frontend.password, Buffer.of(0))],
+  ["a length below its header's", header(frontendTypes.query, 0)],
+  ["a length over the limit", header(frontendTypes.query, 2_000_000_000)],
+  ["a text without its end", encodeMessage(frontendTypes.query, Buffer.from("select 1"))],
+  ["a password that nobody asked for", encodeMessage(frontendTypes.password, Buffer.of(0))],
   [
     "a malformed Parse",
-    Buffer.concat([encodeMessage(frontend.parse), pgProtocol.serialize.sync()]),
+    Buffer.concat([encodeMessage(frontendTypes.parse), pgProtocol.serialize.sync()]),
   ],
 ])("%s ends the connection with 08P01", async (_, bytes) => {
   const { address, group } = await start();
-  const answer = await sendRaw(address, hello, bytes);
+  const answer = await sendRaw(address, startup, bytes);
   expect(answer.toString()).toContain("C08P01");
   expect(group.requests).toEqual([]);
 });
@@ -84,7 +84,7 @@
 test("more bytes before a Sync than the limit end the connection", async () => {
   const { address } = await start({ limits: { maxMessageBytes: 4096 } });
   const parse = pgProtocol.serialize.parse({ text: "x".repeat(1000) });
-  const answer = await sendRaw(address, hello, ...Array.from({ length: 5 }, () => parse));
+  const answer = await sendRaw(address, startup, ...Array.from({ length: 5 }, () => parse));
   expect(answer.toString()).toContain("too many bytes before a Sync");
 });
 
@@ -97,7 +97,7 @@
 // Were those bytes kept, they would run as the caller's own once the line is encrypted.
 test("bytes behind a request for encryption end the connection", async () => {
   const { address } = await start();
-  const answer = await sendRaw(address, Buffer.concat([sslRequest, hello]));
+  const answer = await sendRaw(address, Buffer.concat([sslRequest, startup]));
   expect(answer.toString()).toContain("C08P01");
 });
 
@@ -107,7 +107,7 @@
   const answers = await new Promise<string>((resolve) => {
     const socket = new Socket().connect(address.port, address.host);
     let received = "";
-    const next = [sslRequest, hello];
+    const next = [sslRequest, startup];
     socket.on("data", (chunk) => {
       received += chunk.toString("latin1");
       const message = next.shift();
@@ -122,11 +122,11 @@
 // A caller begins a message and sends no more of it, sends no start-up, or sits in a transaction.
 // Its connection, and with the transaction a target's, would be held for as long as it likes.
 test.each<[string, Record<string, number>, readonly Buffer[], string]>([
-  ["a stalled message", { messageStallMs: 50 }, [hello, query.subarray(0, 7)], "08P01"],
-  ["a stalled start-up", { startupMs: 50 }, [hello.subarray(0, 9)], "08P01"],
+  ["a stalled message", { messageStallMs: 50 }, [startup, query.subarray(0, 7)], "08P01"],
+  ["a stalled start-up", { startupMs: 50 }, [startup.subarray(0, 9)], "08P01"],
   ["no start-up", { startupMs: 50 }, [], "08P01"],
-  ["an idle session", { idleMs: 50 }, [hello], "57P05"],
-  ["an idle transaction", { idleInTransactionMs: 50 }, [hello, query], "25P03"],
+  ["an idle session", { idleMs: 50 }, [startup], "57P05"],
+  ["an idle transaction", { idleInTransactionMs: 50 }, [startup, query], "25P03"],
 ])("%s ends after its limit", async (_, limits, bytes, code) => {
   const { address, group, server } = await start({ limits }, () => ({ status: "T" }));
   const answer = await sendRaw(address, ...bytes);
@@ -161,7 +161,7 @@
   const socket = new Socket().connect(address.port, address.host);
   socket.pause();
   socket.on("error", () => undefined);
-  socket.write(Buffer.concat([hello, query]));
+  socket.write(Buffer.concat([startup, query]));
   const closed = new Promise((resolve) => socket.on("close", resolve));
   await waitUntil(() => server.connectionCount > 0);
   await waitUntil(() => server.connectionCount === 0);
@@ -175,7 +175,7 @@
   for (const text of ["select 1", "delete from t"]) {
     const socket = new Socket().connect(address.port, address.host);
     const asked = group.requests.length + 1;
-    socket.write(Buffer.concat([hello, pgProtocol.serialize.query(text)]));
+    socket.write(Buffer.concat([startup, pgProtocol.serialize.query(text)]));
     await waitUntil(() => group.requests.length === asked);
     socket.destroy();
     await waitUntil(() => server.connectionCount === 0);
@@ -245,13 +245,13 @@
   const other = await connect();
   const bytes = fc.uint8Array({ maxLength: 64 });
   const typed = fc
-    .tuple(fc.constantFrom(...Object.values(frontend)), bytes)
+    .tuple(fc.constantFrom(...Object.values(frontendTypes)), bytes)
     .map(([type, content]) => encodeMessage(type, content));
   const parts = fc.array(fc.oneof(bytes, typed, fc.constant(query)), { maxLength: 6 });
   await fc.assert(
     fc.asyncProperty(fc.boolean(), parts, async (isGreeted, list) => {
       const end = isGreeted ? [pgProtocol.serialize.end()] : [];
-      await sendRaw(address, ...(isGreeted ? [hello] : []), ...list, ...end);
+      await sendRaw(address, ...(isGreeted ? [startup] : []), ...list, ...end);
       expect((await other.query("select 1")).command).toBe("SELECT");
     }),
     { seed: 11, numRuns: 60 },
--- a/test/caller/protocol.test.ts
+++ b/test/caller/protocol.test.ts
@@ -3,11 +3,11 @@
 import pgProtocol from "pg-protocol";
 import { setViolationHandler, type Outcome } from "../../src/model/index.js";
 import {
-  failed,
+  createFailedOutcome,
   FakeGroup,
   type Reply,
   sendRaw,
-  serve,
+  serveAction,
   startServer,
   startupMessage,
 } from "./fake.js";
@@ -31,12 +31,12 @@
   return { group, ...running };
 }
 
-const hello = startupMessage({ user: "acme", database: "g" });
+const startup = startupMessage({ user: "acme", database: "g" });
 
 /** Sends messages after the start-up and gives the types of the answer, one word for each `Z`. */
-async function ask(messages: readonly Uint8Array[]): Promise<readonly string[]> {
+async function sendMessages(messages: readonly Uint8Array[]): Promise<readonly string[]> {
   if (running === undefined) throw new Error("no server");
-  const answer = await sendRaw(running.address, hello, Buffer.concat([...messages, end()]));
+  const answer = await sendRaw(running.address, startup, Buffer.concat([...messages, end()]));
   let types = "";
   for (let at = 0; at < answer.length; at += answer.readUInt32BE(at + 1) + 1) {
     types += String.fromCharCode(answer[at] ?? 0);
@@ -51,18 +51,16 @@
 test("a statement described before a Flush can be bound afterwards", async () => {
   const { group } = await start();
   const described = [parse(p), describe({ type: "S", name: "p" }), flush()];
-  expect(await ask([...described, ...useP])).toEqual(["1T2C", ""]);
+  expect(await sendMessages([...described, ...useP])).toEqual(["1T2C", ""]);
   expect(group.frames.join("")).toBe("PDSPBES");
 });
 
 test("an error before a Flush passes over what follows up to the Sync", async () => {
   const { group } = await start();
   const described = [describe({ type: "S", name: "p" }), flush()];
-  expect(await ask([...described, parse(p), flush(), ...useP, query("select 1")])).toEqual([
-    "E",
-    "C",
-    "",
-  ]);
+  expect(await sendMessages([...described, parse(p), flush(), ...useP, query("select 1")])).toEqual(
+    ["E", "C", ""],
+  );
   expect(group.statements).toEqual(["select 1"]);
 });
 
@@ -71,7 +69,7 @@
 test("a Query between an error and the Sync has no answer of its own", async () => {
   await start();
   const described = [describe({ type: "S", name: "p" }), flush()];
-  expect(await ask([...described, query("listen x"), sync(), query("select 1")])).toEqual([
+  expect(await sendMessages([...described, query("listen x"), sync(), query("select 1")])).toEqual([
     "E",
     "C",
     "",
@@ -80,7 +78,7 @@
 
 test("an empty batch and the closing of a statement need no target", async () => {
   const { group } = await start();
-  expect(await ask([sync(), query(""), close({ type: "S", name: "p" }), sync()])).toEqual([
+  expect(await sendMessages([sync(), query(""), close({ type: "S", name: "p" }), sync()])).toEqual([
     "",
     "I",
     "3",
@@ -91,7 +89,7 @@
 
 test("names are the session's: taken, unknown, closed and discarded", async () => {
   await start();
-  const answers = await ask([
+  const answers = await sendMessages([
     ...[parse(p), sync()],
     ...[parse(p), sync()],
     ...useP,
@@ -107,7 +105,10 @@
 test("a broken message ends the connection after the answers that are due", async () => {
   await start();
   const bad = Buffer.from("B\0\0\0\x05x");
-  expect(await ask([query("select 1"), bad, sync(), query("select 2")])).toEqual(["C", "E"]);
+  expect(await sendMessages([query("select 1"), bad, sync(), query("select 2")])).toEqual([
+    "C",
+    "E",
+  ]);
 });
 
 // A target's answer does not fit the request, so it may be another caller's. In a program the
@@ -116,7 +117,7 @@
   await start(() => ({ raw: Buffer.from("1\0\0\0\x04") }));
   const violations: string[] = [];
   const before = setViolationHandler((invariant) => violations.push(invariant));
-  expect(await ask([parse(p), ...useP, query("select 1")])).toEqual(["12E"]);
+  expect(await sendMessages([parse(p), ...useP, query("select 1")])).toEqual(["12E"]);
   setViolationHandler(before);
   expect(violations).toEqual(["wholeOwnAnswer"]);
 });
@@ -125,17 +126,17 @@
 // sees 08007 and no "INSERT 0 1": a driver that resolves on the tag would take the reservation for
 // made.
 test("a write that may have run is not confirmed", async () => {
-  const { address } = await start(() => ({ outcome: failed("mayHaveRun") }));
-  expect(await ask([query("insert into t values (1)")])).toEqual(["E", ""]);
-  const answer = await sendRaw(address, hello, query("insert into t values (1)"), end());
+  const { address } = await start(() => ({ outcome: createFailedOutcome("mayHaveRun") }));
+  expect(await sendMessages([query("insert into t values (1)")])).toEqual(["E", ""]);
+  const answer = await sendRaw(address, startup, query("insert into t values (1)"), end());
   expect(answer.toString()).toMatch(/C08007.*verdict: mayHaveRun/s);
 });
 
 const retrying = () => ({
   rule: "r",
-  action: { ...serve, retry: { attempts: 2 } } as typeof serve,
+  action: { ...serveAction, retry: { attempts: 2 } } as typeof serveAction,
 });
-const lost: Outcome = {
+const lostOwner: Outcome = {
   type: "failed",
   verdict: { type: "notRun", reason: "noOwner", retryAfterMs: 1 },
   message: "gone",
@@ -152,9 +153,13 @@
 
 // The proxy that owns the group dies; the next owner is known a moment later.
 test.each([
-  ["a write that has not run", "insert into t values (1)", lost],
-  ["a read that may have run", "select 1", failed("mayHaveRun")],
-  ["a keyed write", "insert into t values (1) /*idempotency_key='k'*/", failed("mayHaveRun")],
+  ["a write that has not run", "insert into t values (1)", lostOwner],
+  ["a read that may have run", "select 1", createFailedOutcome("mayHaveRun")],
+  [
+    "a keyed write",
+    "insert into t values (1) /*idempotency_key='k'*/",
+    createFailedOutcome("mayHaveRun"),
+  ],
 ])("%s is tried again when its owner was lost", async (_, text, outcome) => {
   const { connect, group } = await start(replyInTurn(outcome), { match: retrying });
   const client = await connect();
@@ -165,17 +170,20 @@
 // The keyed write may have landed at the owner that was lost, and the next one refuses it.
 // "Not run" would be true of the second try alone, and the caller would book the cello again.
 test("a second try that did not run leaves the first one's verdict", async () => {
-  const { connect } = await start(replyInTurn(failed("mayHaveRun"), failed("notRun")), {
-    match: retrying,
-  });
+  const { connect } = await start(
+    replyInTurn(createFailedOutcome("mayHaveRun"), createFailedOutcome("notRun")),
+    {
+      match: retrying,
+    },
+  );
   const client = await connect();
   const pending = client.query("insert into t values (1) /*idempotency_key='k'*/");
   await expect(pending).rejects.toMatchObject({ code: "08007" });
 });
 
 test.each([
-  ["a write without a key", "insert into t values (1)", failed("mayHaveRun")],
-  ["what the owner refuses", "select 1", failed("notRun")],
+  ["a write without a key", "insert into t values (1)", createFailedOutcome("mayHaveRun")],
+  ["what the owner refuses", "select 1", createFailedOutcome("notRun")],
 ])("%s is not tried again", async (_, text, outcome) => {
   const { connect, group } = await start(replyInTurn(outcome), { match: retrying });
   const client = await connect();
@@ -186,7 +194,7 @@
 test("whatever comes in whatever order, each Sync and Query gets one answer", async () => {
   await start((text) => {
     if (text.startsWith("bad")) return { error: "no" };
-    if (text === "lost") return { outcome: failed("notRun") };
+    if (text === "lost") return { outcome: createFailedOutcome("notRun") };
     return { status: text === "begin" || text === "in" ? "T" : "I" };
   });
   const names = fc.constantFrom("", "a", "b");
@@ -202,7 +210,7 @@
   await fc.assert(
     fc.asyncProperty(fc.array(message, { maxLength: 24 }), async (list) => {
       const due = list.filter((m) => m[0] === 0x53 || m[0] === 0x51).length;
-      const answers = (await ask([...list, sync()])).slice(0, -1);
+      const answers = (await sendMessages([...list, sync()])).slice(0, -1);
       // After an error before a Flush, Queries up to the Sync are passed over.
       const hasFlush = list.some((m) => m[0] === 0x48);
       expect(answers.length).toBeLessThanOrEqual(due + 1);
--- a/test/caller/server.test.ts
+++ b/test/caller/server.test.ts
@@ -1,5 +1,12 @@
 import { afterEach, expect, test } from "@jest/globals";
-import { failed, FakeGroup, mark, type Reply, serve, startServer } from "./fake.js";
+import {
+  createFailedOutcome,
+  FakeGroup,
+  createMark,
+  type Reply,
+  serveAction,
+  startServer,
+} from "./fake.js";
 
 type Running = Awaited<ReturnType<typeof startServer>>;
 let running: Running | undefined;
@@ -111,7 +118,7 @@
 test("a rule refuses at once, with a verdict and a time to come back", async () => {
   const refuse = { type: "refuse", retryAfterMs: 700, reason: "no trials now" } as const;
   const { group, connect } = await start(undefined, {
-    match: ({ effect }) => ({ rule: "r", action: effect === "write" ? refuse : serve }),
+    match: ({ effect }) => ({ rule: "r", action: effect === "write" ? refuse : serveAction }),
   });
   const client = await connect();
   for (const values of [undefined, [1]]) {
@@ -131,7 +138,7 @@
 // were the session back in autocommit, the rest of the transaction would land piecemeal.
 test("a transaction that broke stays aborted until the caller ends it", async () => {
   const { group, connect } = await start((text) =>
-    text.startsWith("update") ? { outcome: failed("notRun") } : { status: "T" },
+    text.startsWith("update") ? { outcome: createFailedOutcome("notRun") } : { status: "T" },
   );
   const client = await connect();
   await client.query("begin");
@@ -155,7 +162,7 @@
 // A caller writes at one proxy and moves to another, which has never heard of it.
 // Its token names the mark, so the read there waits for a replica that has the write.
 test("a token carries the session's mark to another proxy", async () => {
-  const { connect } = await start(() => ({ mark: mark(7) }));
+  const { connect } = await start(() => ({ mark: createMark(7) }));
   const client = await connect();
   let token = "";
   const { connection } = client as unknown as { connection: NodeJS.EventEmitter };
@@ -171,13 +178,13 @@
   await unknown.query("select 1");
   await other.stop();
   const [known, floored] = elsewhere.requests;
-  expect([known?.mark, known?.action.route]).toEqual([mark(7), { type: "replica" }]);
+  expect([known?.mark, known?.action.route]).toEqual([createMark(7), { type: "replica" }]);
   expect([floored?.mark, floored?.action.route]).toEqual([undefined, { type: "primary" }]);
 });
 
 test("a read that misses the session's mark breaks an invariant", async () => {
-  const marks = [mark(7), mark(3)];
-  const { connect } = await start(() => ({ mark: marks.shift() ?? mark(9) }));
+  const marks = [createMark(7), createMark(3)];
+  const { connect } = await start(() => ({ mark: marks.shift() ?? createMark(9) }));
   const client = await connect();
   await client.query("insert into t values (1)");
   await expect(client.query("select 1")).rejects.toThrow("readYourWrites");
--- a/test/peer/calls.test.ts
+++ b/test/peer/calls.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, expect, test } from "@jest/globals";
 import type { ControlResult, PeerHello } from "../../src/model/index.js";
 import { ConnectPeerClient, type PeerHandlers } from "../../src/peer/index.js";
-import { FakeGroup, mark } from "../caller/fake.js";
+import { FakeGroup, createMark } from "../caller/fake.js";
 import { makeHandlers, makeHello, startPeer } from "./fake.js";
 
 type Peer = Awaited<ReturnType<typeof startPeer>>;
@@ -45,7 +45,7 @@
     status: {
       target: "t1",
       role: "replica",
-      mark: mark(2 ** 40),
+      mark: createMark(2 ** 40),
       lineage: [{ term, start: 5 }],
       fencedAt: term,
       follows: "t2",
--- a/test/peer/converse.test.ts
+++ b/test/peer/converse.test.ts
@@ -3,7 +3,14 @@
 import { encodeMessage } from "../../src/caller/message.js";
 import type { Conversation, GroupGateway, Outcome, Vm } from "../../src/model/index.js";
 import { RemoteGateway } from "../../src/peer/index.js";
-import { clock, failed, FakeGroup, mark, type Reply, waitUntil } from "../caller/fake.js";
+import {
+  clock,
+  createFailedOutcome,
+  FakeGroup,
+  createMark,
+  type Reply,
+  waitUntil,
+} from "../caller/fake.js";
 import { makeHandlers, makeHello, makeVm, request, startPeer } from "./fake.js";
 
 type Peer = Awaited<ReturnType<typeof startPeer>>;
@@ -45,20 +52,23 @@
 const notRun = { type: "notRun", reason: "noOwner", retryAfterMs: 500 };
 
 test("a request, its answer and its outcome survive the trip", async () => {
-  const group = new FakeGroup(() => ({ rows: ["a", "b"], mark: mark(9) }));
+  const group = new FakeGroup(() => ({ rows: ["a", "b"], mark: createMark(9) }));
   const { gateway } = await start(group);
   const { outcome, types } = await run(gateway.open("g"));
   expect(types).toBe("TDDC");
   const servedBy = { target: "t1", role: "primary" };
-  expect(outcome).toEqual({ type: "answered", status: "I", mark: mark(9), servedBy });
+  expect(outcome).toEqual({ type: "answered", status: "I", mark: createMark(9), servedBy });
   const [arrived] = group.requests;
   expect(arrived).toEqual({ ...request, deadlineAt: arrived?.deadlineAt });
 });
 
-test.each([failed("notRun"), failed("mayHaveRun")])("an outcome %# survives", async (sent) => {
-  const { gateway } = await start(new FakeGroup(() => ({ outcome: sent })));
-  expect((await run(gateway.open("g"))).outcome).toEqual(sent);
-});
+test.each([createFailedOutcome("notRun"), createFailedOutcome("mayHaveRun")])(
+  "an outcome %# survives",
+  async (sent) => {
+    const { gateway } = await start(new FakeGroup(() => ({ outcome: sent })));
+    expect((await run(gateway.open("g"))).outcome).toEqual(sent);
+  },
+);
 
 test("a transaction stays in one conversation, and closing it rolls back", async () => {
   const group = new FakeGroup(() => ({ status: "T" }));
--- a/test/peer/fake.ts
+++ b/test/peer/fake.ts
@@ -15,7 +15,7 @@
   PeerServer,
   RemoteGateway,
 } from "../../src/peer/index.js";
-import { clock, mark, serve } from "../caller/fake.js";
+import { clock, createMark, serveAction } from "../caller/fake.js";
 
 export const makeHello = (vm: string): PeerHello => ({
   vm,
@@ -43,8 +43,8 @@
     transaction: false,
   },
   rule: "all",
-  action: serve as Request["action"],
-  mark: mark(3),
+  action: serveAction as Request["action"],
+  mark: createMark(3),
   idempotency: { key: "k", digest: "d" },
   deadlineAt: clock.now() + 60_000,
 };
--- a/test/sql/sql.test.ts
+++ b/test/sql/sql.test.ts
@@ -49,10 +49,10 @@
 
 test("statements say what they mean to the session", () => {
   expect(kinds("start transaction read only; commit and chain")).toEqual([
-    { type: "begin", readOnly: true },
-    { type: "end", commits: true, chain: true },
+    { type: "begin", isReadOnly: true },
+    { type: "end", isCommit: true, isChained: true },
   ]);
-  expect(kinds("begin read write")).toEqual([{ type: "begin", readOnly: false }]);
+  expect(kinds("begin read write")).toEqual([{ type: "begin", isReadOnly: false }]);
   expect(kinds("set radishwalk.kind = 'browse'")).toEqual([
     { type: "setting", name: "kind", value: "browse" },
   ]);
