--- a/src/caller/answer.ts
+++ b/src/caller/answer.ts
@@ -5,17 +5,18 @@
 import type { ExpectedReply } from "./plan.js";
 
 /**
- * Hands one batch's answer on and holds it against what was asked, so that no caller gets a part of
- * an answer, or another's. The last `CommandComplete` waits for the outcome: a caller must not take
- * a write for done whose acknowledgement then fails.
+ * Forwards the target's answer to one batch and checks it against the request, so that no caller
+ * receives an incomplete answer or another caller's. The last `CommandComplete` is held back until
+ * the outcome is known: a caller must not see a write as done when its acknowledgement then fails.
  */
 export class AnswerRelay {
-  /** What the replies so far change in the session. */
+  /** Changes to the session that follow from the replies received so far. */
   readonly sessionSteps: SessionStep[] = [];
+  /** Whether the target answered with an error. */
   hasFailed = false;
-  /** Whether a byte has gone to the caller. */
+  /** Whether a byte was sent to the caller. */
   hasForwarded = false;
-  /** The answer did not fit the request; the connection to the caller can't go on. */
+  /** Whether the answer contradicts the request; the caller's connection can't be used any more. */
   hasMismatch = false;
   private completedCommands = 0;
   private nextReply = 0;
@@ -27,12 +28,20 @@
     private readonly replies: readonly ExpectedReply[] | undefined,
   ) {}
 
-  /** Takes one message of the answer. */
+  /**
+   * Checks and forwards one message of the answer. The promise, where there is one, resolves once
+   * the caller has read enough.
+   */
   readonly accept = (message: Uint8Array): Promise<void> | undefined => {
     if (this.hasMismatch) return undefined;
-    if (!this.checkAnswer(!this.hasEnded, () => "a message came after the answer's end"))
+    if (!this.checkAnswer(!this.hasEnded, () => "a message arrived after the end of the answer"))
       return undefined;
-    if (!this.checkAnswer(hasStatedLength(message), () => "a message is cut short"))
+    if (
+      !this.checkAnswer(
+        hasStatedLength(message),
+        () => "a message is not as long as its header states",
+      )
+    )
       return undefined;
     const classification = this.recordMessage(message[0] ?? 0);
     if (!this.checkAnswer(classification !== "unexpected", () => describeMismatch(message)))
@@ -40,21 +49,24 @@
     return classification === "dropped" ? undefined : this.forward(message);
   };
 
-  /** Ends an answer that came whole. */
+  /** Ends an answer whose outcome is known, and sends the `CommandComplete` that was held back. */
   finish(): void {
-    const isWhole =
+    const isComplete =
       this.replies === undefined
         ? this.completedCommands > 0
         : this.nextReply === this.replies.length;
     if (!this.hasMismatch) {
-      this.checkAnswer(isWhole || this.hasFailed, () => "the answer ended before its last reply");
+      this.checkAnswer(
+        isComplete || this.hasFailed,
+        () => "the answer ended before its last expected reply",
+      );
     }
     if (this.heldCompletion !== undefined && !this.hasMismatch)
       void this.output.write(this.heldCompletion);
     this.close();
   }
 
-  /** Ends an answer that failed: what waited for the outcome is dropped. */
+  /** Ends an answer that failed, and drops the `CommandComplete` that was held back. */
   close(): void {
     this.hasEnded = true;
     this.heldCompletion = undefined;
@@ -64,7 +76,7 @@
     const previous = this.heldCompletion;
     const isComplete = message[0] === backendTypes.commandComplete;
     this.hasForwarded ||= previous !== undefined || !isComplete;
-    // The sender may use the bytes again once this returns.
+    // Copied, since the sender may reuse the buffer once this returns.
     this.heldCompletion = isComplete ? Buffer.from(message) : undefined;
     const sent = previous === undefined ? undefined : this.output.write(previous);
     return isComplete ? sent : this.output.write(message);
@@ -79,7 +91,7 @@
       case backendTypes.parameterStatus:
         return "expected";
       case backendTypes.notificationResponse:
-        // The shared connection's, not this caller's.
+        // Belongs to the shared connection to the target, not to this caller.
         return "dropped";
       case backendTypes.readyForQuery:
       case backendTypes.copyInResponse:
@@ -146,5 +158,5 @@
 }
 
 function describeMismatch(message: Uint8Array): string {
-  return `a message of type ${String.fromCharCode(message[0] ?? 0)} does not fit the request`;
+  return `a message of type ${String.fromCharCode(message[0] ?? 0)} does not match the request`;
 }
--- a/src/caller/batch.ts
+++ b/src/caller/batch.ts
@@ -1,11 +1,11 @@
 import { ProtocolError } from "./frame.js";
 import { frontendTypes, messageHeaderBytes, readCString } from "./message.js";
 
-/** What a caller sends at once and gets one answer to. */
+/** The messages that a caller sends together and that get one answer. */
 export type Batch =
   | { readonly type: "query"; readonly text: string; readonly message: Uint8Array }
   | { readonly type: "functionCall"; readonly message: Uint8Array }
-  /** Extended messages without their `Sync` or `Flush`. After a `Flush` no `ReadyForQuery` is due. */
+  /** Extended-query messages without the final `Sync` or `Flush`. A `Flush` gets no `ReadyForQuery`. */
   | {
       readonly type: "extended";
       readonly messages: readonly Uint8Array[];
@@ -13,9 +13,10 @@
     };
 
 /**
- * Gathers messages into batches. A `Flush` ends one only while nothing was bound: such a batch runs
- * nothing. Behind a `Bind` or `Execute` it is left out and the answer comes at the `Sync`, since a
- * statement without its end would hold a target's connection for as long as the caller likes.
+ * Collects a caller's messages into batches. A `Flush` ends a batch only if the batch has no `Bind`
+ * or `Execute`, so that nothing runs. After one of these, `Flush` is ignored and the answer is sent
+ * at the `Sync`: otherwise a statement without its `Sync` would occupy a connection to the target
+ * for as long as the caller likes.
  */
 export class BatchCollector {
   private messages: Uint8Array[] = [];
@@ -24,12 +25,12 @@
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Whether messages wait for their `Sync`. */
+  /** Whether messages were collected whose `Sync` or `Flush` has not arrived. */
   get hasMessages(): boolean {
     return this.messages.length > 0;
   }
 
-  /** Takes one message, whose bytes are copied where they are kept. Throws `ProtocolError`. */
+  /** Adds one message and returns the batch that it ends. Copies the bytes. Throws `ProtocolError`. */
   add(message: Uint8Array): Batch | undefined {
     const type = message[0] ?? 0;
     switch (type) {
@@ -54,10 +55,10 @@
       case frontendTypes.copyData:
       case frontendTypes.copyDone:
       case frontendTypes.copyFail:
-        // As PostgreSQL does: what is left of a copy that was refused is passed over.
+        // As in PostgreSQL, the rest of a refused COPY is ignored.
         return undefined;
       default:
-        throw new ProtocolError(`message type ${type} out of place`);
+        throw new ProtocolError(`unexpected message type ${type}`);
     }
   }
 
--- a/src/caller/caller-session.ts
+++ b/src/caller/caller-session.ts
@@ -13,7 +13,7 @@
 import type { CallerOutput } from "./output.js";
 import { tokenParameter } from "./startup.js";
 
-/** Holds a session's state and tells the caller its token whenever the marks have grown. */
+/** Holds a session's state and sends the caller a new token whenever its marks advance. */
 export class CallerSession {
   constructor(
     private session: Session,
@@ -26,7 +26,7 @@
     return this.session;
   }
 
-  /** Applies steps up to the first that fails. */
+  /** Applies the steps up to the first that fails, and returns why it fails. */
   apply(steps: readonly SessionStep[]): SessionFailure | undefined {
     for (const step of steps) {
       const result = applyStep(this.session, step, this.limits);
@@ -37,12 +37,12 @@
     return undefined;
   }
 
-  /** The session must see `mark` from now on. */
+  /** Records a mark; later reads of the session must see at least this position. */
   recordMark(mark: Mark | undefined): void {
     if (mark !== undefined) this.apply([{ type: "see", group: this.session.group, mark }]);
   }
 
-  /** The token that the session would take along now. */
+  /** Signs a token of the session's current state. */
   signToken(): string {
     return signToken(describeToken(this.session), this.tokenKeys());
   }
--- a/src/caller/chain.ts
+++ b/src/caller/chain.ts
@@ -17,13 +17,13 @@
 import { OwnerRetry } from "./retry.js";
 import { leavesTransactionOpen } from "./transaction.js";
 
-/** What a rule says of a request. */
+/** The rule that matches a request, and its action. */
 export interface RuleDecision {
   readonly rule: string;
   readonly action: RuleAction;
 }
 
-/** What the chain needs from outside. */
+/** The dependencies of the filter chain. */
 export interface ChainOptions {
   readonly match: (traits: RequestTraits) => RuleDecision;
   readonly findTeam: (name: string) => Team | undefined;
@@ -34,7 +34,7 @@
 
 const unknownTeamRetryMs = 60_000;
 
-/** Builds the chain of a request: identify, classify, match, locate, retry, answer. */
+/** Builds the filter chain of a request: identify, classify, match, locate, retry, answer. */
 export function buildRequestChain(options: ChainOptions): Next<RequestContext> {
   return composeFilters<RequestContext>([
     createIdentifyFilter(options),
@@ -52,7 +52,7 @@
     apply: (context, next) => {
       const team = findTeam(context.session.team.name);
       return team === undefined
-        ? Promise.resolve(createRefusal("the team is no longer on the roster", unknownTeamRetryMs))
+        ? Promise.resolve(createRefusal("the team is no longer configured", unknownTeamRetryMs))
         : next({ ...context, team });
     },
   };
@@ -87,7 +87,7 @@
       const { rule, action } = requirePart(context.decision);
       const mark = context.session.marks.get(context.session.group);
       const idempotency = getIdempotencyKey(context);
-      // What such a session has seen is not known here; only the primary is sure to hold it.
+      // The marks of such a session are incomplete; only the primary surely holds all that it has seen.
       const isPrimaryRequired = mark === undefined && !context.session.isComplete;
       const request: Request = {
         id: context.id,
@@ -145,7 +145,8 @@
   assertInvariant(
     "readYourWrites",
     orderMarks(seen, mark) >= 0,
-    () => `request ${request.id} saw ${seen.offset}, its session ${mark.offset}`,
+    () =>
+      `request ${request.id} read at offset ${seen.offset}, its session had seen ${mark.offset}`,
   );
 }
 
--- a/src/caller/connection.ts
+++ b/src/caller/connection.ts
@@ -20,7 +20,7 @@
   type ProtocolHandlers,
 } from "./protocol-reader.js";
 
-/** A session that may begin, or why it may not. */
+/** The session that a start-up message opens, or the error that refuses it. */
 export type StartupResult =
   | { readonly type: "refused"; readonly error: CallerError }
   | {
@@ -30,14 +30,14 @@
       readonly key: BackendKey;
     };
 
-/** What the server does for its connections. */
+/** Settings and operations that the server provides to its connections. */
 export interface ConnectionHost {
   readonly limits: CallerLimits;
   readonly clock: Pick<Clock, "now">;
   readonly logger: Logger;
   readonly runner: RunnerOptions;
   readonly serverVersion: string;
-  /** Absent while callers are served without TLS, by an explicit setting. */
+  /** Absent if an explicit setting turns TLS off. */
   readonly getSecureContext?: () => SecureContext;
   startSession(
     connection: CallerConnection,
@@ -45,12 +45,15 @@
     isSecure: boolean,
   ): StartupResult;
   cancel(processId: number, secret: number): void;
-  /** Counts bytes taken in and, below zero, given back. False when all callers hold too many. */
+  /**
+   * Adds to the bytes that all callers have waiting; negative when they are released. False when
+   * the sum is over the limit.
+   */
   countInputBytes(bytes: number): boolean;
   remove(connection: CallerConnection): void;
 }
 
-/** One caller's connection: its start-up, its batches in order, and its end. */
+/** One caller's connection: handles its start-up, runs its batches in order, and closes it. */
 export class CallerConnection implements ProtocolHandlers {
   private reader: ProtocolReader;
   private output: CallerOutput;
@@ -78,37 +81,37 @@
     socket.on("close", () => this.handleClose());
   }
 
-  /** Ends the request in flight at the caller's wish. */
+  /** Cancels the request in flight, as the caller asked. */
   cancel(): void {
     this.host.logger.write(callerEvents.cancelled);
     this.runner?.cancel();
   }
 
-  /** Ends the connection as soon as nothing is in flight on it. */
+  /** Closes the connection as soon as no request or transaction is in flight. */
   drain(): void {
     this.isDraining = true;
     this.closeIfDrained();
   }
 
-  /** Ends the connection with a last word. */
+  /** Sends `error` and closes the connection. */
   closeWithError(error: CallerError): void {
     if (this.isClosing) return;
     this.isClosing = true;
     this.lastActiveAt = this.host.clock.now();
     this.reader.detach();
-    // What the caller still sends is read and dropped: closing over unread bytes resets the
-    // connection, and the caller would lose this last message.
+    // Keeps reading and discards the input: closing a socket with unread bytes resets the
+    // connection, and the caller would lose this error.
     this.socket.resume();
     this.output.end(encodeError(error));
     if (!this.isProcessing) this.runner?.close();
   }
 
-  /** Ends the connection at once, with what is in flight. */
+  /** Closes the connection at once, also with a request in flight. */
   destroy(): void {
     this.socket.destroy();
   }
 
-  /** Ends the connection when it has overstepped a limit in time. */
+  /** Closes the connection if it has exceeded one of its time limits. */
   checkTimeouts(): void {
     const timeoutError = findTimeoutError(this.getActivity(), this.host.limits);
     if (timeoutError === undefined) return;
@@ -166,10 +169,10 @@
   }
 
   onBytesReceived(count: number): void {
-    // The start-up has one limit in all: a caller could draw it out byte by byte.
+    // The start-up has a single limit: otherwise a caller could prolong it by sending single bytes.
     if (this.runner !== undefined) this.lastActiveAt = this.host.clock.now();
     if (this.input.addReceivedBytes(count)) return;
-    const message = "all callers together have too many bytes waiting";
+    const message = "the requests waiting from all callers are too large";
     this.closeAfterQueuedInput({ severity: "FATAL", code: sqlStates.outOfMemory, message });
   }
 
@@ -185,7 +188,7 @@
     this.closeAfterQueuedInput({ severity: "FATAL", code: sqlStates.protocolViolation, message });
   }
 
-  /** Ends the connection once the batches that came before are answered. */
+  /** Closes the connection with `error` once the batches received before are answered. */
   private closeAfterQueuedInput(error: CallerError): void {
     this.reader.detach();
     if (this.runner === undefined) this.closeWithError(error);
@@ -252,9 +255,9 @@
   private closeIfDrained(): void {
     const isInFlight = this.isProcessing || !this.input.isEmpty || this.runner?.isInTransaction;
     if (!this.isDraining || isInFlight === true || this.isClosing) return;
-    // A request that is on its way to here will not be read.
+    // A request that the caller has already sent is not read, so it has not run.
     const verdict = { type: "notRun", reason: "draining", retryAfterMs: 0 } as const;
-    const error = createVerdictError(verdict, "the proxy is leaving; connect again");
+    const error = createVerdictError(verdict, "the proxy is shutting down; connect again");
     this.closeWithError({ ...error, severity: "FATAL" });
   }
 
--- a/src/caller/context.ts
+++ b/src/caller/context.ts
@@ -4,36 +4,36 @@
 import type { BatchPlan } from "./plan.js";
 import type { TransactionState } from "./transaction.js";
 
-/** One try of a batch: where it runs and what takes its answer. */
+/** One attempt to run a batch, with the conversation it runs in and the relay of its answer. */
 export interface Attempt {
   readonly conversation: Conversation;
   readonly relay: AnswerRelay;
 }
 
-/** One batch on its way through the chain. The optional parts are added on the way. */
+/** The state of one batch in the filter chain. Filters add the optional fields. */
 export interface RequestContext {
   readonly id: string;
   readonly session: Session;
   readonly transaction: TransactionState;
   readonly plan: BatchPlan;
   readonly attempt: Attempt;
-  /** Ends the attempt before and begins another; absent inside a transaction. */
+  /** Closes the previous attempt and begins another; absent inside a transaction. */
   readonly beginAttempt?: () => Attempt;
   readonly signal: AbortSignal;
-  /** The roster's entry now: an operator may have changed it since the session began. */
+  /** The team as configured now: an operator may have changed it since the session began. */
   readonly team?: Team;
   readonly traits?: RequestTraits;
   readonly decision?: { readonly rule: string; readonly action: ServeAction };
   readonly request?: Request;
 }
 
-/** A part of the context that an earlier filter has added. */
+/** Returns a field that an earlier filter must have set; throws if it is missing. */
 export function requirePart<T>(part: T | undefined): T {
-  if (part === undefined) throw new Error("a filter stands out of order in the chain");
+  if (part === undefined) throw new Error("a filter ran before the filter that provides its input");
   return part;
 }
 
-/** The caller's own word for a batch, where it gave one. */
+/** The kind that the caller gave for a batch: by a tag, its transaction or its session. */
 export function findKind(
   { session, transaction }: Pick<RequestContext, "session" | "transaction">,
   plan: BatchPlan,
--- a/src/caller/errors.ts
+++ b/src/caller/errors.ts
@@ -1,7 +1,7 @@
 import { findSqlState, mayHaveRunState, type Verdict } from "../model/index.js";
 import { backendTypes, encodeMessage, encodeCString } from "./message.js";
 
-/** An error as a caller sees it. */
+/** The fields of an `ErrorResponse` to a caller. */
 export interface CallerError {
   readonly severity: "ERROR" | "FATAL";
   readonly code: string;
@@ -10,7 +10,7 @@
   readonly hint?: string;
 }
 
-/** SQLSTATEs that the callers' side answers itself. */
+/** SQLSTATEs of errors that this folder raises itself. */
 export const sqlStates = {
   adminShutdown: "57P01",
   duplicateStatement: "42P05",
@@ -29,7 +29,7 @@
   undefinedDatabase: "3D000",
 } as const;
 
-/** The request ran, but its answer is lost: an error that no driver takes for one to retry. */
+/** The request ran but its answer was lost. Drivers don't retry after this code. */
 const ranSqlState = "58000";
 
 /** Builds `ErrorResponse`. */
@@ -45,7 +45,7 @@
   return encodeMessage(backendTypes.errorResponse, ...fields, Buffer.of(0));
 }
 
-/** Says to the caller whether its request may have run, and when to come back. */
+/** Creates the error that tells the caller whether its request may have run and when to retry. */
 export function createVerdictError(verdict: Verdict, message: string): CallerError {
   switch (verdict.type) {
     case "notRun":
--- a/src/caller/extended.ts
+++ b/src/caller/extended.ts
@@ -7,7 +7,7 @@
   readCString,
 } from "./message.js";
 
-/** An extended message as the plan of a batch needs it. */
+/** A decoded message of the extended query protocol. */
 export type ExtendedMessage =
   | {
       readonly type: "parse";
@@ -19,7 +19,7 @@
       readonly type: "bind";
       readonly portal: string;
       readonly statement: string;
-      /** Formats and values: all behind the names. */
+      /** All bytes after the two names: parameter formats, values and result formats. */
       readonly content: Uint8Array;
     }
   | { readonly type: "describeStatement" | "closeStatement"; readonly name: string }
@@ -32,7 +32,7 @@
 const statementTarget = 0x53;
 const portalTarget = 0x50;
 
-/** Reads one extended message. Throws `ProtocolError`. */
+/** Decodes one message of the extended query protocol. Throws `ProtocolError`. */
 export function parseExtended(message: Uint8Array): ExtendedMessage {
   const type = message[0] ?? 0;
   switch (type) {
@@ -47,27 +47,27 @@
     case frontendTypes.close:
       return parseStatementOrPortal(message, "closeStatement", "closePortal");
     default:
-      throw new ProtocolError("not a message of an extended query");
+      throw new ProtocolError(`message type ${type} is not part of an extended query`);
   }
 }
 
-/** Builds a statement's `Parse` under the unnamed statement. */
+/** Builds a `Parse` of the same text for the unnamed statement. */
 export function encodeUnnamedParse(message: Uint8Array): Buffer {
   const name = requireCString(message, messageHeaderBytes);
   return encodeMessage(frontendTypes.parse, encodeCString(""), message.subarray(name.end));
 }
 
-/** Builds a `Bind` of the unnamed statement. */
+/** Builds a `Bind` of the unnamed statement to a portal. */
 export function encodeUnnamedBind(portal: string, content: Uint8Array): Buffer {
   return encodeMessage(frontendTypes.bind, encodeCString(portal), encodeCString(""), content);
 }
 
-/** Builds `Describe` or `Close` of the unnamed statement. */
+/** Builds a `Describe` or `Close` of the unnamed statement. */
 export function encodeForUnnamedStatement(type: "describe" | "close"): Buffer {
   return encodeMessage(frontendTypes[type], Buffer.of(statementTarget), encodeCString(""));
 }
 
-/** Builds `Sync`. */
+/** Builds a `Sync`. */
 export function encodeSync(): Buffer {
   return encodeMessage(frontendTypes.sync);
 }
@@ -97,7 +97,7 @@
     case portalTarget:
       return { type: portalType, portal: text, message };
     default:
-      throw new ProtocolError("neither a statement nor a portal");
+      throw new ProtocolError(`expected a statement or a portal, got type ${target}`);
   }
 }
 
@@ -106,6 +106,6 @@
   from: number,
 ): { readonly text: string; readonly end: number } {
   const found = readCString(message, from);
-  if (found === undefined) throw new ProtocolError("text without an end");
+  if (found === undefined) throw new ProtocolError("string without a terminating zero");
   return found;
 }
--- a/src/caller/frame.ts
+++ b/src/caller/frame.ts
@@ -1,6 +1,6 @@
 import { frontendTypes, messageHeaderBytes } from "./message.js";
 
-/** The caller broke the protocol; its connection can't be read any further. */
+/** A violation of the protocol by the caller; nothing more can be read from its connection. */
 export class ProtocolError extends Error {
   override readonly name = "ProtocolError";
 }
@@ -11,9 +11,9 @@
 const knownTypes: ReadonlySet<number> = new Set<number>(Object.values(frontendTypes));
 
 /**
- * Follows the framing of a caller's bytes without keeping them. The protocol library trusts a
- * message's length: a huge one would let its buffer grow without bound, one below the header's size
- * would let it read in place for ever. Lengths are checked here as soon as they are there.
+ * Tracks message boundaries in a caller's bytes without buffering them, and checks each length as
+ * soon as it has arrived. The protocol library trusts the lengths: a huge one would make its buffer
+ * grow without bound, and one below the header's size would make it loop for ever.
  */
 export class FrameValidator {
   private hasTypeByte = false;
@@ -22,19 +22,19 @@
 
   constructor(private readonly maxMessageBytes: number) {}
 
-  /** Whether a message has begun and not ended. */
+  /** Whether a message has arrived only in part. */
   get isPartial(): boolean {
     return this.header.length > 0;
   }
 
-  /** From here on messages have a type byte. */
+  /** Ends the start-up: from here on each message begins with a type byte. */
   expectTypedMessages(): void {
     this.hasTypeByte = true;
   }
 
   /**
-   * Checks bytes from `from` on, to the end of a message or of the chunk. Answers with the offset
-   * reached; throws `ProtocolError`.
+   * Checks the bytes from offset `from` to the end of a message or of the chunk and returns the
+   * offset reached. Throws `ProtocolError`.
    */
   validate(chunk: Uint8Array, from: number): number {
     let at = from;
@@ -68,7 +68,8 @@
     const length = Buffer.from(this.header.slice(-4)).readUInt32BE();
     const min = this.hasTypeByte ? 4 : minStartupLength;
     const max = this.hasTypeByte ? this.maxMessageBytes : maxStartupLength;
-    if (length < min || length > max) throw new ProtocolError(`message of ${length} bytes`);
+    if (length < min || length > max)
+      throw new ProtocolError(`message length ${length} is outside ${min} to ${max}`);
     this.remainingBytes = length - 4;
     if (this.remainingBytes === 0) this.header = [];
   }
--- a/src/caller/input.ts
+++ b/src/caller/input.ts
@@ -1,11 +1,11 @@
 import type { Batch } from "./batch.js";
 import type { CallerError } from "./errors.js";
 
-/** What a connection does in order; an end waits until the batches before it are answered. */
+/** An entry of the input queue; an `end` takes effect once the batches before it are answered. */
 export type QueuedItem =
   Batch | { readonly type: "terminate" } | { readonly type: "end"; readonly error: CallerError };
 
-/** An item with the bytes that it took. */
+/** A queued item and the number of bytes it arrived in. */
 export interface QueuedInput {
   readonly item: QueuedItem;
   readonly bytes: number;
@@ -14,37 +14,40 @@
 const maxQueuedItems = 64;
 const maxQueuedBytes = 1024 * 1024;
 
-/** What a caller has sent and the proxy has not answered yet, and the bytes that this takes. */
+/** The requests of one caller that are not answered yet, and the number of their bytes. */
 export class InputQueue {
   private readonly items: QueuedInput[] = [];
   private queuedBytes = 0;
   private unassignedBytes = 0;
   private heldBytes = 0;
 
-  /** `count` hears of bytes taken in and, below zero, given back; false when all hold too many. */
+  /**
+   * `countBytes` is told of received bytes and, as a negative number, of released ones. It returns
+   * false when all callers together hold too many.
+   */
   constructor(private readonly countBytes: (bytes: number) => boolean) {}
 
   get isEmpty(): boolean {
     return this.items.length === 0;
   }
 
-  /** Whether the caller should wait before it sends more. */
+  /** Whether reading from the caller should pause. */
   get isFull(): boolean {
     return this.items.length >= maxQueuedItems || this.queuedBytes >= maxQueuedBytes;
   }
 
-  /** Whether there is room again for a caller that waits. */
+  /** Whether reading may resume after a pause, at half of the limits. */
   get canResume(): boolean {
     return this.items.length < maxQueuedItems / 2 && this.queuedBytes < maxQueuedBytes / 2;
   }
 
-  /** Bytes have come. False when all callers together have sent too many. */
+  /** Counts received bytes. False when all callers together hold too many. */
   addReceivedBytes(bytes: number): boolean {
     this.heldBytes += bytes;
     return this.countBytes(bytes);
   }
 
-  /** A message has been read, for whatever item comes next. */
+  /** Counts a message towards the next item. */
   addMessage(bytes: number): void {
     this.unassignedBytes += bytes;
   }
@@ -59,13 +62,13 @@
     return this.items.shift();
   }
 
-  /** An item is done with. */
+  /** Releases the bytes of an item that is answered. */
   release({ bytes }: QueuedInput): void {
     this.queuedBytes -= bytes;
     this.releaseBytes(bytes);
   }
 
-  /** All that is held is done with. */
+  /** Releases all bytes. */
   releaseAll(): void {
     this.releaseBytes(this.heldBytes);
   }
--- a/src/caller/limits.ts
+++ b/src/caller/limits.ts
@@ -1,23 +1,23 @@
 import { defaultSessionLimits, type SessionLimits } from "../session/index.js";
 
-/** What callers may cost. Times in milliseconds. */
+/** Limits on connections, memory and time for callers. Times in milliseconds. */
 export interface CallerLimits extends SessionLimits {
   readonly maxConnections: number;
   readonly maxConnectionsPerTeam: number;
-  /** Bytes of one message, and of all messages up to a `Sync`. */
+  /** Bytes of one message, and of all messages before a `Sync`. */
   readonly maxMessageBytes: number;
-  /** Bytes of requests that all callers together may have waiting here. */
+  /** Bytes of requests that all callers together may have waiting in this process. */
   readonly maxInputBytes: number;
-  /** From the connection to the end of the start-up, TLS included. */
+  /** From the connection to the end of the start-up, including TLS. */
   readonly startupMs: number;
   readonly idleMs: number;
-  /** A transaction without a statement; it holds a connection to a target. */
+  /** Idle time of an open transaction, which occupies a connection to a target. */
   readonly idleInTransactionMs: number;
-  /** A message of which the rest does not come. */
+  /** Time without input in the middle of a message. */
   readonly messageStallMs: number;
-  /** An answer that the caller does not read. */
+  /** Time for which a caller may leave an answer unread. */
   readonly writeStallMs: number;
-  /** Requests and transactions in flight when draining begins have this long to finish. */
+  /** Time for requests and transactions in flight to finish once draining begins. */
   readonly drainMs: number;
 }
 
--- a/src/caller/local.ts
+++ b/src/caller/local.ts
@@ -5,7 +5,7 @@
 import { backendTypes, encodeCommandComplete, encodeMessage } from "./message.js";
 import type { BatchPlan, ExpectedReply } from "./plan.js";
 
-/** How a batch is answered that goes to no target. */
+/** Whether a batch is answered without a target, and its answer. `remote` needs a target. */
 export type LocalAnswer =
   | { readonly type: "remote" }
   | { readonly type: "refused"; readonly error: CallerError }
@@ -15,7 +15,7 @@
       readonly steps: readonly SessionStep[];
     };
 
-/** Tells whether a batch concerns the session alone, and answers it then. */
+/** Answers a batch that concerns only the session, such as a `radishwalk.` setting. */
 export function answerLocally(plan: BatchPlan, keys: readonly TokenKey[]): LocalAnswer {
   const refusal = findRefusal(plan.statements);
   if (refusal !== undefined) return { type: "refused", error: refusal };
@@ -28,7 +28,7 @@
   return answerSettings(plan, keys);
 }
 
-/** Answers a batch whose only statement ends a transaction that is gone already. */
+/** Builds the reply to a batch that only ends a transaction that is already rolled back. */
 export function answerRollback(plan: BatchPlan): readonly Uint8Array[] {
   return encodeReplies(plan, () => "ROLLBACK");
 }
@@ -38,8 +38,8 @@
   for (const statement of statements) {
     if (statement.type === "sessionState") {
       return createUnsupportedError(
-        `${statement.feature} would change a connection that is shared`,
-        "use SET LOCAL and cursors without HOLD inside a transaction",
+        `${statement.feature} would change the state of a shared connection`,
+        "use SET LOCAL, and cursors without HOLD, inside a transaction",
       );
     }
     if (statement.type === "copyIn")
@@ -47,7 +47,9 @@
   }
   const isMixed = statements.some(isLocal) && !statements.every(isLocal);
   return isMixed
-    ? createUnsupportedError("a radishwalk setting or DISCARD must stand alone")
+    ? createUnsupportedError(
+        "a radishwalk setting or DISCARD can't be combined with other statements",
+      )
     : undefined;
 }
 
@@ -56,7 +58,8 @@
   for (const statement of plan.statements) {
     const step = findSessionStep(statement, keys);
     if (step === undefined) {
-      const message = "unrecognised radishwalk setting; known are kind, idempotency_key, session";
+      const message =
+        "unrecognised radishwalk setting; available are kind, idempotency_key, session";
       return { type: "refused", error: { severity: "ERROR", code: "42704", message } };
     }
     steps.push(step);
@@ -90,7 +93,10 @@
   }
 }
 
-/** The step for a token that a caller presents: one that can't be relied on is no reason to refuse. */
+/**
+ * Creates the session step for a caller's token. A token that can't be verified is not refused: it
+ * only marks the session's knowledge as incomplete.
+ */
 export function createTokenStep(text: string, keys: readonly TokenKey[]): SessionStep {
   const check = verifyToken(text, keys);
   return check.type === "verified" ? { type: "join", token: check.token } : { type: "joinUnknown" };
--- a/src/caller/message.ts
+++ b/src/caller/message.ts
@@ -38,12 +38,12 @@
   rowDescription: 0x54,
 } as const;
 
-/** Bytes before a message's content: its type and its length. */
+/** Bytes of a message's type and length, which precede its content. */
 export const messageHeaderBytes = 5;
 
 const terminator = Buffer.of(0);
 
-/** Builds a message of one type. */
+/** Builds a message with its header. */
 export function encodeMessage(type: number, ...parts: readonly Uint8Array[]): Buffer {
   const header = Buffer.alloc(messageHeaderBytes);
   const length = parts.reduce((sum, part) => sum + part.length, 4);
@@ -52,39 +52,42 @@
   return Buffer.concat([header, ...parts]);
 }
 
-/** Builds the zero-terminated text of the protocol. */
+/** Encodes a zero-terminated string; zero bytes within it are removed. */
 export function encodeCString(text: string): Buffer {
   return Buffer.concat([Buffer.from(text.replaceAll("\0", "")), terminator]);
 }
 
-/** Builds a big-endian number of 32 bits. */
+/** Encodes a big-endian 32-bit integer. */
 export function encodeInt32(value: number): Buffer {
   const bytes = Buffer.alloc(4);
   bytes.writeInt32BE(value | 0);
   return bytes;
 }
 
-/** Builds `ParameterStatus`. */
+/** Builds a `ParameterStatus`. */
 export function encodeParameterStatus(name: string, value: string): Buffer {
   return encodeMessage(backendTypes.parameterStatus, encodeCString(name), encodeCString(value));
 }
 
-/** Builds `ReadyForQuery`. */
+/** Builds a `ReadyForQuery`. */
 export function encodeReadyForQuery(status: "I" | "T" | "E"): Buffer {
   return encodeMessage(backendTypes.readyForQuery, Buffer.from(status));
 }
 
-/** Builds `CommandComplete`. */
+/** Builds a `CommandComplete`. */
 export function encodeCommandComplete(tag: string): Buffer {
   return encodeMessage(backendTypes.commandComplete, encodeCString(tag));
 }
 
-/** Whether a message has the length that it states. */
+/** Whether a message is as long as its header states. */
 export function hasStatedLength(message: Uint8Array): boolean {
   return message.length >= messageHeaderBytes && readLength(message) + 1 === message.length;
 }
 
-/** Reads a zero-terminated text at `from`, with the offset behind it; `undefined` without an end. */
+/**
+ * Reads the zero-terminated string at offset `from`. `end` is the offset after its terminator.
+ * `undefined` if there is no terminator.
+ */
 export function readCString(
   message: Uint8Array,
   from: number,
--- a/src/caller/output.ts
+++ b/src/caller/output.ts
@@ -1,7 +1,7 @@
 import type { Socket } from "node:net";
 import type { Clock } from "../model/index.js";
 
-/** Writes to a caller, at the pace at which it reads. */
+/** Writes to a caller's socket with back-pressure. */
 export class CallerOutput {
   private blockedSince: number | undefined;
   private isCorked = false;
@@ -11,7 +11,7 @@
     private readonly clock: Pick<Clock, "now">,
   ) {}
 
-  /** How long the caller has not read what waits for it, in milliseconds. */
+  /** Milliseconds for which the caller has left buffered output unread; 0 if none waits. */
   get writeBlockedMs(): number {
     return this.blockedSince === undefined ? 0 : this.clock.now() - this.blockedSince;
   }
@@ -20,20 +20,20 @@
     return this.socket.writable;
   }
 
-  /** Sends bytes; the promise, where there is one, ends once the caller has read enough. */
+  /** Writes bytes. The promise, where there is one, resolves once the socket's buffer has drained. */
   write(bytes: Uint8Array): Promise<void> | undefined {
     if (!this.isOpen) return undefined;
     this.cork();
     return this.socket.write(bytes) ? undefined : this.waitForDrain();
   }
 
-  /** Sends the last bytes and closes. */
+  /** Writes the last bytes and closes the socket. */
   end(bytes?: Uint8Array): void {
     if (bytes === undefined) this.socket.end();
     else this.socket.end(bytes);
   }
 
-  /** Messages are small and many: those of one turn leave in one packet. */
+  /** Answers consist of many small messages; those of one event-loop turn are sent together. */
   private cork(): void {
     if (this.isCorked) return;
     this.isCorked = true;
--- a/src/caller/plan.ts
+++ b/src/caller/plan.ts
@@ -19,36 +19,36 @@
   parseExtended,
 } from "./extended.js";
 
-/** A reply that the target owes, in order. */
+/** A reply that the target has to send, in this order. */
 export type ExpectedReply =
-  /** To a `Parse` that the caller did not send; not handed on. */
+  /** The reply to a `Parse` that the proxy added; not forwarded. */
   | { readonly type: "injectedParse" }
   | { readonly type: "parse" | "closeStatement"; readonly step: SessionStep }
   | { readonly type: "bind" | "describeStatement" | "describePortal" | "closePortal" }
   | { readonly type: "execute"; readonly kind: StatementKind };
 
-/** What a batch means, and what is sent to the target for it. */
+/** The classification of a batch, and the messages that the target receives for it. */
 export interface BatchPlan {
   readonly type: "planned";
   readonly messages: Uint8Array;
-  /** Absent for a simple query or a function call, whose replies can't be told beforehand. */
+  /** Absent for a simple query or a function call, whose replies can't be known in advance. */
   readonly replies?: readonly ExpectedReply[];
   readonly effect: Effect;
   readonly tables: readonly string[];
-  /** The statements that it runs, in order. */
+  /** The statements that the batch runs, in order. */
   readonly statements: readonly StatementKind[];
   readonly tags: ReadonlyMap<string, string>;
-  /** SHA-256 of statements and parameters, hexadecimal. */
+  /** SHA-256 of the statements and parameters, in hexadecimal. */
   readonly digest: string;
 }
 
-/** A batch that can't be run, as a whole. */
+/** A batch that is refused as a whole. */
 export interface RefusedBatch {
   readonly type: "refused";
   readonly error: CallerError;
 }
 
-/** Plans a batch against what the session has prepared. Throws `ProtocolError`. */
+/** Plans a batch with the session's prepared statements. Throws `ProtocolError`. */
 export function planBatch(
   batch: Batch,
   session: Session,
@@ -84,8 +84,9 @@
 }
 
 /**
- * Targets' connections are shared, so a name prepared there would be met by another caller. All
- * names live in the session: each use sends the statement again, under the unnamed statement.
+ * Plans the messages of an extended query. Connections to targets are shared, so a statement that
+ * is prepared there by name would be visible to other callers. Names exist only in the session:
+ * each use sends the statement again as the unnamed statement.
  */
 class ExtendedPlanner {
   private readonly messages: Uint8Array[] = [];
@@ -96,7 +97,7 @@
   private readonly portals = new Map<string, PreparedStatement>();
   private readonly hash = createHash("sha256");
   private effect: Effect = "read";
-  /** What the unnamed statement is at the target by now. */
+  /** The unnamed statement at the target after the messages planned so far. */
   private unnamedStatement: PreparedStatement | undefined;
   private error: CallerError | undefined;
 
@@ -186,7 +187,7 @@
     this.addMessage(message, { type: "execute", kind });
   }
 
-  /** Makes the unnamed statement at the target the one that the caller means by `name`. */
+  /** Makes the statement `name` the unnamed one at the target, adding a `Parse` if necessary. */
   private ensureParsed(name: string): PreparedStatement | undefined {
     const statement = this.session.statements.get(name);
     if (statement === undefined) {
--- a/src/caller/protocol-reader.ts
+++ b/src/caller/protocol-reader.ts
@@ -7,30 +7,30 @@
 const cancelRequestCode = 80877102;
 const cancelRequestLength = 16;
 
-/** What a caller asks for before its start-up message. */
+/** A request that a caller may send before its start-up message. */
 export type PreStartupRequest =
   | { readonly type: "ssl" }
   | { readonly type: "gss" }
   | { readonly type: "cancel"; readonly processId: number; readonly secret: number };
 
-/** Hears of a caller's messages, each called synchronously and in order. */
+/** Callbacks for a caller's messages, called synchronously and in order. */
 export interface ProtocolHandlers {
-  /** Must not start a new `Wire` on the socket before `take` has returned. */
+  /** Called last: the reader no longer reads from the socket, and a new one may be created on it. */
   onPreStartupRequest(request: PreStartupRequest): void;
   onStartup(parameters: Readonly<Record<string, string>>): void;
-  /** The bytes are valid only during the call. */
+  /** `message` is valid only during the call. */
   onMessage(message: Uint8Array): void;
   onBytesReceived(count: number): void;
-  /** All bytes at hand have been taken in; the socket may be paused now. */
+  /** Called once all bytes received so far are processed; the socket may be paused then. */
   onChunkProcessed(): void;
   onProtocolError(error: ProtocolError): void;
 }
 
 /**
- * Reads a caller's bytes with pg-gateway. Its `handleData` is asynchronous and has no queue, so two
- * chunks could mix; it stays in order since every handler here returns synchronously, and the
- * library then yields only to the microtask queue, which is empty before the next chunk is read.
- * It is given no more than one message at a time: of several it cuts the second one wrong.
+ * Reads a caller's messages with pg-gateway. Its `handleData` is asynchronous and has no queue, so
+ * two chunks could be interleaved. The order is kept because every handler here is synchronous: the
+ * library then waits only for microtasks, and these finish before the next chunk is read. It gets at
+ * most one message per call, since it splits the second of several messages at the wrong offset.
  */
 export class ProtocolReader {
   private readonly gateway: PostgresConnection;
@@ -57,12 +57,12 @@
     socket.on("data", this.onData);
   }
 
-  /** Whether a message has begun and not ended. */
+  /** Whether a message has arrived only in part. */
   get isPartial(): boolean {
     return this.frameValidator.isPartial;
   }
 
-  /** Stops reading; the socket goes to another reader. */
+  /** Stops reading, so that another reader can use the socket. */
   detach(): void {
     this.socket.off("data", this.onData);
   }
@@ -86,12 +86,14 @@
   }
 
   /**
-   * Bytes behind a request for encryption may have been put there by somebody in between, who wants
-   * them taken for the caller's own once the line is encrypted. An honest caller waits.
+   * Refuses bytes that follow a request for encryption: an attacker on the network path may have
+   * added them in plain text, so that they would count as the caller's own once the connection is
+   * encrypted. A correct client waits for the reply first.
    */
   private finishPreStartup(request: PreStartupRequest, bytesLeft: number): void {
     this.detach();
-    if (bytesLeft > 0) throw new ProtocolError("bytes follow a request that wants an answer first");
+    if (bytesLeft > 0)
+      throw new ProtocolError(`${bytesLeft} bytes follow a request that must be answered first`);
     this.handlers.onPreStartupRequest(request);
   }
 
--- a/src/caller/retry.ts
+++ b/src/caller/retry.ts
@@ -5,9 +5,9 @@
 import { requirePart, type RequestContext } from "./context.js";
 
 /**
- * Tries a request again whose owner was lost on the way, at whoever owns the group then. The owner
- * itself tries again what failed behind it; without this, the loss of a proxy would show as an error
- * of each request that it had under way, reads and keyed writes among them.
+ * Retries a request whose owner was lost, at the proxy that owns the group by then. The owner itself
+ * retries failures of its targets. Without this filter, the loss of a proxy would fail every request
+ * that it was running, including reads and writes with an idempotency key.
  */
 export class OwnerRetry implements Filter<RequestContext> {
   readonly name = "retry";
@@ -28,8 +28,8 @@
     return this.retrier.run({
       request: requirePart(context.request),
       signal,
-      run: (tries) => {
-        if (tries > 1) attempt = beginAttempt();
+      run: (attemptCount) => {
+        if (attemptCount > 1) attempt = beginAttempt();
         return next({ ...context, attempt });
       },
       isOurs: isOwnerLost,
--- a/src/caller/runner.ts
+++ b/src/caller/runner.ts
@@ -20,7 +20,7 @@
   type TransactionState,
 } from "./transaction.js";
 
-/** What a runner needs from outside. */
+/** The dependencies of a `BatchRunner`. */
 export interface RunnerOptions {
   readonly chain: Next<RequestContext>;
   readonly gateway: GroupGateway;
@@ -30,11 +30,11 @@
   readonly logger: Logger;
 }
 
-/** Runs the batches of one session, one after the other, each to its `ReadyForQuery`. */
+/** Runs the batches of one session one after the other, each up to its `ReadyForQuery`. */
 export class BatchRunner {
   private readonly session: CallerSession;
   private transaction: TransactionState = noTransaction;
-  /** After an error before a `Flush`, messages are passed over up to the `Sync`. */
+  /** Whether an error before a `Flush` makes the runner skip messages up to the `Sync`. */
   private isSkippingToSync = false;
   private inFlight: { readonly abort: AbortController; readonly isWrite: boolean } | undefined;
   private isCancelled = false;
@@ -47,12 +47,12 @@
     this.session = new CallerSession(session, output, options.limits, options.tokenKeys);
   }
 
-  /** Whether an interactive transaction is open. */
+  /** Whether an interactive transaction is open, or aborted and not yet ended by the caller. */
   get isInTransaction(): boolean {
     return this.transaction.type !== "none";
   }
 
-  /** Runs one batch. False when the connection can't go on. Throws `ProtocolError`. */
+  /** Runs one batch. False if the connection must be closed. Throws `ProtocolError`. */
   async run(batch: Batch): Promise<boolean> {
     if (this.skipAfterError(batch)) return true;
     const plan = planBatch(batch, this.session.state, this.options.limits);
@@ -70,7 +70,7 @@
     }
   }
 
-  /** The caller wants the request in flight ended. */
+  /** Cancels the request in flight, if there is one. */
   cancel(): void {
     if (this.inFlight === undefined) return;
     this.isCancelled = true;
@@ -78,29 +78,29 @@
   }
 
   /**
-   * The caller is gone. A read in flight gives its slot back; a write runs on, so that it lands or
-   * not by itself rather than by the moment at which a connection broke.
+   * Handles the loss of the caller's connection. A read in flight is aborted and releases its slot.
+   * A write runs on, so that its result does not depend on when the connection broke.
    */
   handleDisconnect(): void {
     const canAbort = this.isInTransaction || this.inFlight?.isWrite === false;
-    if (canAbort) this.inFlight?.abort.abort(new Error("the caller has gone"));
+    if (canAbort) this.inFlight?.abort.abort(new Error("the caller has disconnected"));
     if (this.inFlight === undefined) this.close();
   }
 
-  /** Rolls back what is open. */
+  /** Rolls back the open transaction. */
   close(): void {
     if (this.transaction.type === "open") this.transaction.conversation.close();
     this.transaction = noTransaction;
   }
 
-  /** The token that the session would take along now. */
+  /** Signs a token of the session's current state. */
   signToken(): string {
     return this.session.signToken();
   }
 
   private skipAfterError(batch: Batch): boolean {
     if (!this.isSkippingToSync) return false;
-    // PostgreSQL passes a Query over as well: it would else answer twice before one ReadyForQuery.
+    // PostgreSQL also skips a Query: otherwise it would answer twice before one ReadyForQuery.
     if (batch.type !== "extended" || batch.end === "flush") return true;
     this.isSkippingToSync = false;
     this.sendReady(batch, getTransactionStatus(this.transaction));
@@ -196,19 +196,19 @@
     relay.close();
     this.options.logger.write(callerEvents.failed, { request, ...outcome });
     if (relay.hasMismatch) return this.failConnection();
-    // The target's own error has gone out before; a second one would pass for the next answer.
+    // The target's own error was already sent; the caller would take a second one for its next answer.
     if (relay.hasFailed) return this.finishFailedBatch(batch);
     return this.sendFailure(batch, this.createFailureError(outcome));
   }
 
   private createFailureError(outcome: Extract<Outcome, { type: "failed" }>): CallerError {
     const error = createVerdictError(outcome.verdict, outcome.message);
-    // What was cancelled and changed nothing is what the caller wanted; a write may have landed.
+    // The cancel code is only used if nothing changed; a write may have been applied.
     const hasNoEffect = outcome.verdict.type === "notRun" || this.inFlight?.isWrite === false;
     return this.isCancelled && hasNoEffect ? { ...error, code: sqlStates.queryCancelled } : error;
   }
 
-  /** Answers an error of this side's own. An open transaction is rolled back, as at a target. */
+  /** Answers with an error raised by the proxy. As at a target, it aborts an open transaction. */
   private failBatch(batch: Batch, error: CallerError): boolean {
     if (this.transaction.type === "open") {
       this.transaction.conversation.close();
@@ -265,7 +265,7 @@
 
   private failConnection(): false {
     this.close();
-    const message = "the answer did not fit the request";
+    const message = "the answer did not match the request";
     const { protocolViolation: code } = sqlStates;
     void this.output.write(encodeError({ severity: "FATAL", code, message }));
     return false;
--- a/src/caller/server.ts
+++ b/src/caller/server.ts
@@ -20,22 +20,22 @@
   parseStartupParameters,
 } from "./startup.js";
 
-/** What a `CallerServer` is built from. */
+/** The settings and dependencies of a `CallerServer`. */
 export interface CallerServerOptions extends Omit<ChainOptions, "random" | "logger"> {
-  /** Port 0 takes a free one. */
+  /** Port 0 selects a free port. */
   readonly address: Address;
   readonly gateway: GroupGateway;
-  /** Whether a group of this name exists; callers of others are refused. */
+  /** Whether a group of this name exists; callers that ask for another are refused. */
   readonly hasGroup: (name: string) => boolean;
   /** The first key signs session tokens, every key verifies them. */
   readonly tokenKeys: () => readonly TokenKey[];
-  /** The runtime's own generator, where absent. */
+  /** `Math.random` if absent. */
   readonly random?: Random;
   readonly logger?: Logger;
   readonly limits?: Partial<CallerLimits>;
-  /** The certificate of new connections. Without it callers are served in plain text. */
+  /** Provides the certificate of new connections. If absent, callers are served in plain text. */
   readonly getSecureContext?: () => SecureContext;
-  /** What callers are told of the version; drivers adapt to it. */
+  /** The server version reported to callers; drivers adapt to it. */
   readonly serverVersion?: string;
   readonly createId?: () => string;
 }
@@ -45,7 +45,7 @@
 const maxOpenRefusedSockets = 100;
 const drainPollIntervalMs = 20;
 
-/** Serves callers by the PostgreSQL protocol. `loadParser` must have resolved. */
+/** Serves callers over the PostgreSQL protocol. `loadParser` must have resolved. */
 export class CallerServer implements Disposable, ConnectionHost {
   readonly limits: CallerLimits;
   readonly clock: StallExcludingClock;
@@ -78,12 +78,12 @@
     );
   }
 
-  /** Connections open now. */
+  /** The number of open connections. */
   get connectionCount(): number {
     return this.connections.size;
   }
 
-  /** Begins to accept callers; answers with the port in use. Rejects when it is taken. */
+  /** Starts to accept callers and returns the bound address. Rejects if the port is taken. */
   async listen(): Promise<Address> {
     const { host, port } = this.options.address;
     await new Promise<void>((resolve, reject) => {
@@ -98,8 +98,9 @@
   }
 
   /**
-   * Accepts no more callers, closes idle ones and lets the rest finish its requests and
-   * transactions. Resolves when all have gone, or with what `drainMs` cut off.
+   * Stops accepting callers, closes idle connections and lets the others finish their requests and
+   * transactions. Resolves once all are closed or `drainMs` has passed, with the number of
+   * connections that were then cut off.
    */
   async drain(): Promise<{ readonly cutOff: number }> {
     this.isDraining = true;
@@ -115,7 +116,7 @@
     return { cutOff };
   }
 
-  /** Ends everything at once. */
+  /** Closes the server and all connections at once. */
   dispose(): void {
     this.disposeController.abort();
     if (this.server.listening) this.server.close();
@@ -166,10 +167,14 @@
     this.refuseSocket(socket);
   }
 
-  /** Says why and closes; callers that stay on cost a bounded number of sockets. */
+  /** Sends the error and closes the socket. A limit bounds the sockets that callers keep open. */
   private refuseSocket(socket: Socket): void {
     const { tooManyConnections: code } = sqlStates;
-    const error = { severity: "FATAL", code, message: "the proxy has too many callers" } as const;
+    const error = {
+      severity: "FATAL",
+      code,
+      message: "the proxy has too many connections",
+    } as const;
     this.logger.write(callerEvents.refused, error);
     socket.on("error", () => socket.destroy());
     if (this.openRefusedSockets >= maxOpenRefusedSockets) {
@@ -190,13 +195,14 @@
     | Extract<StartupResult, { type: "refused" }>
     | { readonly type: "accepted"; readonly session: Session } {
     const { hasGroup, findTeam, getSecureContext } = this.options;
-    if (this.isDraining) return createRefusal(sqlStates.adminShutdown, "the proxy is leaving");
+    if (this.isDraining)
+      return createRefusal(sqlStates.adminShutdown, "the proxy is shutting down");
     if (getSecureContext !== undefined && !isSecure) {
       return createRefusal(sqlStates.invalidAuthorization, "the proxy wants TLS");
     }
     const team = findTeam(name);
     if (team === undefined) {
-      return createRefusal(sqlStates.invalidAuthorization, `team "${name}" is not on the roster`);
+      return createRefusal(sqlStates.invalidAuthorization, `team "${name}" is not configured`);
     }
     if (!hasGroup(group)) {
       return createRefusal(sqlStates.undefinedDatabase, `database group "${group}" does not exist`);
@@ -231,7 +237,7 @@
     else this.connectionsPerTeam.set(team, count);
   }
 
-  /** One timer for all connections: a caller that sends nothing costs no timer of its own. */
+  /** Checks the time limits of all connections with one timer, so that none needs its own. */
   private async runTimeoutChecks(): Promise<void> {
     while (!this.disposeController.signal.aborted) {
       this.clock.detectStall();
--- a/src/caller/stall-excluding-clock.ts
+++ b/src/caller/stall-excluding-clock.ts
@@ -1,11 +1,12 @@
 import type { Clock } from "../model/index.js";
 
-/** A longer time between two looks is one in which the process stood still. */
+/** A longer gap between two checks means that the process was stalled. */
 const maxCheckGapMs = 2000;
 
 /**
- * Time as callers are held to it: without the time in which this process stood still. One that was
- * paused for a minute would otherwise find every caller overdue before it reads what they sent.
+ * A clock for callers' time limits, which leaves out the time in which this process was stalled.
+ * Otherwise a process that was paused for a minute would find every caller over its limits before
+ * it reads what they have sent.
  */
 export class StallExcludingClock {
   private lastCheckedAt: number;
@@ -19,7 +20,7 @@
     return this.clock.now() - this.stalledMs;
   }
 
-  /** To be called regularly. */
+  /** Leaves out the time since the last call if it is too long. Must be called regularly. */
   detectStall(): void {
     const now = this.clock.now();
     const gap = now - this.lastCheckedAt;
--- a/src/caller/startup.ts
+++ b/src/caller/startup.ts
@@ -9,35 +9,38 @@
   encodeReadyForQuery,
 } from "./message.js";
 
-/** What a caller says of itself when it connects. */
+/** The settings that a caller gives in its start-up message. */
 export interface StartupRequest {
   readonly team: string;
   readonly group: string;
   readonly applicationName: string;
   readonly kind?: string;
-  /** The token of a session that goes on here; not yet checked. */
+  /** The token of a session that continues here; not yet verified. */
   readonly token?: string;
 }
 
-/** What a cancel request must name. */
+/** The process id and secret that a cancel request must contain. */
 export interface BackendKey {
   readonly processId: number;
   readonly secret: number;
 }
 
-/** The parameter that tells a caller its token. */
+/** The parameter in which a caller sends and receives its session token. */
 export const tokenParameter = "radishwalk.session";
 
 const kindPrefix = "kind=";
 const utf8Names: ReadonlySet<string> = new Set(["utf8", "utf-8", "unicode", "'utf-8'", "'utf8'"]);
 
-/** Reads the parameters of a start-up message. */
+/** Parses the parameters of a start-up message. */
 export function parseStartupParameters(
   parameters: Readonly<Record<string, string>>,
 ): StartupRequest | CallerError {
   const encoding = parameters.client_encoding;
   if (encoding !== undefined && !utf8Names.has(encoding.toLowerCase())) {
-    return createFatalError(sqlStates.invalidParameter, "the proxy speaks UTF8 only");
+    return createFatalError(
+      sqlStates.invalidParameter,
+      `client_encoding "${encoding}" is not supported, only UTF8`,
+    );
   }
   if (parameters.replication !== undefined) {
     return createFatalError(
@@ -59,18 +62,18 @@
   };
 }
 
-/** Whether a start-up was refused. */
+/** Whether a start-up message is refused. */
 export function isCallerError(result: StartupRequest | CallerError): result is CallerError {
   return "severity" in result;
 }
 
-/** Draws the key under which a caller may cancel its requests. */
+/** Generates a random key with which a caller may cancel its requests. */
 export function generateBackendKey(): BackendKey {
   const max = 2 ** 31 - 1;
   return { processId: randomInt(1, max), secret: randomInt(1, max) };
 }
 
-/** Builds the answer to a start-up that is accepted. */
+/** Builds the reply to an accepted start-up message, up to the first `ReadyForQuery`. */
 export function encodeStartupReply(reply: {
   readonly serverVersion: string;
   readonly applicationName: string;
@@ -98,7 +101,7 @@
   ]);
 }
 
-/** Reads `-c name=value` and `--name=value`, in which a backslash keeps a blank. */
+/** Parses `-c name=value` and `--name=value`; a backslash escapes a blank. */
 function parseOptions(options = ""): readonly (readonly [string, string])[] {
   const words = options.match(/(?:\\.|\S)+/g) ?? [];
   return words.flatMap((word) => {
--- a/src/caller/timeouts.ts
+++ b/src/caller/timeouts.ts
@@ -1,19 +1,19 @@
 import { type CallerError, sqlStates } from "./errors.js";
 import type { CallerLimits } from "./limits.js";
 
-/** What a connection is doing, as far as limits in time look at it. Times in milliseconds. */
+/** The state of a connection that its time limits depend on. Times in milliseconds. */
 export interface ConnectionActivity {
   readonly state: "starting" | "running" | "idle" | "closing";
   readonly isInTransaction: boolean;
-  /** Whether a message has begun and not ended. */
+  /** Whether a message has arrived only in part. */
   readonly hasPartialMessage: boolean;
-  /** Since the last byte came or the last answer ended. */
+  /** Time since the last byte was received or the last answer ended. */
   readonly inactiveMs: number;
-  /** For how long the caller has not read what waits for it. */
+  /** Time for which the caller has left buffered output unread. */
   readonly writeBlockedMs: number;
 }
 
-/** The limit that a connection has overstepped, as its caller is told. */
+/** Finds the time limit that a connection exceeds, as the error for its caller. */
 export function findTimeoutError(
   activity: ConnectionActivity,
   limits: CallerLimits,
@@ -47,11 +47,14 @@
   message,
 });
 
-const unreadAnswer = createFatalError(sqlStates.idleSession, "the caller does not read its answer");
+const unreadAnswer = createFatalError(
+  sqlStates.idleSession,
+  "the caller did not read its answer in time",
+);
 const startupTimeout = createFatalError(sqlStates.protocolViolation, "the start-up took too long");
 const messageTimeout = createFatalError(
   sqlStates.protocolViolation,
-  "the rest of a message did not come",
+  "the rest of a message did not arrive in time",
 );
 const idleTransactionTimeout = createFatalError(
   sqlStates.idleInTransaction,
--- a/src/caller/transaction.ts
+++ b/src/caller/transaction.ts
@@ -1,32 +1,32 @@
 import type { Conversation, Outcome } from "../model/index.js";
 import type { StatementKind } from "../sql/index.js";
 
-/** Where a caller's interactive transaction stands. */
+/** The state of a caller's interactive transaction. */
 export type TransactionState =
   | { readonly type: "none" }
   | {
       readonly type: "open";
       readonly conversation: Conversation;
-      /** As the target said last: in a transaction, or in one that has failed there. */
+      /** The status that the target reported last: in a transaction, or in a failed one. */
       readonly status: "T" | "E";
       readonly isReadOnly: boolean;
-      /** The kind that the caller gave with its first statement. */
+      /** The kind that the caller gave for the first batch of the transaction. */
       readonly kind: string | undefined;
     }
-  /** Rolled back here; the caller has yet to end it. */
+  /** Rolled back by the proxy; the caller has not ended it yet. */
   | { readonly type: "aborted" };
 
 /** No transaction. */
 export const noTransaction: TransactionState = { type: "none" };
 
-/** What a batch brings to the state of its transaction. */
+/** The attributes of a batch that its transaction's next state depends on. */
 export interface TransactionBatch {
   readonly conversation: Conversation;
   readonly statements: readonly StatementKind[];
   readonly kind: string | undefined;
 }
 
-/** The state after a batch; the conversation of a transaction that ended is closed by the caller. */
+/** Returns the state after a batch. The calling code closes the conversation of an ended transaction. */
 export function getNextTransactionState(
   before: TransactionState,
   batch: TransactionBatch,
@@ -50,7 +50,7 @@
   }
 }
 
-/** The status byte that the caller sees. */
+/** Returns the status byte of `ReadyForQuery`. */
 export function getTransactionStatus(state: TransactionState): "I" | "T" | "E" {
   switch (state.type) {
     case "none":
@@ -62,13 +62,13 @@
   }
 }
 
-/** Whether a batch leaves a transaction open that it began. */
+/** Whether a batch begins a transaction and leaves it open. */
 export function leavesTransactionOpen(statements: readonly StatementKind[]): boolean {
   const last = statements.findLast((s) => s.type === "begin" || s.type === "end");
   return last?.type === "begin" || (last?.type === "end" && last.isChained);
 }
 
-/** Whether a batch ends the transaction that it meets. */
+/** Whether a batch contains the end of a transaction. */
 export function hasTransactionEnd(statements: readonly StatementKind[]): boolean {
   return statements.some((s) => s.type === "end");
 }
--- a/test/caller/fake.ts
+++ b/test/caller/fake.ts
@@ -21,16 +21,16 @@
 } from "../../src/model/index.js";
 import { loadParser } from "../../src/sql/index.js";
 
-/** What the fake group answers to one statement. */
+/** The fake group's answer to one statement. */
 export interface Reply {
   readonly rows?: readonly string[];
   readonly error?: string;
   readonly status?: "I" | "T" | "E";
   readonly mark?: Mark;
   readonly outcome?: Outcome;
-  /** Held back until it resolves. */
+  /** Delays the answer until it resolves. */
   readonly wait?: Promise<void>;
-  /** Sent in place of the whole answer. */
+  /** Bytes sent instead of the regular answer. */
   readonly raw?: Uint8Array;
 }
 
@@ -51,14 +51,14 @@
 
 export const createMark = (offset: number): Mark => ({ term: { round: 1, vm: "a" }, offset });
 
-/** A group that answers by a function from statement to reply, and keeps what it was asked. */
+/** A group that answers each statement with the result of a function, and records the requests. */
 export class FakeGroup implements GroupGateway {
   readonly requests: Request[] = [];
   readonly statements: string[] = [];
   readonly frames: string[] = [];
   /** The names of prepared statements that reached the group. */
   readonly names = new Set<string>();
-  /** Requests given up. */
+  /** The number of aborted requests. */
   aborted = 0;
   opened = 0;
   closed = 0;
@@ -120,16 +120,16 @@
   return { type: "failed", verdict, message: "no answer" };
 }
 
-/** Waits for something that must come about; rejects when it does not. */
+/** Waits for a condition; rejects if it does not hold within ten seconds. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
   const endAt = clock.now() + 10_000;
   while (!condition()) {
-    if (clock.now() > endAt) throw new Error(`waited in vain for ${String(condition)}`);
+    if (clock.now() > endAt) throw new Error(`condition did not become true: ${String(condition)}`);
     await setTimeout(2);
   }
 }
 
-/** A server before a fake group, with a way to connect clients to it. */
+/** Starts a server for a fake group, with a function that connects clients to it. */
 export async function startServer(group: GroupGateway, options: Partial<CallerServerOptions> = {}) {
   await loadParser();
   const server = new CallerServer({
@@ -161,7 +161,7 @@
   };
 }
 
-/** Sends bytes and gives all that comes back until the other end closes. */
+/** Sends bytes and returns all that is received until the other end closes. */
 export function sendRaw(address: Address, ...parts: readonly Uint8Array[]): Promise<Buffer> {
   return new Promise((resolve) => {
     const socket = new Socket();
--- a/test/caller/limits.test.ts
+++ b/test/caller/limits.test.ts
@@ -42,7 +42,7 @@
 const sslRequest = Buffer.concat([encodeInt32(8), encodeInt32(80877103)]);
 const query = pgProtocol.serialize.query("select 1");
 
-test("a caller too many is told so at once, also when only its team has too many", async () => {
+test("a connection over the limit of the proxy or of its team is refused at once", async () => {
   const limits = { maxConnections: 2, maxConnectionsPerTeam: 1 };
   const { connect, server } = await start({ limits });
   await connect();
@@ -52,7 +52,7 @@
   await expect(connect({ user: "third" })).rejects.toMatchObject({ code: "53300" });
 });
 
-test("room is given back when a caller leaves", async () => {
+test("a closed connection no longer counts against the limit", async () => {
   const { connect, server } = await start({ limits: { maxConnectionsPerTeam: 1 } });
   for (let i = 0; i < 3; i++) {
     const client = await connect();
@@ -66,42 +66,42 @@
 
 test.each([
   ["an unknown type", header(0x21, 4)],
-  ["a length below its header's", header(frontendTypes.query, 0)],
+  ["a length below the header's size", header(frontendTypes.query, 0)],
   ["a length over the limit", header(frontendTypes.query, 2_000_000_000)],
-  ["a text without its end", encodeMessage(frontendTypes.query, Buffer.from("select 1"))],
-  ["a password that nobody asked for", encodeMessage(frontendTypes.password, Buffer.of(0))],
+  ["a string without its terminator", encodeMessage(frontendTypes.query, Buffer.from("select 1"))],
+  ["a password that was not requested", encodeMessage(frontendTypes.password, Buffer.of(0))],
   [
     "a malformed Parse",
     Buffer.concat([encodeMessage(frontendTypes.parse), pgProtocol.serialize.sync()]),
   ],
-])("%s ends the connection with 08P01", async (_, bytes) => {
+])("%s closes the connection with 08P01", async (_, bytes) => {
   const { address, group } = await start();
   const answer = await sendRaw(address, startup, bytes);
   expect(answer.toString()).toContain("C08P01");
   expect(group.requests).toEqual([]);
 });
 
-test("more bytes before a Sync than the limit end the connection", async () => {
+test("more bytes before a Sync than the limit close the connection", async () => {
   const { address } = await start({ limits: { maxMessageBytes: 4096 } });
   const parse = pgProtocol.serialize.parse({ text: "x".repeat(1000) });
   const answer = await sendRaw(address, startup, ...Array.from({ length: 5 }, () => parse));
   expect(answer.toString()).toContain("too many bytes before a Sync");
 });
 
-test("a start-up of no length ends the connection", async () => {
+test("a start-up message with length zero closes the connection", async () => {
   const { address } = await start();
   expect((await sendRaw(address, Buffer.alloc(4))).toString()).toContain("C08P01");
 });
 
-// Somebody in between appends a query to the caller's request for encryption.
-// Were those bytes kept, they would run as the caller's own once the line is encrypted.
-test("bytes behind a request for encryption end the connection", async () => {
+// An attacker on the network path appends a query to the caller's request for encryption. If those
+// bytes were kept, they would run as the caller's own once the connection is encrypted.
+test("bytes that follow a request for encryption close the connection", async () => {
   const { address } = await start();
   const answer = await sendRaw(address, Buffer.concat([sslRequest, startup]));
   expect(answer.toString()).toContain("C08P01");
 });
 
-test("a refusal of encryption leaves the caller to go on in plain text", async () => {
+test("a caller may continue in plain text after encryption was refused", async () => {
   const { address } = await start();
   const gssRequest = Buffer.concat([encodeInt32(8), encodeInt32(80877104)]);
   const answers = await new Promise<string>((resolve) => {
@@ -119,15 +119,15 @@
   expect(answers).toMatch(/^NNR/);
 });
 
-// A caller begins a message and sends no more of it, sends no start-up, or sits in a transaction.
-// Its connection, and with the transaction a target's, would be held for as long as it likes.
+// A caller sends only part of a message, sends no start-up message, or leaves a transaction idle.
+// Without a limit it would occupy its connection, in a transaction also a target's, indefinitely.
 test.each<[string, Record<string, number>, readonly Buffer[], string]>([
   ["a stalled message", { messageStallMs: 50 }, [startup, query.subarray(0, 7)], "08P01"],
   ["a stalled start-up", { startupMs: 50 }, [startup.subarray(0, 9)], "08P01"],
   ["no start-up", { startupMs: 50 }, [], "08P01"],
   ["an idle session", { idleMs: 50 }, [startup], "57P05"],
   ["an idle transaction", { idleInTransactionMs: 50 }, [startup, query], "25P03"],
-])("%s ends after its limit", async (_, limits, bytes, code) => {
+])("%s is closed after its limit", async (_, limits, bytes, code) => {
   const { address, group, server } = await start({ limits }, () => ({ status: "T" }));
   const answer = await sendRaw(address, ...bytes);
   expect(answer.toString()).toContain(`C${code}`);
@@ -135,9 +135,9 @@
   expect([server.connectionCount, group.closed]).toEqual([0, group.opened]);
 });
 
-// The proxy was paused for a day and goes on. What its callers sent meanwhile waits to be read;
-// none of them has overstepped a limit.
-test("a pause of the proxy counts against no caller", async () => {
+// The proxy was paused for a day and continues. What its callers sent meanwhile is still unread, so
+// none of them has exceeded a limit.
+test("a pause of the proxy does not count against a caller's time limits", async () => {
   let looks = 0;
   let pausedMs = 0;
   const now = () => {
@@ -152,9 +152,9 @@
   expect((await client.query("select 1")).command).toBe("SELECT");
 });
 
-// The caller asks for 80 MB and reads nothing. Its answer must wait with the target's connection
-// only until the limit, and what is kept for it here is what a socket buffers.
-test("a caller that stops reading is dropped after its limit", async () => {
+// The caller requests 80 MB and reads nothing. The answer may occupy the target's connection only
+// until the limit, and the proxy may keep no more of it than a socket buffers.
+test("a caller that stops reading is disconnected after its limit", async () => {
   const row = "x".repeat(1_000_000);
   const rows = Array.from({ length: 80 }, () => row);
   const { address, server } = await start({ limits: { writeStallMs: 50 } }, () => ({ rows }));
@@ -169,7 +169,7 @@
   await closed;
 });
 
-test("a caller that goes away in a read frees the target, in a write lets it land", async () => {
+test("a disconnect aborts a read in flight but lets a write finish", async () => {
   const gate = createGate();
   const { group, address, server } = await start({}, () => ({ wait: gate.promise }));
   for (const text of ["select 1", "delete from t"]) {
@@ -186,7 +186,7 @@
   await waitUntil(() => group.closed === 2);
 });
 
-test("a cancel request ends the caller's request, and only with the right secret", async () => {
+test("a cancel request ends the caller's request only with the right secret", async () => {
   const { group, connect, address } = await start({}, (text) =>
     text === "select 1" ? { wait: createGate().promise } : {},
   );
@@ -200,9 +200,9 @@
   expect((await client.query("select 2")).command).toBe("SELECT");
 });
 
-// The proxy is told to leave while one caller is idle, one in a statement and one in a transaction.
-// The idle one gets 57P01 at once; the others get their whole answers, and 57P01 after the commit.
-test("draining closes the idle and cuts off nothing in flight", async () => {
+// The proxy drains while one caller is idle, one runs a statement and one is in a transaction. The
+// idle one gets 57P01 at once; the others get their whole answers, and 57P01 after the commit.
+test("draining closes idle connections and cuts off nothing in flight", async () => {
   const gate = createGate();
   const { connect, server, group } = await start({}, (text) => ({
     status: text === "begin" ? "T" : "I",
@@ -222,23 +222,23 @@
   expect(await drained).toEqual({ cutOff: 0 });
 });
 
-test("draining ends at its limit and tells what it cut off", async () => {
+test("draining ends at its limit and returns the number of cut-off connections", async () => {
   const { connect, server } = await start({ limits: { drainMs: 40 } }, () => ({ status: "T" }));
   const client = await connect();
   await client.query("begin");
   expect(await server.drain()).toEqual({ cutOff: 1 });
 });
 
-test("a caller that wants TLS off is refused where TLS is on", async () => {
+test("a caller without TLS is refused if TLS is configured", async () => {
   const { connect } = await start({
     getSecureContext: () => {
-      throw new Error("not asked for");
+      throw new Error("no certificate should be requested");
     },
   });
   await expect(connect()).rejects.toMatchObject({ code: "28000", message: "the proxy wants TLS" });
 });
 
-test("nonsense harms nobody else", async () => {
+test("random input does not affect other callers", async () => {
   const { address, connect, server } = await start({
     limits: { startupMs: 30, messageStallMs: 30 },
   });
--- a/test/caller/protocol.test.ts
+++ b/test/caller/protocol.test.ts
@@ -33,7 +33,7 @@
 
 const startup = startupMessage({ user: "acme", database: "g" });
 
-/** Sends messages after the start-up and gives the types of the answer, one word for each `Z`. */
+/** Sends messages after the start-up and returns the types of the replies, split at each `Z`. */
 async function sendMessages(messages: readonly Uint8Array[]): Promise<readonly string[]> {
   if (running === undefined) throw new Error("no server");
   const answer = await sendRaw(running.address, startup, Buffer.concat([...messages, end()]));
@@ -55,7 +55,7 @@
   expect(group.frames.join("")).toBe("PDSPBES");
 });
 
-test("an error before a Flush passes over what follows up to the Sync", async () => {
+test("after an error before a Flush, messages are skipped up to the Sync", async () => {
   const { group } = await start();
   const described = [describe({ type: "S", name: "p" }), flush()];
   expect(await sendMessages([...described, parse(p), flush(), ...useP, query("select 1")])).toEqual(
@@ -64,8 +64,8 @@
   expect(group.statements).toEqual(["select 1"]);
 });
 
-// Found by the property below with seed 101: the caller got two errors before one ReadyForQuery, and
-// would have taken the second for the answer to its next request.
+// If the Query were answered, the caller would get two errors before one ReadyForQuery, and would take
+// the second for the answer to its next request. The property below reaches this case with seed 101.
 test("a Query between an error and the Sync has no answer of its own", async () => {
   await start();
   const described = [describe({ type: "S", name: "p" }), flush()];
@@ -87,7 +87,7 @@
   expect(group.requests).toEqual([]);
 });
 
-test("names are the session's: taken, unknown, closed and discarded", async () => {
+test("statement names are checked against the session: duplicate, unknown, closed and discarded", async () => {
   await start();
   const answers = await sendMessages([
     ...[parse(p), sync()],
@@ -102,7 +102,7 @@
   expect(answers).toEqual(["1", "E", "2C", "3", "E", "1", "C", "E", ""]);
 });
 
-test("a broken message ends the connection after the answers that are due", async () => {
+test("a malformed message closes the connection after the pending answers", async () => {
   await start();
   const bad = Buffer.from("B\0\0\0\x05x");
   expect(await sendMessages([query("select 1"), bad, sync(), query("select 2")])).toEqual([
@@ -111,9 +111,9 @@
   ]);
 });
 
-// A target's answer does not fit the request, so it may be another caller's. In a program the
-// violation is counted and logged, not thrown; the caller must get an error and no byte of it.
-test("an answer that does not fit is replaced by an error", async () => {
+// A target's answer does not match the request, so it may be another caller's. Outside tests the
+// violation is counted and logged, not thrown; the caller must get an error and no byte of the answer.
+test("an answer that does not match the request is replaced by an error", async () => {
   await start(() => ({ raw: Buffer.from("1\0\0\0\x04") }));
   const violations: string[] = [];
   const before = setViolationHandler((invariant) => violations.push(invariant));
@@ -122,10 +122,10 @@
   expect(violations).toEqual(["wholeOwnAnswer"]);
 });
 
-// The target's CommandComplete has come, but the write can't be acknowledged any more. The caller
-// sees 08007 and no "INSERT 0 1": a driver that resolves on the tag would take the reservation for
-// made.
-test("a write that may have run is not confirmed", async () => {
+// The target's CommandComplete has arrived, but the write can't be acknowledged any more. The caller
+// must see 08007 and no "INSERT 0 1": a driver that resolves on the command tag would report the
+// write as done.
+test("a write that may have run gets no CommandComplete", async () => {
   const { address } = await start(() => ({ outcome: createFailedOutcome("mayHaveRun") }));
   expect(await sendMessages([query("insert into t values (1)")])).toEqual(["E", ""]);
   const answer = await sendRaw(address, startup, query("insert into t values (1)"), end());
@@ -142,7 +142,7 @@
   message: "gone",
 };
 
-/** Answers with each of `outcomes` in turn, then as usual. */
+/** Returns each of `outcomes` once, then the default reply. */
 function replyInTurn(...outcomes: readonly Outcome[]): () => Reply {
   const left = [...outcomes];
   return () => {
@@ -151,7 +151,7 @@
   };
 }
 
-// The proxy that owns the group dies; the next owner is known a moment later.
+// The proxy that owns the group fails; the next owner is known shortly afterwards.
 test.each([
   ["a write that has not run", "insert into t values (1)", lostOwner],
   ["a read that may have run", "select 1", createFailedOutcome("mayHaveRun")],
@@ -160,16 +160,17 @@
     "insert into t values (1) /*idempotency_key='k'*/",
     createFailedOutcome("mayHaveRun"),
   ],
-])("%s is tried again when its owner was lost", async (_, text, outcome) => {
+])("%s is retried if its owner was lost", async (_, text, outcome) => {
   const { connect, group } = await start(replyInTurn(outcome), { match: retrying });
   const client = await connect();
   expect((await client.query(text)).command).toMatch(/SELECT|INSERT/);
   expect([group.opened, group.closed]).toEqual([2, 2]);
 });
 
-// The keyed write may have landed at the owner that was lost, and the next one refuses it.
-// "Not run" would be true of the second try alone, and the caller would book the cello again.
-test("a second try that did not run leaves the first one's verdict", async () => {
+// The write with an idempotency key may have been applied by the owner that was lost, and the next
+// owner refuses it. `notRun` is true of the second attempt only: a caller that trusts it would
+// repeat the write.
+test("the verdict of the first attempt stands if the second did not run", async () => {
   const { connect } = await start(
     replyInTurn(createFailedOutcome("mayHaveRun"), createFailedOutcome("notRun")),
     {
@@ -183,15 +184,15 @@
 
 test.each([
   ["a write without a key", "insert into t values (1)", createFailedOutcome("mayHaveRun")],
-  ["what the owner refuses", "select 1", createFailedOutcome("notRun")],
-])("%s is not tried again", async (_, text, outcome) => {
+  ["a request that the owner refuses", "select 1", createFailedOutcome("notRun")],
+])("%s is not retried", async (_, text, outcome) => {
   const { connect, group } = await start(replyInTurn(outcome), { match: retrying });
   const client = await connect();
   await expect(client.query(text)).rejects.toMatchObject({ detail: /verdict/ });
   expect(group.statements).toEqual([text]);
 });
 
-test("whatever comes in whatever order, each Sync and Query gets one answer", async () => {
+test("each Sync and Query gets one answer for any sequence of messages", async () => {
   await start((text) => {
     if (text.startsWith("bad")) return { error: "no" };
     if (text === "lost") return { outcome: createFailedOutcome("notRun") };
@@ -211,7 +212,7 @@
     fc.asyncProperty(fc.array(message, { maxLength: 24 }), async (list) => {
       const due = list.filter((m) => m[0] === 0x53 || m[0] === 0x51).length;
       const answers = (await sendMessages([...list, sync()])).slice(0, -1);
-      // After an error before a Flush, Queries up to the Sync are passed over.
+      // After an error before a Flush, Queries are skipped up to the Sync.
       const hasFlush = list.some((m) => m[0] === 0x48);
       expect(answers.length).toBeLessThanOrEqual(due + 1);
       if (!hasFlush) expect(answers).toHaveLength(due + 1);
--- a/test/caller/server.test.ts
+++ b/test/caller/server.test.ts
@@ -27,7 +27,7 @@
 
 const rows = { rows: ["one", "two"] };
 
-test("a simple query is answered whole, with its traits told to the group", async () => {
+test("a simple query is answered, and its traits are passed to the group", async () => {
   const { group, connect } = await start(() => rows);
   const client = await connect();
   const result = await client.query("select v from t /* kind='browse' */");
@@ -43,7 +43,7 @@
   });
 });
 
-test("a write carries its idempotency key, with one digest whatever the other tags", async () => {
+test("a write carries its idempotency key, with a digest that other tags do not change", async () => {
   const { group, connect } = await start();
   const client = await connect();
   for (const kind of ["a", "b"]) {
@@ -56,7 +56,7 @@
   expect(other?.digest).not.toBe(first?.digest);
 });
 
-test("settings of the proxy are the session's, and a key names one write only", async () => {
+test("radishwalk settings apply to the session, and an idempotency key to one write only", async () => {
   const { group, connect } = await start();
   const client = await connect();
   await client.query("set radishwalk.kind = 'checkin'");
@@ -70,7 +70,7 @@
   });
 });
 
-test("a kind may come with the start-up", async () => {
+test("a kind may be given in the start-up message", async () => {
   const { group, connect } = await start();
   const client = await connect({ options: "-c radishwalk.kind=browse" });
   const named = await connect({ application_name: "kind=checkin" });
@@ -79,9 +79,9 @@
   expect(group.requests.map((r) => r.traits.kind)).toEqual(["browse", "checkin"]);
 });
 
-// Two callers prepare different statements under one name. Targets' connections are shared, so the
-// second would meet the first one's statement there and get the answer to another question.
-test("prepared names live in the session and never reach a target", async () => {
+// Two callers prepare different statements under the same name. Connections to targets are shared, so
+// the second caller would otherwise run the first one's statement.
+test("names of prepared statements exist only in the session and never reach a target", async () => {
   const { group, connect } = await start(() => rows);
   const [one, two] = [await connect(), await connect()];
   const run = (client: typeof one, text: string) => client.query({ name: "p", text, values: [1] });
@@ -107,7 +107,7 @@
   expect([group.opened, group.closed]).toEqual([1, 1]);
 });
 
-test("an error of the target leaves the connection in step", async () => {
+test("the connection stays in sync after an error of the target", async () => {
   const { connect } = await start((text) => (text.includes("bad") ? { error: "no" } : rows));
   const client = await connect();
   await expect(client.query("select 'bad'", [])).rejects.toMatchObject({ code: "23505" });
@@ -115,7 +115,7 @@
   expect((await client.query("select v from t")).rows).toHaveLength(2);
 });
 
-test("a rule refuses at once, with a verdict and a time to come back", async () => {
+test("a rule refuses a request at once, with a verdict and a retry time", async () => {
   const refuse = { type: "refuse", retryAfterMs: 700, reason: "no trials now" } as const;
   const { group, connect } = await start(undefined, {
     match: ({ effect }) => ({ rule: "r", action: effect === "write" ? refuse : serveAction }),
@@ -134,9 +134,9 @@
 });
 
 // The connection to the target is lost between two statements of a transaction. The caller gets
-// the verdict, then 25P02 until it ends the transaction, as if the target itself had failed it:
-// were the session back in autocommit, the rest of the transaction would land piecemeal.
-test("a transaction that broke stays aborted until the caller ends it", async () => {
+// the verdict, then 25P02 until it ends the transaction, as if the target had aborted it. If the
+// session returned to autocommit, the rest of the transaction would be applied statement by statement.
+test("a transaction that lost its target stays aborted until the caller ends it", async () => {
   const { group, connect } = await start((text) =>
     text.startsWith("update") ? { outcome: createFailedOutcome("notRun") } : { status: "T" },
   );
@@ -159,8 +159,8 @@
   },
 );
 
-// A caller writes at one proxy and moves to another, which has never heard of it.
-// Its token names the mark, so the read there waits for a replica that has the write.
+// A caller writes through one proxy and moves to another, which has no state of its session. Its token
+// contains the mark, so that the read there waits for a replica that has the write.
 test("a token carries the session's mark to another proxy", async () => {
   const { connect } = await start(() => ({ mark: createMark(7) }));
   const client = await connect();
@@ -191,15 +191,15 @@
 });
 
 test.each([
-  ["cut short", Buffer.from("D\0\0\0\x20")],
+  ["that is truncated", Buffer.from("D\0\0\0\x20")],
   ["of another request", Buffer.from("s\0\0\0\x04")],
-])("an answer %s is never handed on", async (_, raw) => {
+])("an answer %s is never forwarded", async (_, raw) => {
   const { connect } = await start(() => ({ raw }));
   const client = await connect();
   await expect(client.query("select $1", [1])).rejects.toThrow("wholeOwnAnswer");
 });
 
-test("teams and groups that are unknown are refused at the start-up", async () => {
+test("unknown teams and groups are refused at the start-up", async () => {
   const { connect } = await start();
   await expect(connect({ user: "nobody" })).rejects.toMatchObject({ code: "28000" });
   await expect(connect({ database: "h" })).rejects.toMatchObject({ code: "3D000" });
@@ -213,7 +213,7 @@
   expect(answers).toEqual(queries.map((_, i) => String(i)));
 });
 
-test("a large answer comes whole", async () => {
+test("a large answer is forwarded completely", async () => {
   const row = "x".repeat(10_000);
   const { connect } = await start(() => ({ rows: Array.from({ length: 1000 }, () => row) }));
   const client = await connect();
