--- a/src/sql/cache.ts
+++ b/src/sql/cache.ts
@@ -1,4 +1,4 @@
-/** Bounds of a cache. */
+/** Limits on the size of a cache. */
 export interface CacheLimits {
   readonly maxEntries: number;
   readonly maxBytes: number;
@@ -10,10 +10,10 @@
 }
 
 /**
- * Keeps the values used lately, within a number of entries and of bytes, in two generations: what is
- * used moves to the younger, and a full younger one takes the older one's place. Putting each value
- * used at the end of one map is exact but slow: the holes of a key that is used all the time pile up
- * in its bucket, and each use walks them all.
+ * An approximate LRU cache, bounded in entries and bytes. It has two generations: a value that is
+ * used moves to the current one, and a full current generation replaces the previous one. Moving each
+ * used value to the end of a single map would be exact but slow: the deleted slots of a key that is
+ * used constantly accumulate in its hash bucket, and each lookup walks over all of them.
  */
 export class LruCache<V> {
   private current = new Map<string, Entry<V>>();
@@ -22,7 +22,7 @@
 
   constructor(private readonly limits: CacheLimits) {}
 
-  /** Entries held now. */
+  /** The number of entries. */
   get size(): number {
     return this.current.size + this.previous.size;
   }
@@ -37,7 +37,7 @@
     return entry.value;
   }
 
-  /** Keeps `value`, unless it alone would fill a large part of the cache. */
+  /** Stores `value`, unless it alone takes more than a sixteenth of the cache's bytes. */
   set(key: string, value: V, bytes: number): void {
     this.remove(key);
     if (bytes <= this.limits.maxBytes / 16) this.add(key, { value, bytes });
--- a/src/sql/classify.ts
+++ b/src/sql/classify.ts
@@ -5,10 +5,10 @@
 import { parseStatements, type ParsedStatement } from "./parser.js";
 import type { StatementKind } from "./statement.js";
 
-/** What the proxy needs to know of one text, which may hold several statements. */
+/** The classification of an SQL text, which may contain several statements. */
 export interface Classification {
   readonly effect: Effect;
-  /** Bare names, or `schema.name` outside `public`; sorted. */
+  /** Table names, with the schema unless it is `public`; sorted. */
   readonly tables: readonly string[];
   readonly statements: readonly StatementKind[];
 }
@@ -26,8 +26,8 @@
 const cache = new LruCache<Classification>({ maxEntries, maxBytes });
 
 /**
- * Classifies a text without its tags. What can't be parsed is a write, so that it goes to the
- * primary. `loadParser` must have resolved. Results are kept by text, in bounded memory.
+ * Classifies an SQL text whose tags are removed. A text that can't be parsed is a write, so that it
+ * goes to the primary. `loadParser` must have resolved. Results are cached by text, in bounded memory.
  */
 export function classifyStatement(text: string): Classification {
   const cached = cache.get(text);
@@ -42,7 +42,7 @@
     const statements = parseStatements(text);
     return statements === undefined ? unparsable : mergeClassifications(statements);
   } catch {
-    // A tree nested deeper than the stack; the target's own parser will have its say.
+    // The tree is nested too deeply for the stack; the target's parser decides whether it is valid.
     return unparsable;
   }
 }
--- a/src/sql/effect.ts
+++ b/src/sql/effect.ts
@@ -9,11 +9,11 @@
   type TreeNode,
 } from "./parser.js";
 
-/** What a walk over a statement's tree finds. */
+/** A statement's effect and tables. */
 export interface StatementEffect {
   readonly effect: Effect;
   readonly tables: readonly string[];
-  /** A function whose effect outlives the transaction on its connection. */
+  /** The name of a called function whose effect on the connection outlasts the transaction. */
   readonly sessionFunction?: string;
 }
 
@@ -27,7 +27,7 @@
   "DeclareCursorStmt",
 ]);
 
-/** Finds effect and tables of one statement. What isn't known to read writes. */
+/** Finds the effect and tables of one statement, which is a write unless it surely only reads. */
 export function findEffect(statement: ParsedStatement): StatementEffect {
   const walker = new TreeWalker();
   walker.visit(statement.nodeType, statement.node);
--- a/src/sql/functions.ts
+++ b/src/sql/functions.ts
@@ -46,10 +46,10 @@
 const splitNames = (names: string): ReadonlySet<string> => new Set(names.trim().split(/\s+/));
 
 /**
- * PostgreSQL's own functions that write nothing and keep nothing on the connection. A function that
- * isn't listed may write, and a replica would then refuse it after a useless trip.
+ * Built-in functions of PostgreSQL that neither write nor change the state of the connection. A
+ * function that isn't listed may write, and a replica would refuse it after a wasted round trip.
  */
 export const readOnlyFunctions = splitNames(readOnlyFunctionNames);
 
-/** Functions whose effect outlives the transaction on its connection, which callers share. */
+/** Functions whose effect outlasts the transaction on a connection that callers share. */
 export const sessionFunctions = splitNames(sessionFunctionNames);
--- a/src/sql/kind.ts
+++ b/src/sql/kind.ts
@@ -11,7 +11,7 @@
 const plain: StatementKind = { type: "plain" };
 const cursorWithHold = 0x20;
 
-/** Tells what a statement means to the session that sends it. */
+/** Classifies a statement by what it means for the session that sends it. */
 export function classifyKind(statement: ParsedStatement): StatementKind {
   const { nodeType, node } = statement;
   switch (nodeType) {
@@ -100,7 +100,7 @@
   if (text !== undefined) return getText(text, "sval") ?? "";
   const number = getChild(constant, "ival");
   if (number === undefined) return undefined;
-  // The parser leaves a zero out.
+  // The parser omits the value of a zero.
   return typeof number.ival === "number" ? String(number.ival) : "0";
 }
 
--- a/src/sql/parser.ts
+++ b/src/sql/parser.ts
@@ -1,26 +1,26 @@
 import { loadModule, parseSync } from "libpg-query";
 
-/** A node of PostgreSQL's parse tree, as the parser hands it over. */
+/** A node of PostgreSQL's parse tree, as the parser returns it. */
 export type TreeNode = Readonly<Record<string, unknown>>;
 
-/** One parsed statement: the name of its node and the node itself. */
+/** A parsed statement: the type name of its root node, such as `SelectStmt`, and the node. */
 export interface ParsedStatement {
   readonly nodeType: string;
   readonly node: TreeNode;
 }
 
-/** Longer texts are not parsed; a parser fed megabytes would hold up every other caller. */
+/** Longer texts are not parsed: parsing megabytes would block all other callers. */
 const maxParsedLength = 256 * 1024;
 
 let loading: Promise<void> | undefined;
 
-/** Loads the parser. Everything else in this folder is synchronous once it has resolved. */
+/** Loads the parser. All other functions of this folder are synchronous and need it loaded. */
 export function loadParser(): Promise<void> {
   loading ??= loadModule();
   return loading;
 }
 
-/** Parses `text` into its statements; `undefined` when it can't be parsed or is too long. */
+/** Parses `text` into its statements; `undefined` if it can't be parsed or is too long. */
 export function parseStatements(text: string): readonly ParsedStatement[] | undefined {
   if (text.length > maxParsedLength) return undefined;
   if (text.trim() === "") return [];
@@ -32,24 +32,24 @@
   }
 }
 
-/** Whether a value of the tree is a node, not a list or a plain value. */
+/** Whether a value in the tree is a node rather than a list or a scalar. */
 export function isNode(value: unknown): value is TreeNode {
   return typeof value === "object" && value !== null && !Array.isArray(value);
 }
 
-/** The child node under `key`. */
+/** Returns the child node under `key`; `undefined` if there is none. */
 export function getChild(node: TreeNode, key: string): TreeNode | undefined {
   const child = node[key];
   return isNode(child) ? child : undefined;
 }
 
-/** The text under `key`. */
+/** Returns the string under `key`; `undefined` if there is none. */
 export function getText(node: TreeNode, key: string): string | undefined {
   const value = node[key];
   return typeof value === "string" ? value : undefined;
 }
 
-/** The list under `key`, empty where there is none. */
+/** Returns the list under `key`; empty if there is none. */
 export function getList(node: TreeNode, key: string): readonly unknown[] {
   const value = node[key];
   return Array.isArray(value) ? value : [];
--- a/src/sql/tags.ts
+++ b/src/sql/tags.ts
@@ -1,6 +1,6 @@
-/** A text split into its statements and the sqlcommenter tags at its end or start. */
+/** An SQL text without its sqlcommenter comment, and the tags of that comment. */
 export interface TaggedText {
-  /** The text without the tags' comment: the same for every value of the tags. */
+  /** The text without the comment, which is the same for all values of the tags. */
   readonly statement: string;
   readonly tags: ReadonlyMap<string, string>;
 }
@@ -10,8 +10,8 @@
 const tagPattern = /\s*([^=',\s]+)\s*=\s*'((?:[^'\\]|\\.)*)'\s*(,|$)/y;
 
 /**
- * Splits sqlcommenter's comment off a text. Only a comment that stands first or last counts, and
- * only when all of it is well-formed; any other comment stays part of the statement.
+ * Separates an sqlcommenter comment from a text. The comment must be at the end or the start of the
+ * text and entirely well-formed; any other comment remains part of the statement.
  */
 export function parseTags(text: string): TaggedText {
   return parseTrailingTags(text) ?? parseLeadingTags(text) ?? { statement: text, tags: noTags };
--- a/test/sql/sql.test.ts
+++ b/test/sql/sql.test.ts
@@ -16,7 +16,7 @@
   "begin read only",
   "explain select 1",
   "select pg_catalog.now()",
-])("%s reads", (text) => expect(effect(text)).toBe("read"));
+])("%s is a read", (text) => expect(effect(text)).toBe("read"));
 
 test.each(
   [
@@ -38,16 +38,16 @@
     "select " + "(".repeat(20_000),
     "select 1" + "+1".repeat(20_000),
   ].map((text) => [text.slice(0, 40), text]),
-)("%s writes", (_, text) => expect(effect(text)).toBe("write"));
+)("%s is a write", (_, text) => expect(effect(text)).toBe("write"));
 
-test("tables leave out the names of WITH and public", () => {
+test("tables omit the names of common table expressions and the schema public", () => {
   const { tables } = classifyStatement(
     "with w as (select * from public.b) select * from w join s.a using (i)",
   );
   expect(tables).toEqual(["b", "s.a"]);
 });
 
-test("statements say what they mean to the session", () => {
+test("statements are classified by their meaning for the session", () => {
   expect(kinds("start transaction read only; commit and chain")).toEqual([
     { type: "begin", isReadOnly: true },
     { type: "end", isCommit: true, isChained: true },
@@ -70,11 +70,11 @@
   "create temp table a as select 1",
   "declare c cursor with hold for select 1",
   "select pg_advisory_lock(1)",
-])("%s would change a shared connection", (text) =>
+])("%s is classified as a change of a shared connection", (text) =>
   expect(kinds(text)[0]?.type).toBe("sessionState"),
 );
 
-test("tags are decoded and taken off, wherever the comment stands", () => {
+test("tags are decoded and removed from a comment at the end or the start", () => {
   const tags = new Map([
     ["kind", "a b's"],
     ["idempotency_key", "1,2"],
@@ -89,7 +89,7 @@
   (text) => expect(parseTags(text)).toEqual({ statement: text, tags: new Map() }),
 );
 
-test("a cache keeps within its bounds", () => {
+test("a cache stays within its limits", () => {
   const sizes = fc.array(fc.tuple(fc.stringMatching(/^[a-f]$/), fc.integer({ min: 1, max: 9 })));
   fc.assert(
     fc.property(sizes, (entries) => {
@@ -98,7 +98,7 @@
       for (const [key, bytes] of entries) {
         cache.set(key, bytes, bytes);
         expect(cache.get(key)).toBe(bytes);
-        // What is used all the time stays.
+        // A key that is used constantly is never evicted.
         expect(cache.get("used")).toBe(0);
         expect(cache.size).toBeLessThanOrEqual(3);
       }
