--- a/src/caller/protocol-reader.ts
+++ b/src/caller/protocol-reader.ts
@@ -15,14 +15,20 @@
 
 /** Callbacks for a caller's messages, called synchronously and in order. */
 export interface ProtocolHandlers {
-  /** Called last: the reader no longer reads from the socket, and a new one may be created on it. */
+  /**
+   * Called after this reader has stopped reading from the socket, so that another may take over. It is
+   * the last callback.
+   */
   onPreStartupRequest(request: PreStartupRequest): void;
+  /** Called with the parameters of the start-up message. */
   onStartup(parameters: Readonly<Record<string, string>>): void;
   /** `message` is valid only during the call. */
   onMessage(message: Uint8Array): void;
+  /** Called with the size of each chunk before its messages are read. */
   onBytesReceived(count: number): void;
   /** Called once all bytes received so far are processed; the socket may be paused then. */
   onChunkProcessed(): void;
+  /** Called when reading has stopped because of an error; other errors are wrapped. */
   onProtocolError(error: ProtocolError): void;
 }
 
--- a/test/caller/limits.test.ts
+++ b/test/caller/limits.test.ts
@@ -138,17 +138,17 @@
 // The proxy was paused for a day and continues. What its callers sent meanwhile is still unread, so
 // none of them has exceeded a limit.
 test("a pause of the proxy does not count against a caller's time limits", async () => {
-  let looks = 0;
+  let clockReads = 0;
   let pausedMs = 0;
   const now = () => {
-    looks += 1;
+    clockReads += 1;
     return clock.now() + pausedMs;
   };
   const { connect } = await start({ clock: { ...clock, now } });
   const client = await connect();
   pausedMs = 86_400_000;
-  looks = 0;
-  await waitUntil(() => looks > 6);
+  clockReads = 0;
+  await waitUntil(() => clockReads > 6);
   expect((await client.query("select 1")).command).toBe("SELECT");
 });
 
@@ -174,9 +174,9 @@
   const { group, address, server } = await start({}, () => ({ wait: gate.promise }));
   for (const text of ["select 1", "delete from t"]) {
     const socket = new Socket().connect(address.port, address.host);
-    const asked = group.requests.length + 1;
+    const expectedRequests = group.requests.length + 1;
     socket.write(Buffer.concat([startup, pgProtocol.serialize.query(text)]));
-    await waitUntil(() => group.requests.length === asked);
+    await waitUntil(() => group.requests.length === expectedRequests);
     socket.destroy();
     await waitUntil(() => server.connectionCount === 0);
   }
@@ -249,9 +249,9 @@
     .map(([type, content]) => encodeMessage(type, content));
   const parts = fc.array(fc.oneof(bytes, typed, fc.constant(query)), { maxLength: 6 });
   await fc.assert(
-    fc.asyncProperty(fc.boolean(), parts, async (isGreeted, list) => {
-      const end = isGreeted ? [pgProtocol.serialize.end()] : [];
-      await sendRaw(address, ...(isGreeted ? [startup] : []), ...list, ...end);
+    fc.asyncProperty(fc.boolean(), parts, async (hasStartup, list) => {
+      const end = hasStartup ? [pgProtocol.serialize.end()] : [];
+      await sendRaw(address, ...(hasStartup ? [startup] : []), ...list, ...end);
       expect((await other.query("select 1")).command).toBe("SELECT");
     }),
     { seed: 11, numRuns: 60 },
