--- a/src/caller/timeouts.ts
+++ b/src/caller/timeouts.ts
@@ -1,44 +1,44 @@
 import { type CallerError, sqlStates } from "./errors.js";
 import type { CallerLimits } from "./limits.js";
 
-/** What a connection is doing, as far as limits in time look at it. Times in milliseconds. */
+/** The state of a connection that its time limits depend on. Times in milliseconds. */
 export interface ConnectionActivity {
-  readonly state: "starting" | "running" | "idle" | "ending";
+  readonly state: "starting" | "running" | "idle" | "closing";
   readonly isInTransaction: boolean;
-  /** Whether a message has begun and not ended. */
+  /** Whether a message has arrived only in part. */
   readonly hasPartialMessage: boolean;
-  /** Since the last byte came or the last answer ended. */
+  /** Time since the last byte was received or the last answer ended. */
   readonly inactiveMs: number;
-  /** For how long the caller has not read what waits for it. */
+  /** Time for which the caller has left buffered output unread. */
   readonly writeBlockedMs: number;
 }
 
-/** The limit that a connection has overstepped, as its caller is told. */
+/** Finds the time limit that a connection exceeds, as the error for its caller. */
 export function findTimeoutError(
   activity: ConnectionActivity,
   limits: CallerLimits,
 ): CallerError | undefined {
-  const { state, inactiveMs: quietMs, writeBlockedMs: blockedMs } = activity;
-  if (blockedMs > limits.writeStallMs) return unreadAnswer;
+  const { state, inactiveMs, writeBlockedMs } = activity;
+  if (writeBlockedMs > limits.writeStallMs) return unreadAnswer;
   switch (state) {
     case "starting":
-      return quietMs > limits.startupMs ? startupTimeout : undefined;
+      return inactiveMs > limits.startupMs ? startupTimeout : undefined;
     case "running":
       return undefined;
-    case "ending":
-      return quietMs > limits.writeStallMs ? unreadAnswer : undefined;
+    case "closing":
+      return inactiveMs > limits.writeStallMs ? unreadAnswer : undefined;
     case "idle":
       return findIdleTimeoutError(activity, limits);
   }
 }
 
 function findIdleTimeoutError(
-  { hasPartialMessage: isPartial, isInTransaction, inactiveMs: quietMs }: ConnectionActivity,
+  { hasPartialMessage, isInTransaction, inactiveMs }: ConnectionActivity,
   limits: CallerLimits,
 ): CallerError | undefined {
-  if (isPartial && quietMs > limits.messageStallMs) return messageTimeout;
-  if (isInTransaction && quietMs > limits.idleInTransactionMs) return idleTransactionTimeout;
-  return quietMs > limits.idleMs ? idleSessionTimeout : undefined;
+  if (hasPartialMessage && inactiveMs > limits.messageStallMs) return messageTimeout;
+  if (isInTransaction && inactiveMs > limits.idleInTransactionMs) return idleTransactionTimeout;
+  return inactiveMs > limits.idleMs ? idleSessionTimeout : undefined;
 }
 
 const createFatalError = (code: string, message: string): CallerError => ({
@@ -47,11 +47,14 @@
   message,
 });
 
-const unreadAnswer = createFatalError(sqlStates.idleSession, "the caller does not read its answer");
+const unreadAnswer = createFatalError(
+  sqlStates.idleSession,
+  "the caller did not read its answer in time",
+);
 const startupTimeout = createFatalError(sqlStates.protocolViolation, "the start-up took too long");
 const messageTimeout = createFatalError(
   sqlStates.protocolViolation,
-  "the rest of a message did not come",
+  "the rest of a message did not arrive in time",
 );
 const idleTransactionTimeout = createFatalError(
   sqlStates.idleInTransaction,
