--- a/src/bin/proxy.ts
+++ b/src/bin/proxy.ts
@@ -91,7 +91,7 @@
 function boundEnd({ drain }: ProxySettings, logger: PinoLogger): void {
   const limitMs = drain.announceMs + drain.limitMs + endMarginMs;
   setTimeout(() => {
-    logger.write(processEvents.endForced, { limitMs });
+    logger.write(processEvents.exitForced, { limitMs });
     process.exit(exitFailed);
   }, limitMs);
 }
--- a/src/caller/connection.ts
+++ b/src/caller/connection.ts
@@ -108,7 +108,7 @@
   checkTime(): void {
     const expired = findExpired(this.describeActivity(), this.host.limits);
     if (expired === undefined) return;
-    this.host.logger.write(callerEvents.dropped, { reason: expired.message });
+    this.host.logger.write(callerEvents.disconnected, { reason: expired.message });
     const isSilent = this.isEnding || this.output.blockedMs > 0;
     if (isSilent) this.destroy();
     else this.end(expired);
@@ -176,7 +176,7 @@
   }
 
   onViolation(error: ProtocolError): void {
-    this.host.logger.write(callerEvents.dropped, { reason: error.message });
+    this.host.logger.write(callerEvents.disconnected, { reason: error.message });
     const { message } = error;
     this.endInTurn({ severity: "FATAL", code: sqlStates.protocolViolation, message });
   }
@@ -233,7 +233,7 @@
   private endBroken(error: unknown): void {
     const message = error instanceof Error ? error.message : String(error);
     const isOfCaller = error instanceof ProtocolError;
-    const event = isOfCaller ? callerEvents.dropped : callerEvents.broken;
+    const event = isOfCaller ? callerEvents.disconnected : callerEvents.proxyFault;
     this.host.logger.write(event, { reason: message });
     const code = isOfCaller ? sqlStates.protocolViolation : sqlStates.internalError;
     this.end({ severity: "FATAL", code, message });
--- a/src/caller/retry.ts
+++ b/src/caller/retry.ts
@@ -35,7 +35,11 @@
       isOurs: isOwnerLost,
       hasBegun: () => attempt.relay.hasBegun,
       onRetry: (outcome, delayMs) => {
-        this.logger.write(callerEvents.retried, { request: context.id, ...outcome, delayMs });
+        this.logger.write(callerEvents.retriedElsewhere, {
+          request: context.id,
+          ...outcome,
+          delayMs,
+        });
       },
     });
   }
--- a/src/command/apply.ts
+++ b/src/command/apply.ts
@@ -11,10 +11,10 @@
   UncertainError,
   UsageError,
 } from "./errors.js";
-import { exitCodes, type ExitCode } from "./exit.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
 import { readConfigurationFile } from "./file.js";
-import { findPlaces } from "./places.js";
-import { waitInForce, type Spread } from "./spread.js";
+import { listProxyEndpoints } from "./endpoints.js";
+import { waitUntilInForce, type RolloutStatus } from "./rollout.js";
 
 /** Flags of `apply`. */
 export interface ApplyFlags {
@@ -45,16 +45,19 @@
     const hint = "start from `radishwalk get --output FILE`, or give --base (0 for the first file)";
     throw new UsageError(`${path} has no revision that it was edited from: ${hint}`);
   }
-  const changeId = context.makeChangeId();
+  const changeId = context.createChangeId();
   const draft = { teams: file.teams, rules: file.rules };
-  const editor = new ConfigurationEditor({ ...context, findInForce: () => findInForce(context) });
+  const editor = new ConfigurationEditor({
+    ...context,
+    findInForce: () => findGreatestInForce(context),
+  });
   const result = await editor.apply({ changeId, draft }, base);
   return reportResult(context, result, flags);
 }
 
 /** The greatest configuration in force: a store restored from an old copy may hold a smaller one. */
-async function findInForce(context: CommandContext): Promise<Configuration | undefined> {
-  const places = await findPlaces(context).catch(() => []);
+async function findGreatestInForce(context: CommandContext): Promise<Configuration | undefined> {
+  const places = await listProxyEndpoints(context).catch(() => []);
   const summaries = await Promise.all(
     places.map(async ({ health }) => ({
       health,
@@ -74,8 +77,8 @@
   switch (result.type) {
     case "applied":
     case "unchanged": {
-      const spread = await waitInForce(context, result.revision, flags.wait * msPerSecond);
-      return reportSpread(context, result, spread);
+      const spread = await waitUntilInForce(context, result.revision, flags.wait * msPerSecond);
+      return reportRollout(context, result, spread);
     }
     case "conflict":
       throw new ConflictError(result.conflicts.map(formatConflict).join("\n"));
@@ -90,10 +93,10 @@
   }
 }
 
-function reportSpread(
+function reportRollout(
   context: CommandContext,
   result: Extract<EditResult, { type: "applied" | "unchanged" }>,
-  spread: Spread,
+  spread: RolloutStatus,
 ): ExitCode {
   const { revision, type } = result;
   const word = type === "applied" ? "accepted" : "already there";
--- a/src/command/changes.ts
+++ b/src/command/changes.ts
@@ -10,13 +10,13 @@
 /** Lists what takes `before` to `after`. */
 export function listChanges(before: Draft, after: Draft): readonly Change[] {
   return [
-    ...listEntries("team", before.teams, after.teams),
-    ...listEntries("rule", before.rules, after.rules),
-    ...listMoves(before, after),
+    ...listEntryChanges("team", before.teams, after.teams),
+    ...listEntryChanges("rule", before.rules, after.rules),
+    ...listOrderChanges(before, after),
   ];
 }
 
-function listEntries<T extends { readonly name: string }>(
+function listEntryChanges<T extends { readonly name: string }>(
   what: "team" | "rule",
   before: readonly T[],
   after: readonly T[],
@@ -34,7 +34,7 @@
   return [...kept, ...gone];
 }
 
-function listMoves(before: Draft, after: Draft): readonly Change[] {
+function listOrderChanges(before: Draft, after: Draft): readonly Change[] {
   const old = before.rules.map(({ name }) => name);
   const order = after.rules.map(({ name }) => name);
   const shared = old.filter((name) => order.includes(name));
--- a/src/command/check.ts
+++ b/src/command/check.ts
@@ -1,6 +1,6 @@
 import { formatFault } from "../settings/index.js";
 import { printResult, type CommandContext } from "./context.js";
-import { exitCodes, type ExitCode } from "./exit.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
 import { readConfigurationFile } from "./file.js";
 
 /** Checks a file of teams and rules without asking anybody. */
--- a/src/command/context.ts
+++ b/src/command/context.ts
@@ -1,5 +1,5 @@
 import type { Address, Clock, ObjectStore, Random } from "../model/index.js";
-import type { ProxyReader } from "./proxies.js";
+import type { ProxyHttpClient } from "./proxy-client.js";
 
 /** Flags that every command knows. */
 export interface Flags {
@@ -15,9 +15,9 @@
 /** What a command may touch. */
 export interface CommandContext {
   readonly store: ObjectStore;
-  readonly proxies: ProxyReader;
+  readonly proxies: ProxyHttpClient;
   /** Health addresses that were given; empty when they follow from the platform's list. */
-  readonly given: readonly Address[];
+  readonly givenProxies: readonly Address[];
   readonly healthOffset: number;
   readonly clock: Clock;
   readonly random: Random;
@@ -25,7 +25,7 @@
   readFile(path: string): Promise<string>;
   writeFile(path: string, text: string): Promise<void>;
   /** An id that no other change bears. */
-  makeChangeId(): string;
+  createChangeId(): string;
   print(text: string): void;
 }
 
--- a/src/command/wiring.ts
+++ b/src/command/create-context.ts
@@ -6,7 +6,7 @@
 import { createSystemClock, createSystemRandom } from "../system/index.js";
 import type { CommandContext, Flags } from "./context.js";
 import { UsageError } from "./errors.js";
-import { createProxyReader } from "./proxies.js";
+import { createProxyHttpClient } from "./proxy-client.js";
 
 /** How far the health port stands above the peer port, in the example settings. */
 export const defaultHealthOffset = 2000;
@@ -15,18 +15,18 @@
 
 /** Creates the context of a command that runs on this machine. */
 export function createContext(flags: Flags): CommandContext & Disposable {
-  const opened = openStore(flags.platform ?? process.env[platformVariable]);
+  const opened = createLazyStore(flags.platform ?? process.env[platformVariable]);
   return {
     store: opened.store,
-    proxies: createProxyReader(),
-    given: [flags.proxy ?? []].flat().map(readAddress),
+    proxies: createProxyHttpClient(),
+    givenProxies: [flags.proxy ?? []].flat().map(parseProxyAddress),
     healthOffset: flags.healthOffset ?? defaultHealthOffset,
     clock: createSystemClock(),
     random: createSystemRandom(),
     json: flags.json === true,
     readFile: (path) => readFile(path, "utf8"),
     writeFile: (path, text) => writeFile(path, text),
-    makeChangeId: randomUUID,
+    createChangeId: randomUUID,
     print: (text) => {
       console.log(text);
     },
@@ -35,7 +35,7 @@
 }
 
 /** Opens the store at its first use: `check` and `status --proxy` need none. */
-function openStore(url: string | undefined): {
+function createLazyStore(url: string | undefined): {
   readonly store: ObjectStore;
   readonly dispose: () => void | Promise<void>;
 } {
@@ -62,7 +62,7 @@
   };
 }
 
-function readAddress(text: string): Address {
+function parseProxyAddress(text: string): Address {
   const address = parseAddress(text);
   if (address === undefined) throw new UsageError(`--proxy must be IP:PORT, not ${text}`);
   return address;
--- a/src/command/diff.ts
+++ b/src/command/diff.ts
@@ -1,13 +1,13 @@
 import { formatChange, listChanges } from "./changes.js";
 import { printResult, type CommandContext } from "./context.js";
-import { readCurrent } from "./current.js";
-import { exitCodes, type ExitCode } from "./exit.js";
+import { readStoredConfiguration } from "./stored.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
 import { readConfigurationFile } from "./file.js";
 
 /** Shows what applying a file would change. */
 export async function runDiff(context: CommandContext, path: string): Promise<ExitCode> {
   const { file } = await readConfigurationFile(context, path);
-  const stored = await readCurrent(context);
+  const stored = await readStoredConfiguration(context);
   const changes = listChanges(stored ?? { teams: [], rules: [] }, file);
   const revision = stored?.revision ?? 0;
   const text = changes.length === 0 ? `same as revision ${revision}` : changes.map(formatChange);
--- a/src/command/errors.ts
+++ b/src/command/errors.ts
@@ -1,5 +1,5 @@
 import ModernError from "modern-errors";
-import { exitCodes, type ExitCode } from "./exit.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
 
 /** An error that ends a command with an exit code of its own. */
 export type CommandFailure = Error & { readonly exitCode: ExitCode };
--- a/src/command/exit.ts
+++ b/src/command/exit-codes.ts
@@ -15,7 +15,7 @@
 export type ExitCode = (typeof exitCodes)[keyof typeof exitCodes];
 
 /** What each exit code says, for `--help`. */
-export const exitHelp = `  0  done
+export const exitCodeHelp = `  0  done
   1  unexpected error
   2  wrong arguments
   3  the file has faults
--- a/src/command/explain.ts
+++ b/src/command/explain.ts
@@ -3,9 +3,9 @@
 import { formatDuration } from "../settings/index.js";
 import { classifyStatement, loadParser } from "../sql/index.js";
 import { printResult, type CommandContext } from "./context.js";
-import { readCurrent } from "./current.js";
+import { readStoredConfiguration } from "./stored.js";
 import { UsageError } from "./errors.js";
-import { exitCodes, type ExitCode } from "./exit.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
 import { readConfigurationFile } from "./file.js";
 
 /** Flags of `explain`. */
@@ -25,7 +25,7 @@
 /** Tells which rule a request meets, and why not those before it. */
 export async function runExplain(context: CommandContext, flags: ExplainFlags): Promise<ExitCode> {
   const configuration = await findConfiguration(context, flags);
-  const traits = await buildTraits(flags, configuration);
+  const traits = await buildRequestTraits(flags, configuration);
   const { decided, isDefault, findings } = explainMatch(configuration, traits);
   const lines = [
     `request: ${formatTraits(traits)}`,
@@ -43,16 +43,19 @@
   { file: path }: ExplainFlags,
 ): Promise<Configuration> {
   const none = { revision: 0, changeId: "", teams: [], rules: [] };
-  if (path === undefined) return (await readCurrent(context)) ?? none;
+  if (path === undefined) return (await readStoredConfiguration(context)) ?? none;
   const { file } = await readConfigurationFile(context, path);
   return { ...none, teams: file.teams, rules: file.rules };
 }
 
-async function buildTraits(flags: ExplainFlags, { teams }: Configuration): Promise<RequestTraits> {
+async function buildRequestTraits(
+  flags: ExplainFlags,
+  { teams }: Configuration,
+): Promise<RequestTraits> {
   if (flags.team === undefined) throw new UsageError("give the caller's --team");
   const team = teams.find(({ name }) => name === flags.team);
   if (team === undefined) throw new UsageError(`no team ${flags.team} is in the roster`);
-  const { effect, tables } = await findStatement(flags);
+  const { effect, tables } = await getEffectAndTables(flags);
   return {
     group: flags.group ?? "",
     team: team.name,
@@ -64,7 +67,7 @@
   };
 }
 
-async function findStatement(
+async function getEffectAndTables(
   flags: ExplainFlags,
 ): Promise<Pick<RequestTraits, "effect" | "tables">> {
   if (flags.sql !== undefined) {
@@ -89,13 +92,13 @@
     case "decides":
       return `  ${finding.rule}: matches`;
     case "differs":
-      return `  ${finding.rule}: ${finding.part} is ${show(finding.found)}, wanted ${show(finding.wanted)}`;
+      return `  ${finding.rule}: ${finding.part} is ${formatValue(finding.found)}, wanted ${formatValue(finding.wanted)}`;
     case "notAsked":
       return `  ${finding.rule}: not asked`;
   }
 }
 
-function show(value: unknown): string {
+function formatValue(value: unknown): string {
   return Array.isArray(value) ? value.map(String).join(" or ") : String(value);
 }
 
--- a/src/command/file.ts
+++ b/src/command/file.ts
@@ -8,7 +8,7 @@
 import { FaultyFileError, UsageError } from "./errors.js";
 
 /** The operators' file with its warnings. */
-export interface ReadFile {
+export interface ConfigurationFileContent {
   readonly file: ConfigurationFile;
   readonly warnings: readonly SettingsFault[];
 }
@@ -17,7 +17,7 @@
 export async function readConfigurationFile(
   context: CommandContext,
   path: string,
-): Promise<ReadFile> {
+): Promise<ConfigurationFileContent> {
   const loaded = loadConfigurationFile(await readText(context, path), path);
   if (loaded.type === "faulty") {
     throw new FaultyFileError(loaded.faults.map(formatFault).join("\n"));
--- a/src/command/get.ts
+++ b/src/command/get.ts
@@ -1,7 +1,7 @@
 import { renderConfigurationFile } from "../settings/index.js";
 import { printResult, type CommandContext } from "./context.js";
-import { readCurrent } from "./current.js";
-import { exitCodes, type ExitCode } from "./exit.js";
+import { readStoredConfiguration } from "./stored.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
 
 /** Flags of `get`. */
 export interface GetFlags {
@@ -11,7 +11,7 @@
 
 /** Prints the configuration, or writes it to a file, with the revision that an edit starts from. */
 export async function runGet(context: CommandContext, flags: GetFlags): Promise<ExitCode> {
-  const stored = await readCurrent(context);
+  const stored = await readStoredConfiguration(context);
   const { revision, teams, rules } = stored ?? { revision: 0, teams: [], rules: [] };
   const text = renderConfigurationFile({ revision, teams, rules });
   if (flags.output === undefined) {
--- a/src/command/program.ts
+++ b/src/command/program.ts
@@ -6,13 +6,13 @@
 import { runDiff } from "./diff.js";
 import { runDrain } from "./drain.js";
 import { toCommandFailure } from "./errors.js";
-import { exitCodes, exitHelp, type ExitCode } from "./exit.js";
+import { exitCodes, exitCodeHelp, type ExitCode } from "./exit-codes.js";
 import { runExplain, type ExplainFlags } from "./explain.js";
 import { runGet, type GetFlags } from "./get.js";
 import { runStatus } from "./status.js";
 
 /** Opens what a command works on. */
-export type ContextOpener = (flags: Flags) => CommandContext & Disposable;
+export type ContextFactory = (flags: Flags) => CommandContext & Disposable;
 
 /** The flags of all commands: the parser lets a command have only its own. */
 type AnyFlags = Flags & ApplyFlags & ExplainFlags & GetFlags;
@@ -31,10 +31,10 @@
  */
 export async function runProgram(
   argv: readonly string[],
-  openContext: ContextOpener,
+  createContext: ContextFactory,
   printError: (text: string) => void,
 ): Promise<ExitCode> {
-  const cli = buildProgram(openContext);
+  const cli = buildProgram(createContext);
   try {
     cli.parse([...argv], { run: false });
     if (cli.options.help === true || cli.options.version === true) return exitCodes.done;
@@ -54,9 +54,10 @@
   return exitCode;
 }
 
-function buildProgram(openContext: ContextOpener): CAC {
+function buildProgram(createContext: ContextFactory): CAC {
   const cli = cac("radishwalk");
-  const on = (command: Command, run: CommandRunner) => command.action(makeAction(openContext, run));
+  const on = (command: Command, run: CommandRunner) =>
+    command.action(createAction(createContext, run));
 
   on(
     cli
@@ -108,14 +109,14 @@
   cli.option("--proxy <address>", "A proxy's health address, in place of the platform's list");
   cli.option("--health-offset <ports>", "Health port above the peer port (2000)");
   cli.option("--json", "Print JSON");
-  cli.help((sections) => [...sections, { title: "Exit codes", body: exitHelp }]);
+  cli.help((sections) => [...sections, { title: "Exit codes", body: exitCodeHelp }]);
 }
 
-function makeAction(openContext: ContextOpener, run: CommandRunner) {
+function createAction(createContext: ContextFactory, run: CommandRunner) {
   return async (...given: readonly unknown[]): Promise<ExitCode> => {
     const flags = given.at(-1) as AnyFlags;
     const argument = given.length > 1 ? String(given[0]) : "";
-    const context = openContext(flags);
+    const context = createContext(flags);
     try {
       return await run(context, flags, argument);
     } finally {
--- a/src/command/proxies.ts
+++ b/src/command/proxy-client.ts
@@ -5,7 +5,7 @@
 import { formatAddress } from "../settings/index.js";
 import { parseReport, type ProxyReport } from "../report/index.js";
 
-const timeoutMs = 2000;
+const requestTimeoutMs = 2000;
 
 /** What a proxy's `/health` says. */
 export interface ProxySummary {
@@ -14,19 +14,19 @@
 }
 
 /** Reads and asks proxies at their health addresses. `undefined` from one that can't be reached. */
-export interface ProxyReader {
+export interface ProxyHttpClient {
   readSummary(address: Address): Promise<ProxySummary | undefined>;
   readReport(address: Address): Promise<ProxyReport | undefined>;
   /** The configuration that it has in force. */
   readConfiguration(address: Address): Promise<Configuration | undefined>;
   /** Asks it to drain; whether it took that. */
-  drain(address: Address): Promise<boolean>;
+  requestDrain(address: Address): Promise<boolean>;
 }
 
 const summary = z.object({ vm: z.string(), revision: z.int() });
 
 /** Creates a reader over HTTP. */
-export function createProxyReader(): ProxyReader {
+export function createProxyHttpClient(): ProxyHttpClient {
   return {
     readSummary: async (address) => summary.safeParse(await fetchJson(address, "/health")).data,
     readReport: async (address) => {
@@ -38,7 +38,7 @@
       const update = body === undefined ? undefined : decodeMessage(body)?.update;
       return update?.type === "whole" ? update.configuration : undefined;
     },
-    drain: async (address) => (await fetchJson(address, "/drain", "POST")) !== undefined,
+    requestDrain: async (address) => (await fetchJson(address, "/drain", "POST")) !== undefined,
   };
 }
 
@@ -50,9 +50,9 @@
   try {
     const answer = await request(`http://${formatAddress(address)}${path}`, {
       method,
-      headersTimeout: timeoutMs,
-      bodyTimeout: timeoutMs,
-      signal: AbortSignal.timeout(timeoutMs),
+      headersTimeout: requestTimeoutMs,
+      bodyTimeout: requestTimeoutMs,
+      signal: AbortSignal.timeout(requestTimeoutMs),
     });
     const body = (await answer.body.json()) as Json;
     return answer.statusCode < 300 ? body : undefined;
--- a/src/command/status.ts
+++ b/src/command/status.ts
@@ -1,20 +1,20 @@
 import { printResult, type CommandContext } from "./context.js";
 import { UnavailableError } from "./errors.js";
-import { exitCodes, type ExitCode } from "./exit.js";
-import { findPlaces } from "./places.js";
+import { exitCodes, type ExitCode } from "./exit-codes.js";
+import { listProxyEndpoints } from "./endpoints.js";
 import type { ProxyReport } from "../report/index.js";
 import { formatTable } from "./table.js";
 
-interface Row {
+interface ProxyRow {
   readonly name: string;
   readonly report?: ProxyReport;
 }
 
 /** Shows the proxies with the revision in force on each, and the groups with owners and targets. */
 export async function runStatus(context: CommandContext): Promise<ExitCode> {
-  const places = await findPlaces(context);
+  const places = await listProxyEndpoints(context);
   const rows = await Promise.all(
-    places.map(async ({ name, health }): Promise<Row> => {
+    places.map(async ({ name, health }): Promise<ProxyRow> => {
       const report = await context.proxies.readReport(health);
       return report === undefined ? { name } : { name: report.vm, report };
     }),
@@ -27,7 +27,7 @@
   return exitCodes.done;
 }
 
-function formatProxies(rows: readonly Row[], reports: readonly ProxyReport[]): string {
+function formatProxies(rows: readonly ProxyRow[], reports: readonly ProxyReport[]): string {
   const head = ["proxy", "data centre", "state", "revision", "callers", "owns", "held for"];
   const lines = rows.map(({ name, report }) => [
     name,
@@ -36,13 +36,13 @@
     String(report?.revision ?? ""),
     String(report?.callers ?? ""),
     String(report?.groups.length ?? ""),
-    describeStanding(name, reports),
+    describeStatusSeenByOthers(name, reports),
   ]);
   return formatTable(head, lines);
 }
 
 /** What the other proxies hold of one, where they don't all say alive. */
-function describeStanding(name: string, reports: readonly ProxyReport[]): string {
+function describeStatusSeenByOthers(name: string, reports: readonly ProxyReport[]): string {
   const said = reports
     .filter(({ vm }) => vm !== name)
     .map(({ members }) => members.find((m) => m.name === name)?.status ?? "unknown");
--- a/src/command/current.ts
+++ b/src/command/stored.ts
@@ -4,7 +4,7 @@
 import { FaultyFileError, UnavailableError } from "./errors.js";
 
 /** Reads what the store holds; nothing when no configuration was ever applied. */
-export async function readCurrent(
+export async function readStoredConfiguration(
   context: CommandContext,
 ): Promise<StoredConfiguration | undefined> {
   const read = await new ConfigurationEditor(context).readCurrent();
--- a/src/direct/autocommit.ts
+++ b/src/direct/autocommit.ts
@@ -246,7 +246,7 @@
 function giveUp(context: SessionContext, work: Work, state: AttemptState): StatementResult {
   const { logger } = context.ports;
   const { attempts: tries, lastReason } = state;
-  logger.write(directEvents.givenUp, { id: work.id, session: context.session, tries, lastReason });
+  logger.write(directEvents.timedOut, { id: work.id, session: context.session, tries, lastReason });
   const reason = `no result after ${tries} attempts; last failure: ${lastReason}`;
   return { reply: failLocally("busy", describeRefusal(reason, outOfTimeRetryMs), "idle") };
 }
--- a/src/direct/callers.ts
+++ b/src/direct/callers.ts
@@ -222,7 +222,11 @@
     const session = new DirectSession({ id, database, key, ports, groups, runner, nextId });
     if (!session.isAllowed) {
       const { revision } = ports.getServingConfig();
-      ports.logger.write(directEvents.keyUnknown, { session: id, key: digestKey(key), revision });
+      ports.logger.write(directEvents.callerKeyUnknown, {
+        session: id,
+        key: digestKey(key),
+        revision,
+      });
       this.rejectAndClose(failLocally("denied", deniedReason, "idle"));
       return;
     }
--- a/src/fleet/configuration.ts
+++ b/src/fleet/configuration.ts
@@ -107,7 +107,7 @@
   /** Takes a peer's push and gives the revision that is then in force here. */
   receive(json: Json): number {
     const message = decodeMessage(json);
-    if (message === undefined) this.options.logger.write(fleetEvents.configurationFaulty);
+    if (message === undefined) this.options.logger.write(fleetEvents.configurationInvalid);
     else this.offer(message.update, message.from);
     return this.state.inForce.revision;
   }
@@ -171,7 +171,8 @@
 
   private noteAlarm(alarm: ConfigurationAlarm): void {
     const { type, ...fields } = alarm;
-    const event = type === "storeReverted" ? fleetEvents.storeReverted : fleetEvents.revisionClash;
+    const event =
+      type === "storeReverted" ? fleetEvents.storeReverted : fleetEvents.revisionConflict;
     this.options.logger.write(event, fields);
   }
 
@@ -203,7 +204,7 @@
     if (answer.type !== "found") return false;
     const message = decodeMessage(answer.value);
     if (message === undefined) {
-      logger.write(fleetEvents.configurationFaulty, { vm: vm.name });
+      logger.write(fleetEvents.configurationInvalid, { vm: vm.name });
       return false;
     }
     this.offer(message.update, vm.name);
--- a/src/fleet/drain.ts
+++ b/src/fleet/drain.ts
@@ -69,14 +69,14 @@
     const { logger, onAnnounce, onRefuseNew } = this.options;
     switch (effect.type) {
       case "announce":
-        logger.write(processEvents.drainAsked);
+        logger.write(processEvents.drainRequested);
         onAnnounce();
         return;
       case "refuseNew":
         onRefuseNew();
         return;
       case "cutOff":
-        logger.write(processEvents.drainCutOff, {
+        logger.write(processEvents.drainTimedOut, {
           inFlight: effect.inFlight,
           ...this.options.describeInFlight?.(),
         });
--- a/src/fleet/reader.ts
+++ b/src/fleet/reader.ts
@@ -43,7 +43,7 @@
     this.noteUp();
     const stored = decodeStored(object.value);
     if (stored === undefined) {
-      this.options.logger.write(fleetEvents.configurationFaulty, { version: object.version });
+      this.options.logger.write(fleetEvents.configurationInvalid, { version: object.version });
       return;
     }
     const { revision, changeId, teams, rules } = stored;
@@ -61,7 +61,7 @@
   }
 
   onBroken(reason: string): void {
-    this.options.logger.write(fleetEvents.watchBroken, { reason });
+    this.options.logger.write(fleetEvents.watchFailed, { reason });
   }
 
   private noteUp(): void {
--- a/src/gateway/connections.ts
+++ b/src/gateway/connections.ts
@@ -37,7 +37,7 @@
 
   /** Records that a gateway failed or refused a statement; others are preferred for a while. */
   recordFailure(vm: string, reason: string): void {
-    this.ports.logger.write(gatewayEvents.passedOver, { gateway: vm, reason });
+    this.ports.logger.write(gatewayEvents.avoided, { gateway: vm, reason });
     this.health.set(vm, recordGatewayFailure(this.health.get(vm), this.ports.clock.now()));
   }
 
--- a/src/gateway/served.ts
+++ b/src/gateway/served.ts
@@ -126,7 +126,9 @@
   /** On a fault of this program, closes the connection; the node counts its pending calls as in doubt. */
   private superviseRun(run: Promise<void>): void {
     run.catch((error: unknown) => {
-      this.ports.direct.logger.write(gatewayEvents.servedBroken, { reason: String(error) });
+      this.ports.direct.logger.write(gatewayEvents.servedStatementFailed, {
+        reason: String(error),
+      });
       this.channel.close("running a statement failed with an internal error");
     });
   }
@@ -290,7 +292,7 @@
   }
 
   private refuse(call: number, reason: string): void {
-    this.ports.direct.logger.write(gatewayEvents.turnedAway, { reason });
+    this.ports.direct.logger.write(gatewayEvents.statementRefused, { reason });
     this.send(call, { case: "turnedAway", value: reason });
   }
 
@@ -305,7 +307,7 @@
     this.liveness.stop();
     for (const abort of this.calls.values()) abort.abort();
     for (const id of [...this.transactions.keys()]) this.endTransaction(id);
-    this.ports.direct.logger.write(gatewayEvents.servedClosed, { reason });
+    this.ports.direct.logger.write(gatewayEvents.servedConnectionClosed, { reason });
     this.onEnd();
   }
 }
--- a/src/leadership/changer.ts
+++ b/src/leadership/changer.ts
@@ -106,7 +106,7 @@
     this.changingGroups.add(group);
     void this.runChange(group, oldTarget, suspicion)
       .catch((error: unknown) => {
-        this.ports.logger.write(leadershipEvents.changeBarred, { group, reason: String(error) });
+        this.ports.logger.write(leadershipEvents.changePrevented, { group, reason: String(error) });
       })
       .finally(() => {
         this.changingGroups.delete(group);
@@ -127,7 +127,11 @@
     if (reach !== undefined) {
       const decision = decideChange(suspicion, reach);
       if (decision.type === "keep") {
-        logger.write(leadershipEvents.kept, { group, target: oldTarget, reason: decision.reason });
+        logger.write(leadershipEvents.primaryKept, {
+          group,
+          target: oldTarget,
+          reason: decision.reason,
+        });
         return;
       }
     }
@@ -190,7 +194,7 @@
         break;
       }
     }
-    this.ports.logger.write(leadershipEvents.changeBarred, { group, reason });
+    this.ports.logger.write(leadershipEvents.changePrevented, { group, reason });
     return undefined;
   }
 
@@ -200,7 +204,7 @@
     const outcome = await notifyProxies(this.ports, this.tracker, this.inquirer.listOtherProxies());
     const told = outcome.notifiedAt.length;
     const silent = outcome.unanswered.length;
-    this.ports.logger.write(leadershipEvents.proxiesTold, { version, told, silent });
+    this.ports.logger.write(leadershipEvents.proxiesNotified, { version, told, silent });
     return outcome;
   }
 
@@ -242,7 +246,11 @@
         (chosen !== undefined && orderMarks(chosen.report.received, oldReport.received) >= 0);
       if (isWhole || clock.now() >= until) {
         const positions = candidates.map((c) => `${c.target} ${formatReport(c.report)}`);
-        logger.write(leadershipEvents.chosen, { group, target: chosen?.target ?? null, positions });
+        logger.write(leadershipEvents.candidateChosen, {
+          group,
+          target: chosen?.target ?? null,
+          positions,
+        });
         return chosen?.target;
       }
       await clock.sleep(catchUpPollMs);
--- a/src/leadership/lease.ts
+++ b/src/leadership/lease.ts
@@ -102,7 +102,7 @@
       return { holder: { vm, incarnation }, groups };
     });
     if (written === undefined) {
-      logger.write(leadershipEvents.changeBarred, {
+      logger.write(leadershipEvents.changePrevented, {
         group,
         reason: "another proxy holds the lease or has changed the group",
       });
@@ -110,7 +110,7 @@
     }
     const token = kept ?? written.version;
     this.token = token;
-    logger.write(leadershipEvents.changeBegun, { group, from, round, token });
+    logger.write(leadershipEvents.changeStarted, { group, from, round, token });
     return round;
   }
 
--- a/src/leadership/tracker.ts
+++ b/src/leadership/tracker.ts
@@ -180,7 +180,8 @@
       this.lostLogs.delete(group);
       return;
     }
-    if (known === undefined) this.ports.logger.write(leadershipEvents.logLost, { group, target });
+    if (known === undefined)
+      this.ports.logger.write(leadershipEvents.primaryLostLog, { group, target });
     this.lostLogs.set(group, { target, round });
     this.ports.onContactFailure();
   }
--- a/src/load/settings.ts
+++ b/src/load/settings.ts
@@ -1,13 +1,13 @@
 import { z } from "zod";
 import {
-  checkDocument,
+  validateDocument,
   defineAddress,
   defineCount,
   defineDuration,
   defineName,
   defineObject,
-  openDocument,
-  type Loaded,
+  parseDocumentText,
+  type LoadResult,
 } from "../settings/index.js";
 
 const weight = defineCount("parts", 0, 1_000_000);
@@ -44,6 +44,6 @@
 export type LoadSettings = Readonly<z.output<typeof schema>>;
 
 /** Reads the load tool's YAML. */
-export function loadLoadSettings(text: string, source: string): Loaded<LoadSettings> {
-  return checkDocument(openDocument(text, source), schema);
+export function loadLoadSettings(text: string, source: string): LoadResult<LoadSettings> {
+  return validateDocument(parseDocumentText(text, source), schema);
 }
--- a/src/log/catalogue.ts
+++ b/src/log/catalogue.ts
@@ -4,7 +4,7 @@
 import type { LogEvent } from "./event.js";
 
 /** The parts of the system by the thousands of their events' numbers. */
-export const eventParts: Readonly<Record<number, string>> = {
+export const eventCategories: Readonly<Record<number, string>> = {
   1: "Callers and sessions",
   2: "Owner and execution",
   3: "Failover",
@@ -14,7 +14,7 @@
   7: "Processes and operators",
 };
 
-const partSize = 1000;
+const categorySize = 1000;
 
 /** Loads every event that the files of a folder export, in order of number. */
 export async function loadEvents(folder: string): Promise<readonly LogEvent[]> {
@@ -44,8 +44,8 @@
 
 /** Writes the catalogue page, one table for each part. */
 export function renderCatalogue(events: readonly LogEvent[]): string {
-  const tables = Object.entries(eventParts).map(([part, title]) => {
-    const own = events.filter(({ id }) => Math.floor(id / partSize) === Number(part));
+  const tables = Object.entries(eventCategories).map(([part, title]) => {
+    const own = events.filter(({ id }) => Math.floor(id / categorySize) === Number(part));
     const rows = own.map(
       ({ id, name, level, text }) => `| ${id} | \`${name}\` | ${level} | ${text} |`,
     );
--- a/src/log/events/admission.ts
+++ b/src/log/events/admission.ts
@@ -50,13 +50,13 @@
     level: "info",
     text: "A request is not tried again, with the reason.",
   },
-  repeatAnswered: {
+  recordedAnswerSent: {
     id: 4030,
     name: "repeatAnswered",
     level: "info",
     text: "A repeat under a known idempotency key got the recorded answer.",
   },
-  repeatDiffers: {
+  keyReused: {
     id: 4031,
     name: "repeatDiffers",
     level: "warn",
@@ -80,7 +80,7 @@
     level: "warn",
     text: "A target refused a connection or could not be reached; the next try is later.",
   },
-  connectionSilent: {
+  connectionUnresponsive: {
     id: 4043,
     name: "connectionSilent",
     level: "warn",
--- a/src/log/events/caller.ts
+++ b/src/log/events/caller.ts
@@ -28,13 +28,13 @@
     level: "warn",
     text: "A connection was refused before its session began; the SQLSTATE and reason are given.",
   },
-  dropped: {
+  disconnected: {
     id: 1004,
     name: "callerDropped",
     level: "warn",
     text: "A caller overstepped a limit or broke the protocol and was disconnected.",
   },
-  broken: {
+  proxyFault: {
     id: 1006,
     name: "callerBroken",
     level: "error",
@@ -70,7 +70,7 @@
     level: "info",
     text: "A caller asked to cancel the request it has in flight.",
   },
-  retried: {
+  retriedElsewhere: {
     id: 1014,
     name: "requestRetriedElsewhere",
     level: "info",
--- a/src/log/events/direct.ts
+++ b/src/log/events/direct.ts
@@ -14,7 +14,7 @@
     level: "info",
     text: "A statement was refused before it ran; the reason and the time to come back are given.",
   },
-  givenUp: {
+  timedOut: {
     id: 2102,
     name: "statementGivenUp",
     level: "warn",
@@ -50,7 +50,7 @@
     level: "info",
     text: "A connection got no session: an unknown database, or what it sent can't be read.",
   },
-  keyUnknown: {
+  callerKeyUnknown: {
     id: 2109,
     name: "callerKeyUnknown",
     level: "info",
--- a/src/log/events/fleet.ts
+++ b/src/log/events/fleet.ts
@@ -14,7 +14,7 @@
     level: "debug",
     text: "A peer has a greater configuration revision; it is fetched.",
   },
-  configurationFaulty: {
+  configurationInvalid: {
     id: 5003,
     name: "configurationFaulty",
     level: "error",
@@ -50,7 +50,7 @@
     level: "info",
     text: "This VM no longer relays configuration.",
   },
-  watchBroken: {
+  watchFailed: {
     id: 5009,
     name: "watchBroken",
     level: "warn",
@@ -62,7 +62,7 @@
     level: "info",
     text: "The store did not answer at start; the greatest revision of the peers was taken.",
   },
-  revisionClash: {
+  revisionConflict: {
     id: 5011,
     name: "revisionClash",
     level: "error",
--- a/src/log/events/gateway.ts
+++ b/src/log/events/gateway.ts
@@ -2,25 +2,25 @@
 
 /** Events of statements that one node forwards to another. */
 export const gatewayEvents = {
-  passedOver: {
+  avoided: {
     id: 2120,
     name: "gatewayPassedOver",
     level: "info",
     text: "A gateway could not be reached, fell silent or turned a statement away; others are asked first.",
   },
-  turnedAway: {
+  statementRefused: {
     id: 2121,
     name: "forwardedStatementRefused",
     level: "info",
     text: "A statement that another node forwarded was turned away, unrun, for the reason given.",
   },
-  servedClosed: {
+  servedConnectionClosed: {
     id: 2122,
     name: "servedLinkClosed",
     level: "info",
     text: "Another node's connection has ended; its open transactions are rolled back.",
   },
-  servedBroken: {
+  servedStatementFailed: {
     id: 2123,
     name: "servedStatementBroken",
     level: "error",
--- a/src/log/events/leadership.ts
+++ b/src/log/events/leadership.ts
@@ -32,31 +32,31 @@
     level: "warn",
     text: "A primary may have to be replaced; the other proxies are asked.",
   },
-  logLost: {
+  primaryLostLog: {
     id: 3115,
     name: "primaryLostLog",
     level: "warn",
     text: "A primary has started again without commits that it had acknowledged; it is replaced.",
   },
-  kept: {
+  primaryKept: {
     id: 3105,
     name: "primaryKept",
     level: "info",
     text: "A suspected primary stays; the reason is given.",
   },
-  changeBegun: {
+  changeStarted: {
     id: 3106,
     name: "primaryChangeBegun",
     level: "info",
     text: "This proxy holds the duty and replaces a primary; the token goes with its orders.",
   },
-  changeBarred: {
+  changePrevented: {
     id: 3107,
     name: "primaryChangeBarred",
     level: "info",
     text: "A change could not begin or go on; the reason is given.",
   },
-  proxiesTold: {
+  proxiesNotified: {
     id: 3108,
     name: "proxiesTold",
     level: "info",
@@ -68,7 +68,7 @@
     level: "info",
     text: "The old primary was asked to step back; the position is where its log ended.",
   },
-  chosen: {
+  candidateChosen: {
     id: 3110,
     name: "primaryChosen",
     level: "info",
@@ -86,13 +86,13 @@
     level: "info",
     text: "A new primary serves; the time since the suspicion is given.",
   },
-  storeLost: {
+  storeContactLost: {
     id: 3113,
     name: "storeContactLost",
     level: "warn",
     text: "The platform's store does not answer; the other proxies are asked instead.",
   },
-  storeRegained: {
+  storeContactRegained: {
     id: 3114,
     name: "storeContactRegained",
     level: "info",
--- a/src/log/events/node.ts
+++ b/src/log/events/node.ts
@@ -14,7 +14,7 @@
     level: "warn",
     text: "Teams of a configuration were left out, or keys that two of them hold; the fields are named.",
   },
-  configurationUnread: {
+  configurationUnreadable: {
     id: 5208,
     name: "configurationUnread",
     level: "warn",
@@ -38,19 +38,19 @@
     level: "info",
     text: "This proxy leaves and has taken itself out of the platform's store, if that was done.",
   },
-  missedRemoved: {
+  missedProxyRemoved: {
     id: 5211,
     name: "missedProxyRemoved",
     level: "info",
     text: "The entry of a proxy that did not answer a change of primary, nor say since that it lives.",
   },
-  proxySilent: {
+  listedProxyUnresponsive: {
     id: 5215,
     name: "listedProxySilent",
     level: "info",
     text: "A listed proxy has asked nothing for a while and does not answer; it is marked as missed.",
   },
-  sceneFetched: {
+  servingConfigFetched: {
     id: 5202,
     name: "sceneFetched",
     level: "info",
@@ -62,37 +62,37 @@
     level: "info",
     text: "The targets of a group, their state or their announced roles have changed.",
   },
-  entryRefused: {
+  targetEntryInvalid: {
     id: 5212,
     name: "targetEntryRefused",
     level: "info",
     text: "An entry among the targets is not as targets write it, by the field named; it is passed over.",
   },
-  recordWritten: {
+  targetRecordWritten: {
     id: 5213,
     name: "targetRecordWritten",
     level: "info",
     text: "What is known of a group's targets was written down for processes that start later.",
   },
-  targetsRecalled: {
+  recordedTargetsUsed: {
     id: 5214,
     name: "targetsRecalled",
     level: "info",
     text: "Targets whose entries are missing are used as they were last written down, for a while.",
   },
-  settingsRead: {
+  settingsReloaded: {
     id: 5204,
     name: "settingsReadAgain",
     level: "info",
     text: "The settings file was read again; what can change without a restart is in force.",
   },
-  settingsKept: {
+  settingsInvalid: {
     id: 5205,
     name: "settingsKept",
     level: "error",
     text: "The changed settings have faults; the ones before stay in force.",
   },
-  targetSilent: {
+  targetUnanswered: {
     id: 5207,
     name: "targetUnanswered",
     level: "info",
--- a/src/log/events/owner.ts
+++ b/src/log/events/owner.ts
@@ -32,13 +32,13 @@
     level: "warn",
     text: "A write committed but no majority confirmed it; the caller hears that it may have run.",
   },
-  answerRepeated: {
+  recordedAnswerSent: {
     id: 2006,
     name: "answerRepeated",
     level: "info",
     text: "A repeat of a keyed write got the recorded answer and did not run.",
   },
-  keyMisused: {
+  keyReused: {
     id: 2007,
     name: "keyMisused",
     level: "warn",
@@ -56,13 +56,13 @@
     level: "info",
     text: "This process no longer serves a group and closed its connections.",
   },
-  groupsUnknown: {
+  groupsUnreadable: {
     id: 2010,
     name: "groupsUnknown",
     level: "warn",
     text: "The platform's list of groups could not be read; the last one known stays in use.",
   },
-  conversationRefused: {
+  requestRefused: {
     id: 2011,
     name: "conversationRefused",
     level: "info",
--- a/src/log/events/peer.ts
+++ b/src/log/events/peer.ts
@@ -10,19 +10,19 @@
     level: "info",
     text: "The proxy serves its peers.",
   },
-  turnedAway: {
+  peerRejected: {
     id: 6501,
     name: "peerTurnedAway",
     level: "warn",
     text: "A process without a valid certificate tried to connect as a peer.",
   },
-  callBroken: {
+  callFailed: {
     id: 6502,
     name: "peerCallBroken",
     level: "debug",
     text: "A peer's call could not be answered to its end, mostly since the peer gave it up.",
   },
-  directSilent: {
+  directCallTimedOut: {
     id: 6503,
     name: "directPeerSilent",
     level: "info",
@@ -34,7 +34,7 @@
     level: "info",
     text: "Certificates were read; connections to come use them.",
   },
-  certificatesUnreadable: {
+  certificatesInvalid: {
     id: 6511,
     name: "certificatesUnreadable",
     level: "error",
--- a/src/log/events/process.ts
+++ b/src/log/events/process.ts
@@ -14,7 +14,7 @@
     level: "info",
     text: "The configuration is known; the process is ready.",
   },
-  drainAsked: {
+  drainRequested: {
     id: 7003,
     name: "drainAsked",
     level: "info",
@@ -26,13 +26,13 @@
     level: "info",
     text: "Nothing is in flight any more; the process ends.",
   },
-  drainCutOff: {
+  drainTimedOut: {
     id: 7005,
     name: "drainCutOff",
     level: "error",
     text: "The longest wait for a drain is over with requests in flight.",
   },
-  settingsFaulty: {
+  settingsInvalid: {
     id: 7006,
     name: "settingsFaulty",
     level: "error",
@@ -44,7 +44,7 @@
     level: "info",
     text: "keys and certificates were read",
   },
-  certificatesFaulty: {
+  certificatesInvalid: {
     id: 7008,
     name: "certificates-faulty",
     level: "error",
@@ -62,7 +62,7 @@
     level: "error",
     text: "An error that nothing handled; the process goes on.",
   },
-  endForced: {
+  exitForced: {
     id: 7011,
     name: "endForced",
     level: "error",
--- a/src/log/events/target.ts
+++ b/src/log/events/target.ts
@@ -2,25 +2,25 @@
 
 /** Events of targets, platform and their clients, 6000 to 6999. */
 export const targetEvents = {
-  opened: {
+  connectionOpened: {
     id: 6001,
     name: "targetConnectionOpened",
     level: "debug",
     text: "A connection to a target was opened.",
   },
-  openFailed: {
+  connectionFailed: {
     id: 6002,
     name: "targetConnectionFailed",
     level: "warn",
     text: "No connection to a target could be opened; the reason is given.",
   },
-  broken: {
+  connectionBroken: {
     id: 6003,
     name: "targetConnectionBroken",
     level: "info",
     text: "A connection to a target ended within an exchange: it broke, made no progress or was abandoned.",
   },
-  unreachable: {
+  controlUnreachable: {
     id: 6004,
     name: "targetControlUnreachable",
     level: "info",
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -2,7 +2,7 @@
 
 const flushBytes = 4096;
 const flushIntervalMs = 500;
-const maxWaitingBytes = 16 * 1024 * 1024;
+const maxBufferedBytes = 16 * 1024 * 1024;
 const retryMs = 10;
 const maxRetries = 50;
 
@@ -13,27 +13,27 @@
  * can't be written is dropped and every wait has a bound, so that an end is always reached.
  */
 export class LogOutput {
-  private waiting: string[] = [];
-  private waitingBytes = 0;
+  private buffered: string[] = [];
+  private bufferedBytes = 0;
   private isWriting = false;
   private isBroken = false;
   private timer: NodeJS.Timeout | undefined;
-  private readonly idle: (() => void)[] = [];
+  private readonly idleListeners: (() => void)[] = [];
 
   constructor(private readonly descriptor: number) {}
 
   /** Takes a line. It is dropped when the reader is gone, or far behind. */
   write(text: string): void {
-    if (this.isBroken || this.waitingBytes > maxWaitingBytes) return;
-    this.waiting.push(text);
-    this.waitingBytes += text.length;
-    if (this.waitingBytes >= flushBytes) this.writeNext();
+    if (this.isBroken || this.bufferedBytes > maxBufferedBytes) return;
+    this.buffered.push(text);
+    this.bufferedBytes += text.length;
+    if (this.bufferedBytes >= flushBytes) this.writeNext();
     else this.timer ??= setTimeout(() => this.writeNext(), flushIntervalMs).unref();
   }
 
   /** Writes out all that waits, at once; for the process's end. */
   flushSync(): void {
-    const rest = Buffer.from(this.takeWaiting());
+    const rest = Buffer.from(this.takeBuffered());
     let done = 0;
     for (let tries = 0; done < rest.length && tries < maxRetries; tries += 1) {
       const written = this.tryWrite(rest.subarray(done));
@@ -45,12 +45,12 @@
   }
 
   /** Resolves when all that was taken is written or dropped, or after `ms`. */
-  async finish(ms: number): Promise<void> {
+  async finish(timeoutMs: number): Promise<void> {
     this.writeNext();
     if (!this.isWriting) return;
     await new Promise<void>((resolve) => {
-      const timer = setTimeout(resolve, ms);
-      this.idle.push(() => {
+      const timer = setTimeout(resolve, timeoutMs);
+      this.idleListeners.push(() => {
         clearTimeout(timer);
         resolve();
       });
@@ -59,9 +59,9 @@
 
   private writeNext(): void {
     if (this.isWriting) return;
-    const bytes = Buffer.from(this.takeWaiting());
+    const bytes = Buffer.from(this.takeBuffered());
     if (bytes.length === 0) {
-      for (const resolve of this.idle.splice(0)) resolve();
+      for (const resolve of this.idleListeners.splice(0)) resolve();
       return;
     }
     this.isWriting = true;
@@ -90,12 +90,12 @@
     }
   }
 
-  private takeWaiting(): string {
+  private takeBuffered(): string {
     clearTimeout(this.timer);
     this.timer = undefined;
-    const text = this.isBroken ? "" : this.waiting.join("");
-    this.waiting = [];
-    this.waitingBytes = 0;
+    const text = this.isBroken ? "" : this.buffered.join("");
+    this.buffered = [];
+    this.bufferedBytes = 0;
     return text;
   }
 }
--- a/src/log/pino.ts
+++ b/src/log/pino.ts
@@ -3,13 +3,13 @@
 import type { Level, LogEvent, LogFields, Logger } from "./event.js";
 import { LogOutput } from "./output.js";
 
-const finishMs = 1000;
-const standardOutput = 1;
+const finishTimeoutMs = 1000;
+const standardOutputDescriptor = 1;
 
 /** A destination that can be emptied at once, as pino's own. */
 export interface LogDestination extends DestinationStream {
   flushSync?(): void;
-  finish?(ms: number): Promise<void>;
+  finish?(timeoutMs: number): Promise<void>;
 }
 
 /** How a `PinoLogger` writes. */
@@ -33,7 +33,7 @@
   };
 
   constructor(options: PinoLoggerOptions) {
-    this.destination = options.destination ?? new LogOutput(standardOutput);
+    this.destination = options.destination ?? new LogOutput(standardOutputDescriptor);
     this.pino = pino(
       { level: options.level, base: options.base, timestamp: pino.stdTimeFunctions.isoTime },
       this.destination,
@@ -53,7 +53,7 @@
 
   /** Resolves when what is still in memory is written, or after a second. */
   async finish(): Promise<void> {
-    await this.destination.finish?.(finishMs);
+    await this.destination.finish?.(finishTimeoutMs);
   }
 
   dispose(): void {
--- a/src/log/bounded.ts
+++ b/src/log/rate-limited.ts
@@ -2,17 +2,17 @@
 import { directEvents } from "./events/direct.js";
 
 /** Lines a second, and how many may come at once: three times a heavy day's usual rate. */
-const linesPerSecond = 150;
-const burstLines = 600;
-const reportMs = 5000;
+const maxLinesPerSecond = 150;
+const maxBurstLines = 600;
+const reportIntervalMs = 5000;
 
 /**
  * Bounds the lines of levels below `warn`. A flood of requests would else spend the processor on
  * telling of itself; what is dropped is counted, and the count is a line of its own.
  */
-export class BoundedLogger implements Logger {
-  private tokens = burstLines;
-  private filledAt: number;
+export class RateLimitedLogger implements Logger {
+  private tokens = maxBurstLines;
+  private refilledAt: number;
   private dropped = 0;
   private reportedAt: number;
 
@@ -20,8 +20,8 @@
     private readonly inner: Logger,
     private readonly now: () => number,
   ) {
-    this.filledAt = now();
-    this.reportedAt = this.filledAt;
+    this.refilledAt = now();
+    this.reportedAt = this.refilledAt;
   }
 
   get droppedLines(): number {
@@ -32,7 +32,7 @@
     const isImportant = event.level === "warn" || event.level === "error";
     if (!isImportant && !this.takeToken()) {
       this.dropped += 1;
-      this.report();
+      this.reportDropped();
       return;
     }
     this.inner.write(event, fields);
@@ -40,17 +40,17 @@
 
   private takeToken(): boolean {
     const now = this.now();
-    const gained = ((now - this.filledAt) / 1000) * linesPerSecond;
-    this.tokens = Math.min(burstLines, this.tokens + gained);
-    this.filledAt = now;
+    const gained = ((now - this.refilledAt) / 1000) * maxLinesPerSecond;
+    this.tokens = Math.min(maxBurstLines, this.tokens + gained);
+    this.refilledAt = now;
     if (this.tokens < 1) return false;
     this.tokens -= 1;
     return true;
   }
 
-  private report(): void {
+  private reportDropped(): void {
     const now = this.now();
-    if (now - this.reportedAt < reportMs) return;
+    if (now - this.reportedAt < reportIntervalMs) return;
     this.reportedAt = now;
     this.inner.write(directEvents.linesDropped, { dropped: this.dropped });
   }
--- a/src/metric/health.ts
+++ b/src/metric/health.ts
@@ -6,8 +6,8 @@
 /** What readiness depends on. */
 export interface HealthState {
   /** A configuration of the store or a peer is in force. */
-  readonly configurationKnown: boolean;
-  readonly leaving: boolean;
+  readonly isConfigurationKnown: boolean;
+  readonly isLeaving: boolean;
 }
 
 /** What a `HealthServer` shows. */
@@ -15,13 +15,13 @@
   readonly metrics: Metrics;
   getState(): HealthState;
   /** A few words of itself on `/health`, such as its VM and the revision in force. */
-  summarise?(): Readonly<Record<string, Json>>;
+  getSummary?(): Readonly<Record<string, Json>>;
   /** What the process says of itself to operators, on `/report`. */
-  report(): Json | Promise<Json>;
+  getReport(): Json | Promise<Json>;
   /** The configuration in force, on `/configuration`; `undefined` while none is known. */
-  configuration?(): Json | undefined;
+  getConfiguration?(): Json | undefined;
   /** Begins a drain, on `POST /drain`; absent where the process does not take it over HTTP. */
-  drain?(): void;
+  startDrain?(): void;
 }
 
 interface Reply {
@@ -80,17 +80,17 @@
       case "GET /metrics":
         return { status: 200, type: metrics.contentType, body: await metrics.render() };
       case "GET /health":
-        return replyJson(200, { status: "alive", ...this.options.summarise?.() });
+        return replyJson(200, { status: "alive", ...this.options.getSummary?.() });
       case "GET /ready":
         return this.replyReadiness();
       case "GET /report":
-        return replyJson(200, await this.options.report());
+        return replyJson(200, await this.options.getReport());
       case "GET /configuration":
         return this.replyConfiguration();
       case "POST /drain":
-        if (this.options.drain === undefined)
+        if (this.options.startDrain === undefined)
           return replyJson(404, { error: "no drain over HTTP here" });
-        this.options.drain();
+        this.options.startDrain();
         return replyJson(202, { status: "draining" });
       default:
         return replyJson(404, { error: "no such page" });
@@ -98,16 +98,16 @@
   }
 
   private replyConfiguration(): Reply {
-    const configuration = this.options.configuration?.();
+    const configuration = this.options.getConfiguration?.();
     if (configuration === undefined) return replyJson(404, { error: "no configuration is known" });
     return replyJson(200, configuration);
   }
 
   private replyReadiness(): Reply {
-    const { configurationKnown, leaving } = this.options.getState();
+    const { isConfigurationKnown, isLeaving } = this.options.getState();
     const reasons = [
-      ...(configurationKnown ? [] : ["no configuration is known"]),
-      ...(leaving ? ["leaving"] : []),
+      ...(isConfigurationKnown ? [] : ["no configuration is known"]),
+      ...(isLeaving ? ["leaving"] : []),
     ];
     return reasons.length === 0
       ? replyJson(200, { status: "ready" })
--- a/src/metric/metrics.ts
+++ b/src/metric/metrics.ts
@@ -8,11 +8,11 @@
   type Priority,
   type Verdict,
 } from "../model/index.js";
-import { LabelBound } from "./bound.js";
+import { LabelLimiter } from "./label-limiter.js";
 
-const maxGroups = 200;
-const waitBuckets = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10];
-const gapBuckets = [0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 18, 30, 60];
+const maxGroupLabels = 200;
+const waitBucketsSeconds = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10];
+const gapBucketsSeconds = [0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 18, 30, 60];
 
 /** How one request ended. */
 export interface RequestSample {
@@ -25,8 +25,8 @@
 /** One failover as its owner saw it, in seconds. */
 export interface FailoverSample {
   readonly group: string;
-  readonly gap: number;
-  readonly phases: Readonly<Record<"detect" | "fence" | "promote" | "firstWrite", number>>;
+  readonly gapSeconds: number;
+  readonly phaseSeconds: Readonly<Record<"detect" | "fence" | "promote" | "firstWrite", number>>;
 }
 
 /** The states of a connection to a target. */
@@ -57,20 +57,20 @@
  * wakes 99 times and takes 9.2 ms of processor time in each second, at this 3 times and 0.7 ms (by its own
  * accounts over 5 s). A node may spend 12 ms on all of control.
  */
-const loopSampleMs = 1000;
+const eventLoopSampleMs = 1000;
 
 /** Creates a process's metrics on a registry of their own. */
 export function createMetrics(options: { readonly process?: boolean } = {}): Metrics {
   const registry = new Registry();
   if (options.process === true) {
-    collectDefaultMetrics({ register: registry, eventLoopMonitoringPrecision: loopSampleMs });
+    collectDefaultMetrics({ register: registry, eventLoopMonitoringPrecision: eventLoopSampleMs });
   }
   return new RegistryMetrics(registry);
 }
 
 class RegistryMetrics implements Metrics {
   readonly contentType: string;
-  private readonly groups = new LabelBound(maxGroups);
+  private readonly groupLabels = new LabelLimiter(maxGroupLabels);
   private readonly readCounts = { primary: 0, replica: 0 };
 
   private readonly requests: Counter<"verdict" | "reason" | "class">;
@@ -113,19 +113,19 @@
     });
     this.gaps = new Histogram({
       ...define("failover_gap_seconds", "Last write acknowledged to first after.", ["group"]),
-      buckets: gapBuckets,
+      buckets: gapBucketsSeconds,
     });
     this.phases = new Histogram({
       ...define("failover_phase_seconds", "The parts of the failover gap.", ["phase"]),
-      buckets: gapBuckets,
+      buckets: gapBucketsSeconds,
     });
     this.waits = new Histogram({
       ...define("queue_wait_seconds", "Wait for a slot, by class.", ["class"]),
-      buckets: waitBuckets,
+      buckets: waitBucketsSeconds,
     });
     this.statements = new Histogram({
       ...define("statement_seconds", "Statements from arrival to final answer.", ["outcome"]),
-      buckets: waitBuckets,
+      buckets: waitBucketsSeconds,
     });
     this.storeCalls = new Counter(
       define("store_calls_total", "Calls on the platform's store.", ["operation", "outcome"]),
@@ -147,12 +147,13 @@
 
   recordRead(group: string, role: "primary" | "replica"): void {
     this.readCounts[role] += 1;
-    this.reads.inc({ group: this.groups.pick(group), role });
+    this.reads.inc({ group: this.groupLabels.toLabelValue(group), role });
   }
 
-  recordFailover({ group, gap, phases }: FailoverSample): void {
-    this.gaps.observe({ group: this.groups.pick(group) }, gap);
-    for (const [phase, seconds] of Object.entries(phases)) this.phases.observe({ phase }, seconds);
+  recordFailover({ group, gapSeconds, phaseSeconds }: FailoverSample): void {
+    this.gaps.observe({ group: this.groupLabels.toLabelValue(group) }, gapSeconds);
+    for (const [phase, seconds] of Object.entries(phaseSeconds))
+      this.phases.observe({ phase }, seconds);
   }
 
   recordQueueWait(priority: Priority, seconds: number): void {
@@ -174,7 +175,7 @@
   }
 
   setConnections(group: string, state: ConnectionState, count: number): void {
-    this.connections.set({ group: this.groups.pick(group), state }, count);
+    this.connections.set({ group: this.groupLabels.toLabelValue(group), state }, count);
   }
 
   setRevision(revision: number): void {
--- a/src/node/follower.ts
+++ b/src/node/follower.ts
@@ -250,7 +250,7 @@
     const wasListed = this.members.isRegistered();
     keeper.adopt(look.answer);
     if (look.revision !== this.readRevision && !(await this.copyScene(look))) return false;
-    if (this.isAway) this.ports.logger.write(leadershipEvents.storeRegained, {});
+    if (this.isAway) this.ports.logger.write(leadershipEvents.storeContactRegained, {});
     this.isAway = false;
     this.keptScene.noteStoreAnswer(look.lookedAt);
     this.sight = { revision: look.revision, askedAt: look.lookedAt };
@@ -292,14 +292,14 @@
     // Before the operators have written any configuration there is nothing else to be read.
     const [beat, routes] = await Promise.all([store.readBeat(), this.readFirstRoutes()]);
     if (beat.type !== "found") {
-      if (!this.isAway) logger.write(leadershipEvents.storeLost, { reason: describe(beat) });
+      if (!this.isAway) logger.write(leadershipEvents.storeContactLost, { reason: describe(beat) });
       this.isAway = true;
       if (!this.isInformed) await this.fetchScene();
       if (!this.isUnlisted) await this.copyNewest(await this.confirmer.ask());
       return false;
     }
     if (routes?.type === "absent") return false;
-    if (this.isAway) logger.write(leadershipEvents.storeRegained, {});
+    if (this.isAway) logger.write(leadershipEvents.storeContactRegained, {});
     this.isAway = false;
     this.keptScene.noteStoreAnswer(askedAt);
     if (beat.value.leadership !== undefined) {
@@ -340,7 +340,7 @@
     ]);
     if (routes.type === "found") this.keptScene.takeRoutes(routes.value);
     if (routes.type === "unavailable") {
-      this.ports.logger.write(nodeEvents.configurationUnread, { reason: routes.reason });
+      this.ports.logger.write(nodeEvents.configurationUnreadable, { reason: routes.reason });
     }
     if (targets.type === "found") this.keptScene.takeTargets(targets.value);
     if (proxies.type === "found") this.members.take(proxies.value);
@@ -364,7 +364,7 @@
       // A seed may be cut off and know less than this process did: the store is read anew.
       this.readRevision = undefined;
       this.members.copy(proxies);
-      logger.write(nodeEvents.sceneFetched, { seed: `${seed.host}:${seed.port}` });
+      logger.write(nodeEvents.servingConfigFetched, { seed: `${seed.host}:${seed.port}` });
       this.keptScene.publish();
       return true;
     }
--- a/src/node/members.ts
+++ b/src/node/members.ts
@@ -138,7 +138,7 @@
       const since = this.missedSince.get(formatEntry(proxy));
       if (since === undefined || clock.now() - since < missedMs) continue;
       this.missedSince.delete(formatEntry(proxy));
-      logger.write(nodeEvents.missedRemoved, { vm: proxy.vm });
+      logger.write(nodeEvents.missedProxyRemoved, { vm: proxy.vm });
       await store.removeMissed(proxy);
     }
   }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -229,7 +229,7 @@
   /** Takes what can change without a restart from new settings. */
   setSettings(settings: NodeSettings): void {
     this.options.adapter.store.setAddress(settings.store);
-    this.options.logger.write(nodeEvents.settingsRead, { vm: settings.vm });
+    this.options.logger.write(nodeEvents.settingsReloaded, { vm: settings.vm });
   }
 
   dispose(): Promise<void> {
@@ -274,10 +274,10 @@
       new HealthServer({
         metrics: this.metrics,
         getState: () => ({
-          configurationKnown: this.isReady(),
-          leaving: this.drainer.isLeaving(),
+          isConfigurationKnown: this.isReady(),
+          isLeaving: this.drainer.isLeaving(),
         }),
-        report: () => ({ vm: this.options.settings.vm, callers: this.callers.size }),
+        getReport: () => ({ vm: this.options.settings.vm, callers: this.callers.size }),
       }),
     );
     await health.listen(address);
--- a/src/node/questioner.ts
+++ b/src/node/questioner.ts
@@ -91,6 +91,6 @@
   }
 
   private noteSilent(group: string, target: string, error: unknown): void {
-    this.ports.logger.write(nodeEvents.targetSilent, { group, target, reason: String(error) });
+    this.ports.logger.write(nodeEvents.targetUnanswered, { group, target, reason: String(error) });
   }
 }
--- a/src/node/recorder.ts
+++ b/src/node/recorder.ts
@@ -59,7 +59,11 @@
     if (this.records === undefined) return;
     const written = await this.ports.store.writeRecord(change);
     const outcome = written.type;
-    this.ports.logger.write(nodeEvents.recordWritten, { group, targets: targets.length, outcome });
+    this.ports.logger.write(nodeEvents.targetRecordWritten, {
+      group,
+      targets: targets.length,
+      outcome,
+    });
     // Another proxy has written it, or may have been this one's own write: it is read again.
     this.records =
       written.type === "written"
--- a/src/node/scene.ts
+++ b/src/node/scene.ts
@@ -131,7 +131,7 @@
     const before = this.feed.targets.size;
     this.feed = recallTargets(this.feed, listing, known, now);
     const targets = this.feed.targets.size - before;
-    if (targets > 0) this.ports.logger.write(nodeEvents.targetsRecalled, { targets });
+    if (targets > 0) this.ports.logger.write(nodeEvents.recordedTargetsUsed, { targets });
   }
 
   /** One line a configuration, however many of its teams something is wrong with. */
@@ -146,7 +146,7 @@
     const known = this.refusedEntries;
     for (const { name, field } of refused) {
       if (known.get(name) !== field)
-        this.ports.logger.write(nodeEvents.entryRefused, { name, field });
+        this.ports.logger.write(nodeEvents.targetEntryInvalid, { name, field });
     }
     this.refusedEntries = new Map(refused.map(({ name, field }) => [name, field]));
   }
--- a/src/node/watch.ts
+++ b/src/node/watch.ts
@@ -79,7 +79,7 @@
         this.hear(proxy.vm);
         return;
       }
-      logger.write(nodeEvents.proxySilent, { vm: proxy.vm });
+      logger.write(nodeEvents.listedProxyUnresponsive, { vm: proxy.vm });
       await markMissed(proxy);
     } finally {
       this.probing.delete(proxy.vm);
--- a/src/owner/filters/deduplicate.ts
+++ b/src/owner/filters/deduplicate.ts
@@ -163,13 +163,13 @@
     case "run":
       return againRound;
     case "conflict": {
-      logger.write(ownerEvents.keyMisused, fields);
+      logger.write(ownerEvents.keyReused, fields);
       const message = "this idempotency key belongs to another statement; nothing ran";
       await context.answer.take(buildErrorResponse(keyMisusedState, message));
       return { type: "done", outcome: answerFrom(context) };
     }
     case "replay":
-      logger.write(ownerEvents.answerRepeated, fields);
+      logger.write(ownerEvents.recordedAnswerSent, fields);
       for (const message of decodeAnswer(plan.answer)) await context.answer.take(message);
       return { type: "done", outcome: answerFrom(context) };
   }
--- a/src/owner/gateway.ts
+++ b/src/owner/gateway.ts
@@ -117,7 +117,7 @@
     const { logger } = this.ports;
     return {
       run(request): Promise<Outcome> {
-        logger.write(ownerEvents.conversationRefused, { request: request.id, group, reason });
+        logger.write(ownerEvents.requestRefused, { request: request.id, group, reason });
         return Promise.resolve(
           refuse(reason, unknownRetryMs, `this proxy does not serve ${group}`),
         );
--- a/src/peer/handler.ts
+++ b/src/peer/handler.ts
@@ -35,6 +35,6 @@
     }
     handler(universalRequestFromNodeRequest(request, response, undefined, undefined))
       .then((answer) => universalResponseToNodeResponse(answer, response))
-      .catch((error: unknown) => logger.write(peerEvents.callBroken, { reason: String(error) }));
+      .catch((error: unknown) => logger.write(peerEvents.callFailed, { reason: String(error) }));
   };
 }
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -47,7 +47,7 @@
     this.server.on("session", (session) => this.keep(session));
     this.server.on("sessionError", () => undefined);
     this.server.on("tlsClientError", (error: Error) =>
-      logger.write(peerEvents.turnedAway, { reason: error.message }),
+      logger.write(peerEvents.peerRejected, { reason: error.message }),
     );
   }
 
@@ -92,7 +92,7 @@
     session.on("error", () => undefined);
     const stranger = this.findStranger(session);
     if (stranger !== undefined) {
-      this.logger.write(peerEvents.turnedAway, { reason: stranger.message });
+      this.logger.write(peerEvents.peerRejected, { reason: stranger.message });
       session.destroy();
       return;
     }
--- a/src/proxy/directory.ts
+++ b/src/proxy/directory.ts
@@ -53,7 +53,7 @@
     const read = await this.options.store.listGroups();
     switch (read.type) {
       case "unavailable":
-        this.options.logger.write(ownerEvents.groupsUnknown, { reason: read.reason });
+        this.options.logger.write(ownerEvents.groupsUnreadable, { reason: read.reason });
         return;
       case "absent":
         return;
--- a/src/proxy/hooks.ts
+++ b/src/proxy/hooks.ts
@@ -24,8 +24,8 @@
     onGap(group, gapMs, split) {
       metrics.recordFailover({
         group,
-        gap: gapMs / msPerSecond,
-        phases: {
+        gapSeconds: gapMs / msPerSecond,
+        phaseSeconds: {
           detect: split.detectingMs / msPerSecond,
           fence: split.fencingMs / msPerSecond,
           promote: split.promotingMs / msPerSecond,
--- a/src/proxy/proxy.ts
+++ b/src/proxy/proxy.ts
@@ -176,19 +176,19 @@
     return new HealthServer({
       metrics: this.metrics,
       getState: () => ({
-        configurationKnown: configuration.isKnown(),
-        leaving: this.drainKeeper.isLeaving(),
+        isConfigurationKnown: configuration.isKnown(),
+        isLeaving: this.drainKeeper.isLeaving(),
       }),
-      summarise: () => ({
+      getSummary: () => ({
         vm: this.ports.settings.vm,
         revision: configuration.current().revision,
       }),
-      report: () => encodeReport(this.report()),
-      configuration: () => {
+      getReport: () => encodeReport(this.report()),
+      getConfiguration: () => {
         const found = configuration.answerFetch(0);
         return found.type === "found" ? found.value : undefined;
       },
-      drain: () => void this.drain(),
+      startDrain: () => void this.drain(),
     });
   }
 
--- a/src/settings/nearest.ts
+++ b/src/settings/closest-name.ts
@@ -1,14 +1,14 @@
 /** Finds the known name that takes the fewest edits, or nothing when all are far from `name`. */
-export function findNearest(name: string, known: readonly string[]): string | undefined {
+export function findClosestName(name: string, known: readonly string[]): string | undefined {
   const limit = Math.max(2, Math.floor(name.length / 2));
   const ordered = known
-    .map((candidate) => ({ candidate, edits: countEdits(name, candidate) }))
+    .map((candidate) => ({ candidate, edits: computeEditDistance(name, candidate) }))
     .sort((a, b) => a.edits - b.edits);
   const best = ordered[0];
   return best !== undefined && best.edits <= limit ? best.candidate : undefined;
 }
 
-function countEdits(a: string, b: string): number {
+function computeEditDistance(a: string, b: string): number {
   let row = Array.from({ length: b.length + 1 }, (_, i) => i);
   for (let i = 1; i <= a.length; i++) {
     const next = [i];
--- a/src/settings/configuration.ts
+++ b/src/settings/configuration.ts
@@ -6,12 +6,12 @@
   type RuleAction,
   type Team,
 } from "../model/index.js";
-import { checkDocument, refuseFaults } from "./check.js";
-import { findCovering } from "./cover.js";
-import { openDocument, type SettingsDocument } from "./document.js";
-import type { Loaded, SettingsFault } from "./fault.js";
-import { defineCount, defineDuration, defineName, defineObject, defineWord } from "./fields.js";
-import { findNearest } from "./nearest.js";
+import { validateDocument, toFaultyResult } from "./validate.js";
+import { findShadowingRule } from "./shadowing.js";
+import { parseDocumentText, type SettingsDocument } from "./document.js";
+import type { LoadResult, SettingsFault } from "./fault.js";
+import { defineCount, defineDuration, defineName, defineObject, defineChoice } from "./fields.js";
+import { findClosestName } from "./closest-name.js";
 
 /** Roster and rules without a revision. */
 export interface ConfigurationDraft {
@@ -35,22 +35,22 @@
 
 const condition = defineObject({
   teams: names,
-  plan: defineWord(["trial", "paying"]).optional(),
+  plan: defineChoice(["trial", "paying"]).optional(),
   groups: names,
   kinds: names,
-  effect: defineWord(["read", "write"]).optional(),
+  effect: defineChoice(["read", "write"]).optional(),
   tables: names,
   transaction: z.boolean({ error: "must be true or false" }).optional(),
 });
 
 const serve = defineObject({
-  route: defineWord(["primary", "replica"]),
+  route: defineChoice(["primary", "replica"]),
   stale: defineDuration("1ms", "24h").optional(),
-  class: defineWord(priorities),
+  class: defineChoice(priorities),
   deadline: defineDuration("10ms", "10m"),
   queue: defineDuration("0ms", "10m"),
   retry: defineCount("attempts", 0, maxAttempts).default(0),
-  acknowledge: defineWord(["replicated", "witnessed"]).default("replicated"),
+  acknowledge: defineChoice(["replicated", "witnessed"]).default("replicated"),
 });
 
 const refuse = defineObject({
@@ -60,7 +60,7 @@
 
 const file = defineObject({
   revision: defineCount("revisions", 0, Number.MAX_SAFE_INTEGER).optional(),
-  teams: z.array(defineObject({ name: defineName(), plan: defineWord(["trial", "paying"]) }), {
+  teams: z.array(defineObject({ name: defineName(), plan: defineChoice(["trial", "paying"]) }), {
     error: "must be a list of teams",
   }),
   rules: z.array(
@@ -73,29 +73,29 @@
   ),
 });
 
-type RuleText = z.output<typeof file>["rules"][number];
+type ParsedRule = z.output<typeof file>["rules"][number];
 
 /** Reads teams and rules. Warns of a rule that an earlier one leaves nothing to match. */
-export function loadConfigurationFile(text: string, source: string): Loaded<ConfigurationFile> {
-  const document = openDocument(text, source);
-  const loaded = checkDocument(document, file);
+export function loadConfigurationFile(text: string, source: string): LoadResult<ConfigurationFile> {
+  const document = parseDocumentText(text, source);
+  const loaded = validateDocument(document, file);
   if (loaded.type === "faulty") return loaded;
   const { revision, teams, rules } = loaded.value;
   const faults = [
-    ...findRepeats(document, "teams", teams),
-    ...findRepeats(document, "rules", rules),
+    ...findDuplicates(document, "teams", teams),
+    ...findDuplicates(document, "rules", rules),
     ...rules.flatMap((rule, i) => checkRule(document, rule, i, teams)),
   ];
-  if (faults.length > 0) return refuseFaults(faults);
+  if (faults.length > 0) return toFaultyResult(faults);
   const draft = { teams, rules: rules.map(toRule) };
   return {
     type: "loaded",
     value: revision === undefined ? draft : { ...draft, revision },
-    warnings: findCovered(document, draft),
+    warnings: findShadowedRules(document, draft),
   };
 }
 
-function findRepeats(
+function findDuplicates(
   document: SettingsDocument,
   list: "teams" | "rules",
   entries: readonly { readonly name: string }[],
@@ -109,7 +109,7 @@
 
 function checkRule(
   document: SettingsDocument,
-  rule: RuleText,
+  rule: ParsedRule,
   index: number,
   teams: readonly Team[],
 ): readonly SettingsFault[] {
@@ -117,7 +117,7 @@
   const faults = (rule.when.teams ?? [])
     .filter((name) => !known.includes(name))
     .map((name) => {
-      const nearest = findNearest(name, known);
+      const nearest = findClosestName(name, known);
       const hint = nearest === undefined ? "" : `; did you mean ${nearest}?`;
       return document.describeFault(["rules", index, "when", "teams"], `no team ${name}${hint}`);
     });
@@ -133,27 +133,27 @@
   return faults;
 }
 
-function findCovered(
+function findShadowedRules(
   document: SettingsDocument,
   draft: ConfigurationDraft,
 ): readonly SettingsFault[] {
   return draft.rules.flatMap((rule, i) => {
-    const covering = findCovering(draft.rules.slice(0, i), rule, draft.teams);
+    const covering = findShadowingRule(draft.rules.slice(0, i), rule, draft.teams);
     if (covering === undefined) return [];
     const message = `can never match: ${covering.name} stands before and matches all it matches`;
     return [document.describeFault(["rules", i, "name"], message)];
   });
 }
 
-function toRule({ name, when, then }: RuleText): Rule {
+function toRule({ name, when, then }: ParsedRule): Rule {
   return { name, when: toCondition(when), then: toAction(then) };
 }
 
-function toCondition(when: RuleText["when"]): Condition {
+function toCondition(when: ParsedRule["when"]): Condition {
   return Object.fromEntries(Object.entries(when).filter(([, value]) => value !== undefined));
 }
 
-function toAction({ serve, refuse }: RuleText["then"]): RuleAction {
+function toAction({ serve, refuse }: ParsedRule["then"]): RuleAction {
   if (serve === undefined) {
     return { type: "refuse", retryAfterMs: refuse?.retryAfter ?? 0, reason: refuse?.reason ?? "" };
   }
--- a/src/settings/document.ts
+++ b/src/settings/document.ts
@@ -14,7 +14,7 @@
 }
 
 /** Reads one YAML text. */
-export function openDocument(text: string, source: string): SettingsDocument {
+export function parseDocumentText(text: string, source: string): SettingsDocument {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
   const describe = (offset: number, path: Path, message: string): SettingsFault => {
@@ -32,24 +32,24 @@
 
 function findOffset(document: Document, path: Path, at: "key" | "value"): number {
   let node: unknown = document.contents;
-  let offset = readStart(node) ?? 0;
+  let offset = getStartOffset(node) ?? 0;
   for (const [depth, segment] of path.entries()) {
     const isLast = depth === path.length - 1;
     if (isMap(node)) {
       const pair = node.items.find((item) => isScalar(item.key) && item.key.value === segment);
       if (pair === undefined) return offset;
-      const key = readStart(pair.key) ?? offset;
-      offset = isLast && at === "key" ? key : (readStart(pair.value) ?? key);
+      const key = getStartOffset(pair.key) ?? offset;
+      offset = isLast && at === "key" ? key : (getStartOffset(pair.value) ?? key);
       node = pair.value;
     } else if (isSeq(node)) {
       node = node.items[Number(segment)];
-      offset = readStart(node) ?? offset;
+      offset = getStartOffset(node) ?? offset;
     }
   }
   return offset;
 }
 
-function readStart(node: unknown): number | undefined {
+function getStartOffset(node: unknown): number | undefined {
   return isNode(node) ? node.range?.[0] : undefined;
 }
 
--- a/src/settings/fault.ts
+++ b/src/settings/fault.ts
@@ -9,7 +9,7 @@
 }
 
 /** The result of reading a file: its value with warnings, or every fault at once. */
-export type Loaded<T> =
+export type LoadResult<T> =
   | { readonly type: "loaded"; readonly value: T; readonly warnings: readonly SettingsFault[] }
   | { readonly type: "faulty"; readonly faults: readonly SettingsFault[] };
 
--- a/src/settings/fields.ts
+++ b/src/settings/fields.ts
@@ -2,7 +2,7 @@
 import type { Address } from "../model/index.js";
 import { parseAddress } from "./address.js";
 import { formatDuration, parseDuration } from "./duration.js";
-import { findNearest } from "./nearest.js";
+import { findClosestName } from "./closest-name.js";
 
 interface Range {
   readonly min: number;
@@ -23,7 +23,7 @@
 }
 
 function describeUnknownKey(key: string, known: readonly string[]): string {
-  const nearest = findNearest(key, known);
+  const nearest = findClosestName(key, known);
   const hint = nearest === undefined ? `known are ${known.join(", ")}` : `did you mean ${nearest}?`;
   return `unknown key ${key}; ${hint}`;
 }
@@ -34,7 +34,7 @@
   const error = `must be a duration from ${min} to ${max}, such as 500ms, 5s or 10m`;
   return z.string({ error }).transform((text, context): number => {
     const ms = parseDuration(text);
-    if (ms !== undefined && isWithin(ms, range)) return ms;
+    if (ms !== undefined && isInRange(ms, range)) return ms;
     const given = ms === undefined ? `not ${text}` : `not ${formatDuration(ms)}`;
     context.addIssue({ code: "custom", message: `${error}; ${given}` });
     return z.NEVER;
@@ -49,7 +49,7 @@
   const error = `must be a size from ${min} to ${max}, such as 64KiB or 16MiB`;
   return z.string({ error }).transform((text, context): number => {
     const bytes = parseSize(text);
-    if (bytes !== undefined && isWithin(bytes, range)) return bytes;
+    if (bytes !== undefined && isInRange(bytes, range)) return bytes;
     context.addIssue({ code: "custom", message: `${error}; not ${text}` });
     return z.NEVER;
   });
@@ -61,7 +61,7 @@
   return Number(match[1]) * sizeUnits[match[2] as keyof typeof sizeUnits];
 }
 
-function isWithin(value: number, { min, max }: Range): boolean {
+function isInRange(value: number, { min, max }: Range): boolean {
   return value >= min && value <= max;
 }
 
@@ -94,10 +94,10 @@
 }
 
 /** Defines one of a few words; the fault names the nearest. */
-export function defineWord<const W extends readonly string[]>(words: W) {
+export function defineChoice<const W extends readonly string[]>(words: W) {
   return z.enum(words, {
     error: (issue) => {
-      const nearest = findNearest(String(issue.input), words);
+      const nearest = findClosestName(String(issue.input), words);
       const hint = nearest === undefined ? "" : `; did you mean ${nearest}?`;
       return `must be one of ${words.join(", ")}${hint}`;
     },
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -5,8 +5,8 @@
   loadConfigurationFile,
 } from "./configuration.js";
 export { parseDuration, formatDuration } from "./duration.js";
-export { type Loaded, type SettingsFault, formatFault } from "./fault.js";
-export { findNearest } from "./nearest.js";
+export { type LoadResult, type SettingsFault, formatFault } from "./fault.js";
+export { findClosestName } from "./closest-name.js";
 export {
   type CallerLimits,
   type Deadlines,
@@ -16,6 +16,6 @@
   loadProxySettings,
 } from "./proxy.js";
 export { renderConfigurationFile } from "./render.js";
-export { checkDocument } from "./check.js";
-export { openDocument } from "./document.js";
+export { validateDocument } from "./validate.js";
+export { parseDocumentText } from "./document.js";
 export { defineAddress, defineCount, defineDuration, defineName, defineObject } from "./fields.js";
--- a/src/settings/proxy.ts
+++ b/src/settings/proxy.ts
@@ -1,8 +1,8 @@
 import { z } from "zod";
 import type { Address } from "../model/index.js";
-import { checkDocument } from "./check.js";
-import { openDocument } from "./document.js";
-import type { Loaded } from "./fault.js";
+import { validateDocument } from "./validate.js";
+import { parseDocumentText } from "./document.js";
+import type { LoadResult } from "./fault.js";
 import {
   defineAddress,
   defineCount,
@@ -10,7 +10,7 @@
   defineName,
   defineObject,
   defineSize,
-  defineWord,
+  defineChoice,
 } from "./fields.js";
 
 /** Where a side's key and certificate are; `off` only where the file says so. */
@@ -143,13 +143,13 @@
     limit: defineDuration("1s", "1h").prefault("1m"),
   }).prefault({}),
   log: defineObject({
-    level: defineWord(["debug", "info", "warn", "error"]).default("info"),
+    level: defineChoice(["debug", "info", "warn", "error"]).default("info"),
   }).prefault({}),
 });
 
 /** Reads a proxy's settings. `source` names the file in faults. */
-export function loadProxySettings(text: string, source: string): Loaded<ProxySettings> {
-  const loaded = checkDocument(openDocument(text, source), proxy);
+export function loadProxySettings(text: string, source: string): LoadResult<ProxySettings> {
+  const loaded = validateDocument(parseDocumentText(text, source), proxy);
   if (loaded.type === "faulty") return loaded;
   return { ...loaded, value: toProxySettings(loaded.value) };
 }
--- a/src/settings/cover.ts
+++ b/src/settings/shadowing.ts
@@ -1,15 +1,15 @@
 import type { Condition, Rule, Team } from "../model/index.js";
 
 /** Finds the first of `earlier` that matches whatever `rule` matches. */
-export function findCovering(
-  earlier: readonly Rule[],
+export function findShadowingRule(
+  earlierRules: readonly Rule[],
   rule: Rule,
   teams: readonly Team[],
 ): Rule | undefined {
-  return earlier.find((other) => isCovering(other.when, rule.when, teams));
+  return earlierRules.find((other) => matchesSuperset(other.when, rule.when, teams));
 }
 
-function isCovering(wide: Condition, narrow: Condition, teams: readonly Team[]): boolean {
+function matchesSuperset(wide: Condition, narrow: Condition, teams: readonly Team[]): boolean {
   return (
     isSubset(narrow.teams, wide.teams) &&
     isSubset(narrow.groups, wide.groups) &&
@@ -17,7 +17,7 @@
     isSubset(narrow.tables, wide.tables) &&
     isSame(narrow.effect, wide.effect) &&
     isSame(narrow.transaction, wide.transaction) &&
-    (isSame(narrow.plan, wide.plan) || isOfPlan(narrow.teams, wide.plan, teams))
+    (isSame(narrow.plan, wide.plan) || haveAllPlan(narrow.teams, wide.plan, teams))
   );
 }
 
@@ -29,7 +29,7 @@
   return wide === undefined || narrow === wide;
 }
 
-function isOfPlan(
+function haveAllPlan(
   names: readonly string[] | undefined,
   plan: Team["plan"] | undefined,
   teams: readonly Team[],
--- a/src/settings/check.ts
+++ b/src/settings/validate.ts
@@ -1,19 +1,22 @@
 import type { z } from "zod";
 import type { Path, SettingsDocument } from "./document.js";
-import type { Loaded, SettingsFault } from "./fault.js";
+import type { LoadResult, SettingsFault } from "./fault.js";
 
 type Issue = z.core.$ZodIssue;
 
 /** Checks a document against a schema and gives its value, or all faults in order of line. */
-export function checkDocument<T>(document: SettingsDocument, schema: z.ZodType<T>): Loaded<T> {
+export function validateDocument<T>(
+  document: SettingsDocument,
+  schema: z.ZodType<T>,
+): LoadResult<T> {
   if (document.faults.length > 0) return { type: "faulty", faults: document.faults };
   const result = schema.safeParse(document.value ?? {});
   if (result.success) return { type: "loaded", value: result.data, warnings: [] };
-  return refuseFaults(result.error.issues.flatMap((issue) => mapIssue(document, issue)));
+  return toFaultyResult(result.error.issues.flatMap((issue) => toFaults(document, issue)));
 }
 
 /** Refuses a file for its faults, in order of line. */
-export function refuseFaults(faults: readonly SettingsFault[]): {
+export function toFaultyResult(faults: readonly SettingsFault[]): {
   readonly type: "faulty";
   readonly faults: readonly SettingsFault[];
 } {
@@ -23,7 +26,7 @@
   };
 }
 
-function mapIssue(
+function toFaults(
   document: SettingsDocument,
   issue: Issue,
   parent: Path = [],
@@ -33,7 +36,7 @@
   if (issue.code === "invalid_union" && typeof value === "object") {
     // A union's last choice is its structured one: its own faults say more than the union's.
     const last = issue.errors.at(-1) ?? [];
-    return last.flatMap((inner) => mapIssue(document, inner, path));
+    return last.flatMap((inner) => toFaults(document, inner, path));
   }
   if (issue.code === "unrecognized_keys") {
     const messages = issue.message.split("\n");
--- a/src/target/connector.ts
+++ b/src/target/connector.ts
@@ -45,10 +45,10 @@
       await this.startUp(socket, database, timeoutMs);
     } catch (error) {
       socket.destroy();
-      logger.write(targetEvents.openFailed, { ...fields, reason: String(error) });
+      logger.write(targetEvents.connectionFailed, { ...fields, reason: String(error) });
       throw error;
     }
-    logger.write(targetEvents.opened, fields);
+    logger.write(targetEvents.connectionOpened, fields);
     return new PgTargetSession(target.name, socket, progressTimeoutMs, logger);
   }
 
--- a/src/target/control.ts
+++ b/src/target/control.ts
@@ -102,7 +102,7 @@
 
   private noteUnreachable(target: Target, call: string, reason: string): ControlResult {
     const { logger = silentLogger } = this.options;
-    logger.write(targetEvents.unreachable, { target: target.name, call, reason });
+    logger.write(targetEvents.controlUnreachable, { target: target.name, call, reason });
     return { type: "unreachable", reason };
   }
 
--- a/src/target/session.ts
+++ b/src/target/session.ts
@@ -144,7 +144,7 @@
     const { current } = this;
     this.current = undefined;
     if (current === undefined) return;
-    this.logger.write(targetEvents.broken, { target: this.target, reason });
+    this.logger.write(targetEvents.connectionBroken, { target: this.target, reason });
     current.end({ type: "broken", sent: true, reason });
   }
 }
--- a/src/tls/store.ts
+++ b/src/tls/store.ts
@@ -108,7 +108,7 @@
       logger.write(peerEvents.certificatesRead, { ...files });
       for (const handle of this.handlers) handle();
     } catch (error) {
-      logger.write(peerEvents.certificatesUnreadable, { ...files, reason: String(error) });
+      logger.write(peerEvents.certificatesInvalid, { ...files, reason: String(error) });
     }
   }
 }
--- a/test/command/command.test.ts
+++ b/test/command/command.test.ts
@@ -61,7 +61,7 @@
         store,
         clock,
         random: makeRandom(1),
-        given: [],
+        givenProxies: [],
         healthOffset: 2000,
         json: flags.json === true,
         proxies: {
@@ -75,12 +75,12 @@
               desk.down.has(nameOf(host)) ? undefined : report(nameOf(host), [...desk.down]),
             ),
           readConfiguration: () => Promise.resolve(desk.held),
-          drain: ({ host, port }) => Promise.resolve(host === "10.0.0.2" && port === 9432),
+          requestDrain: ({ host, port }) => Promise.resolve(host === "10.0.0.2" && port === 9432),
         },
         readFile: (path) =>
           files.has(path) ? Promise.resolve(files.get(path) ?? "") : Promise.reject(new Error()),
         writeFile: (path, text) => Promise.resolve(void files.set(path, text)),
-        makeChangeId: () => `change-${++changes}`,
+        createChangeId: () => `change-${++changes}`,
         print: (text) => void (desk.out += `${text}\n`),
         dispose: () => undefined,
       }),
--- a/test/log/catalogue.test.ts
+++ b/test/log/catalogue.test.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from "node:fs";
 import { resolve } from "node:path";
 import { expect, test } from "@jest/globals";
-import { eventParts, loadEvents, renderCatalogue } from "../../src/log/index.js";
+import { eventCategories, loadEvents, renderCatalogue } from "../../src/log/index.js";
 
 const events = await loadEvents(resolve("src/log/events"));
 const collapse = (page: string) => page.replaceAll(/-+/g, "-").replaceAll(/ +/g, " ");
@@ -9,7 +9,7 @@
 test("numbers and names are unique and belong to a part", () => {
   expect(new Set(events.map((e) => e.id)).size).toBe(events.length);
   expect(new Set(events.map((e) => e.name)).size).toBe(events.length);
-  expect(events.filter((e) => eventParts[Math.floor(e.id / 1000)] === undefined)).toEqual([]);
+  expect(events.filter((e) => eventCategories[Math.floor(e.id / 1000)] === undefined)).toEqual([]);
 });
 
 test("docs/EVENTS.md is what the code holds (npm run events)", () => {
--- a/test/metric/metric.test.ts
+++ b/test/metric/metric.test.ts
@@ -36,21 +36,21 @@
 // A new proxy does not know the rules yet, a leaving one must get no new callers;
 // both live, so only /ready may say no.
 test("ready only with a configuration and not while leaving", async () => {
-  let state: HealthState = { configurationKnown: false, leaving: false };
+  let state: HealthState = { isConfigurationKnown: false, isLeaving: false };
   let drains = 0;
   const server = new HealthServer({
     metrics: createMetrics(),
     getState: () => state,
-    report: () => ({ vm: "a" }),
-    drain: () => void (drains += 1),
+    getReport: () => ({ vm: "a" }),
+    startDrain: () => void (drains += 1),
   });
   const { port } = await server.listen({ host: "127.0.0.1", port: 0 });
   const ask = (path: string, method = "GET") =>
     fetch(`http://127.0.0.1:${port}${path}`, { method, headers: { connection: "close" } });
   expect((await ask("/ready")).status).toBe(503);
-  state = { configurationKnown: true, leaving: false };
+  state = { isConfigurationKnown: true, isLeaving: false };
   expect((await ask("/ready")).status).toBe(200);
-  state = { configurationKnown: true, leaving: true };
+  state = { isConfigurationKnown: true, isLeaving: true };
   expect(await (await ask("/ready")).json()).toEqual({ status: "not ready", reasons: ["leaving"] });
   expect((await ask("/health")).status).toBe(200);
   expect(await (await ask("/report")).json()).toEqual({ vm: "a" });
