--- a/src/directpeer/client.ts
+++ b/src/directpeer/client.ts
@@ -78,7 +78,7 @@
     try {
       return await call();
     } catch (error) {
-      this.logger.write(peerEvents.directCallTimedOut, { peer, reason: String(error) });
+      this.logger.write(peerEvents.directCallFailed, { peer, reason: String(error) });
       return undefined;
     }
   }
--- a/src/log/event.ts
+++ b/src/log/event.ts
@@ -1,19 +1,19 @@
-/** How loud an event is, in pino's words. */
+/** The severity of an event, as pino names it. */
 export type Level = "debug" | "info" | "warn" | "error";
 
-/** One numbered kind of log line. Numbers never change their meaning. */
+/** A kind of log line with a unique number. Numbers are never reused for another meaning. */
 export interface LogEvent {
   readonly id: number;
   readonly name: string;
   readonly level: Level;
-  /** What happened, for the reader of the line and of the catalogue. */
+  /** A sentence on what happened, for readers of the log and of `docs/EVENTS.md`. */
   readonly text: string;
 }
 
-/** Values that go with a line. */
+/** Additional fields of a log line. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** Where log lines go. */
+/** Writes log events. */
 export interface Logger {
   write(event: LogEvent, fields?: LogFields): void;
 }
--- a/src/log/events/leadership.ts
+++ b/src/log/events/leadership.ts
@@ -1,96 +1,96 @@
 import type { LogEvent } from "../event.js";
 
-/** Events of who leads the groups, where targets have no fence on a majority. */
+/** Events of leadership: which target is primary, for targets that can't be fenced by a majority. */
 export const leadershipEvents = {
   adopted: {
     id: 3100,
     name: "leadershipAdopted",
     level: "info",
-    text: "A newer document of who leads the groups is held from now on.",
+    text: "The proxy adopted a newer leadership document.",
   },
   permitGained: {
     id: 3101,
     name: "leadershipPermitGained",
     level: "info",
-    text: "What is held about who leads was confirmed lately: primaries may be used.",
+    text: "The proxy's leadership information was recently confirmed; it may use primaries.",
   },
   permitLost: {
     id: 3102,
     name: "leadershipPermitLost",
     level: "warn",
-    text: "Nobody confirmed who leads for too long: primaries are not used until somebody does.",
+    text: "The proxy's leadership information went unconfirmed for too long; it does not use primaries until it is confirmed again.",
   },
   stalled: {
     id: 3103,
     name: "processStalled",
     level: "warn",
-    text: "The clocks have parted: the process stood still, or the time of day was set.",
+    text: "The process's clocks diverged: the process was paused, or the system time was set.",
   },
   suspected: {
     id: 3104,
     name: "leaderSuspected",
     level: "warn",
-    text: "A primary may have to be replaced; the other proxies are asked.",
+    text: "A primary may have to be replaced; the proxy asks the other proxies about it.",
   },
   primaryLostLog: {
     id: 3115,
     name: "primaryLostLog",
     level: "warn",
-    text: "A primary has started again without commits that it had acknowledged; it is replaced.",
+    text: "A primary restarted without commits that it had acknowledged; the proxy replaces it.",
   },
   primaryKept: {
     id: 3105,
     name: "primaryKept",
     level: "info",
-    text: "A suspected primary stays; the reason is given.",
+    text: "A suspected primary keeps its role; the reason is given.",
   },
   changeStarted: {
     id: 3106,
     name: "primaryChangeBegun",
     level: "info",
-    text: "This proxy holds the duty and replaces a primary; the token goes with its orders.",
+    text: "This proxy holds the change lease and starts to replace a primary; its fencing token goes with each order.",
   },
   changePrevented: {
     id: 3107,
     name: "primaryChangeBarred",
     level: "info",
-    text: "A change could not begin or go on; the reason is given.",
+    text: "A change of primary could not start or continue; the reason is given.",
   },
   proxiesNotified: {
     id: 3108,
     name: "proxiesTold",
     level: "info",
-    text: "The other proxies were told; who did not answer is waited out.",
+    text: "The proxy notified the other proxies of the change; it waits until the permits of those that did not answer have expired.",
   },
   demoted: {
     id: 3109,
     name: "primaryDemoted",
     level: "info",
-    text: "The old primary was asked to step back; the position is where its log ended.",
+    text: "The proxy asked the old primary to demote itself; the position is the end of its log.",
   },
   candidateChosen: {
     id: 3110,
     name: "primaryChosen",
     level: "info",
-    text: "A target was chosen to lead; the positions of all that answered are given.",
+    text: "The proxy chose the target to promote; the positions of all targets that answered are given.",
   },
   promoteAnswered: {
     id: 3111,
     name: "promoteAnswered",
     level: "info",
-    text: "The platform answered the order to promote, or did not.",
+    text: "The order to promote a target ended; the result is given, which may be that the platform did not answer.",
   },
   changeDone: {
     id: 3112,
     name: "primaryChangeDone",
     level: "info",
-    text: "A new primary serves; the time since the suspicion is given.",
+    text: "A new primary is serving; the time since the suspicion is given.",
   },
   storeContactLost: {
     id: 3113,
     name: "storeContactLost",
     level: "warn",
-    text: "The platform's store does not answer; the other proxies are asked instead.",
+    text: "The platform's store does not answer; the proxy asks the other proxies instead.",
   },
   storeContactRegained: {
     id: 3114,
--- a/src/log/events/rates.ts
+++ b/src/log/events/rates.ts
@@ -1,11 +1,11 @@
 import type { LogEvent } from "../event.js";
 
-/** Events of teams' rates. */
+/** Events of the rate limits of teams. */
 export const rateEvents = {
   overRate: {
     id: 4050,
     name: "teamOverRate",
     level: "info",
-    text: "An operation was refused since its team has begun as many as its rate allows.",
+    text: "The proxy refused an operation because its team has reached its rate.",
   },
 } as const satisfies Readonly<Record<string, LogEvent>>;
--- a/src/log/output.ts
+++ b/src/log/output.ts
@@ -3,14 +3,14 @@
 const flushBytes = 4096;
 const flushIntervalMs = 500;
 const maxBufferedBytes = 16 * 1024 * 1024;
-const retryMs = 10;
+const retryDelayMs = 10;
 const maxRetries = 50;
 
 /**
- * Writes text to a file descriptor in the background, in large pieces. pino's own destination
- * repeats a failed synchronous write for ever: with the reader of a pipe gone, a process that
- * flushes at its end would hang there, deaf to signals, with no timer that could fire. Here what
- * can't be written is dropped and every wait has a bound, so that an end is always reached.
+ * Writes text to a file descriptor in the background, in large chunks. pino's own destination
+ * retries a failed synchronous write without end: when the reader of a pipe is gone, a process that
+ * flushes at exit would hang there, handling no signals and firing no timers. This class drops what
+ * can't be written and bounds every wait, so that the process always exits.
  */
 export class LogOutput {
   private buffered: string[] = [];
@@ -22,7 +22,7 @@
 
   constructor(private readonly descriptor: number) {}
 
-  /** Takes a line. It is dropped when the reader is gone, or far behind. */
+  /** Buffers a line, or drops it if the reader is gone or more than `maxBufferedBytes` behind. */
   write(text: string): void {
     if (this.isBroken || this.bufferedBytes > maxBufferedBytes) return;
     this.buffered.push(text);
@@ -31,20 +31,20 @@
     else this.timer ??= setTimeout(() => this.writeNext(), flushIntervalMs).unref();
   }
 
-  /** Writes out all that waits, at once; for the process's end. */
+  /** Writes all buffered text synchronously. Meant for the exit of the process. */
   flushSync(): void {
     const rest = Buffer.from(this.takeBuffered());
-    let done = 0;
-    for (let tries = 0; done < rest.length && tries < maxRetries; tries += 1) {
-      const written = this.tryWrite(rest.subarray(done));
-      if (written === 0) sleepBlocking(retryMs);
-      if (written > 0) tries = 0;
-      done += written;
+    let writtenBytes = 0;
+    for (let retries = 0; writtenBytes < rest.length && retries < maxRetries; retries += 1) {
+      const written = this.tryWrite(rest.subarray(writtenBytes));
+      if (written === 0) sleepBlocking(retryDelayMs);
+      if (written > 0) retries = 0;
+      writtenBytes += written;
       if (this.isBroken) return;
     }
   }
 
-  /** Resolves when all that was taken is written or dropped, or after `ms`. */
+  /** Resolves when all accepted lines are written or dropped, or after `timeoutMs`. */
   async finish(timeoutMs: number): Promise<void> {
     this.writeNext();
     if (!this.isWriting) return;
@@ -76,7 +76,7 @@
         this.isWriting = false;
         this.writeNext();
       } else {
-        setTimeout(() => this.writePart(rest), error === null ? 0 : retryMs);
+        setTimeout(() => this.writePart(rest), error === null ? 0 : retryDelayMs);
       }
     });
   }
--- a/src/log/pino.ts
+++ b/src/log/pino.ts
@@ -6,24 +6,24 @@
 const finishTimeoutMs = 1000;
 const standardOutputDescriptor = 1;
 
-/** A destination that can be emptied at once, as pino's own. */
+/** A destination of log lines that can be flushed synchronously, as pino's own destinations can. */
 export interface LogDestination extends DestinationStream {
   flushSync?(): void;
   finish?(timeoutMs: number): Promise<void>;
 }
 
-/** How a `PinoLogger` writes. */
+/** Options of a `PinoLogger`. */
 export interface PinoLoggerOptions {
   readonly level: Level;
-  /** Goes with every line, such as the VM's name. */
+  /** Fields of every line, such as the VM's name. */
   readonly base: LogFields;
-  /** Standard output, written in the background, unless given. */
+  /** Defaults to standard output, written in the background. */
   readonly destination?: LogDestination;
 }
 
 /**
- * Writes events as JSON lines with their number, name, text and fields. The fields `level`, `time`,
- * `msg`, `event` and `name` are the line's own.
+ * Writes events as JSON lines with their number, name, text and fields. The field names `level`,
+ * `time`, `msg`, `event` and `name` are reserved.
  */
 export class PinoLogger implements Logger, Disposable {
   private readonly destination: LogDestination;
@@ -46,12 +46,12 @@
     this.pino[event.level]({ event: event.id, name: event.name, ...fields }, event.text);
   }
 
-  /** Writes out what is still in memory. */
+  /** Writes the buffered lines synchronously. */
   flush(): void {
     this.destination.flushSync?.();
   }
 
-  /** Resolves when what is still in memory is written, or after a second. */
+  /** Resolves when the buffered lines are written, or after one second. */
   async finish(): Promise<void> {
     await this.destination.finish?.(finishTimeoutMs);
   }
--- a/src/log/rate-limited.ts
+++ b/src/log/rate-limited.ts
@@ -1,14 +1,14 @@
 import type { LogEvent, LogFields, Logger } from "./event.js";
 import { directEvents } from "./events/direct.js";
 
-/** Lines a second, and how many may come at once: three times a heavy day's usual rate. */
+/** The limits on lines per second and on a burst: three times the usual rate of a heavy day. */
 const maxLinesPerSecond = 150;
 const maxBurstLines = 600;
 const reportIntervalMs = 5000;
 
 /**
- * Bounds the lines of levels below `warn`. A flood of requests would else spend the processor on
- * telling of itself; what is dropped is counted, and the count is a line of its own.
+ * Limits the rate of lines below `warn`. Without the limit, a flood of requests would spend the
+ * processor on logging. Dropped lines are counted, and the count is logged.
  */
 export class RateLimitedLogger implements Logger {
   private tokens = maxBurstLines;
--- a/test/log/pino.test.ts
+++ b/test/log/pino.test.ts
@@ -2,7 +2,7 @@
 import { fleetEvents } from "../../src/log/events/fleet.js";
 import { PinoLogger } from "../../src/log/index.js";
 
-test("a line has the event's number, name, text and fields; quieter levels are left out", () => {
+test("a line has the event's number, name and fields; lower levels are omitted", () => {
   const lines: string[] = [];
   const logger = new PinoLogger({
     level: "info",
