--- a/src/metric/health.ts
+++ b/src/metric/health.ts
@@ -3,24 +3,24 @@
 import type { Address, Disposable, Json } from "../model/index.js";
 import type { Metrics } from "./metrics.js";
 
-/** What readiness depends on. */
+/** The state that decides whether the process is ready. */
 export interface HealthState {
-  /** A configuration of the store or a peer is in force. */
+  /** Whether a configuration from the store or a peer is in force. */
   readonly isConfigurationKnown: boolean;
   readonly isLeaving: boolean;
 }
 
-/** What a `HealthServer` shows. */
+/** The sources of the pages that a `HealthServer` serves. */
 export interface HealthServerOptions {
   readonly metrics: Metrics;
   getState(): HealthState;
-  /** A few words of itself on `/health`, such as its VM and the revision in force. */
+  /** Additional fields of `/health`, such as the VM and the revision in force. */
   getSummary?(): Readonly<Record<string, Json>>;
-  /** What the process says of itself to operators, on `/report`. */
+  /** The process's report to operators, served on `/report`. */
   getReport(): Json | Promise<Json>;
-  /** The configuration in force, on `/configuration`; `undefined` while none is known. */
+  /** The configuration in force, served on `/configuration`; `undefined` while none is known. */
   getConfiguration?(): Json | undefined;
-  /** Begins a drain, on `POST /drain`; absent where the process does not take it over HTTP. */
+  /** Starts a drain on `POST /drain`; absent if the process can't be drained over HTTP. */
   startDrain?(): void;
 }
 
@@ -34,8 +34,8 @@
 const maxConnections = 100;
 
 /**
- * Plain HTTP for the balancer and operators. Its address must be reachable from their network only:
- * it asks for no credentials.
+ * Serves the balancer and operators over plain HTTP. It asks for no credentials, so its address must
+ * be reachable from their network only.
  */
 export class HealthServer implements Disposable {
   private readonly server: Server;
@@ -47,7 +47,7 @@
     this.server.maxConnections = maxConnections;
   }
 
-  /** Listens and gives the address, with the port that was taken when 0 was asked for. */
+  /** Listens and resolves with the address, with the actual port if 0 was given. */
   listen({ host, port }: Address): Promise<Address> {
     return new Promise((resolve, reject) => {
       this.server.once("error", reject);
@@ -89,7 +89,7 @@
         return this.replyConfiguration();
       case "POST /drain":
         if (this.options.startDrain === undefined)
-          return replyJson(404, { error: "no drain over HTTP here" });
+          return replyJson(404, { error: "this process can't be drained over HTTP" });
         this.options.startDrain();
         return replyJson(202, { status: "draining" });
       default:
--- a/src/metric/label-limiter.ts
+++ b/src/metric/label-limiter.ts
@@ -1,4 +1,4 @@
-/** Keeps the number of a label's values bounded: values beyond the limit count as `other`. */
+/** Limits the number of distinct values of a label; further values are replaced by `other`. */
 export class LabelLimiter {
   private readonly seen = new Set<string>();
 
--- a/src/metric/metrics.ts
+++ b/src/metric/metrics.ts
@@ -14,15 +14,15 @@
 const waitBucketsSeconds = [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1, 3, 10];
 const gapBucketsSeconds = [0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 18, 30, 60];
 
-/** How one request ended. */
+/** The outcome of one request. */
 export interface RequestSample {
   readonly verdict: "answered" | Verdict["type"];
   readonly reason?: NotRunReason;
-  /** The class of the rule that decided; absent when none matched or it refused. */
+  /** The class of the rule that matched; absent if none matched or the rule refused the request. */
   readonly priority?: Priority;
 }
 
-/** One failover as its owner saw it, in seconds. */
+/** The durations of one failover, as the group's owner measured them. */
 export interface FailoverSample {
   readonly group: string;
   readonly gapSeconds: number;
@@ -32,34 +32,37 @@
 /** The states of a connection to a target. */
 export type ConnectionState = "opening" | "idle" | "active" | "suspect";
 
-/** What a process counts; see `createMetrics`. */
+/** The metrics of a process; see `createMetrics`. */
 export interface Metrics {
   recordRequest(sample: RequestSample): void;
   recordRead(group: string, role: "primary" | "replica"): void;
   recordFailover(sample: FailoverSample): void;
   recordQueueWait(priority: Priority, seconds: number): void;
-  /** One statement of a caller, from its arrival to its final answer. */
+  /** Records a caller's statement with the time from its arrival to its final answer. */
   recordStatement(outcome: string, seconds: number): void;
   recordStoreCall(operation: string, outcome: string): void;
   recordViolation(invariant: Invariant): void;
   setConnections(group: string, state: ConnectionState, count: number): void;
   setRevision(revision: number): void;
   setCallers(count: number): void;
-  /** Counts broken invariants from now on and tells `handle`; disposing restores the handler before. */
+  /**
+   * Counts each violated invariant and passes it to `handle`. Disposing the result restores the
+   * previous handler.
+   */
   observeViolations(handle: (invariant: Invariant, detail: string) => void): Disposable;
-  /** The page in Prometheus' text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
   readonly contentType: string;
 }
 
 /**
- * Between two samples of the event loop's delay, in milliseconds. At the library's 10 ms an idle process
- * wakes 99 times and takes 9.2 ms of processor time in each second, at this 3 times and 0.7 ms (by its own
- * accounts over 5 s). A node may spend 12 ms on all of control.
+ * The interval between two samples of the event loop's delay. At the library's default of 10 ms, an
+ * idle process wakes up 99 times and uses 9.2 ms of processor time per second; at this interval it
+ * wakes up 3 times and uses 0.7 ms. A node may use 12 ms per second for all of its control work.
  */
 const eventLoopSampleMs = 1000;
 
-/** Creates a process's metrics on a registry of their own. */
+/** Creates metrics on their own registry; `process` adds the default metrics of `prom-client`. */
 export function createMetrics(options: { readonly process?: boolean } = {}): Metrics {
   const registry = new Registry();
   if (options.process === true) {
@@ -105,39 +108,47 @@
       define("reads_total", "Reads answered, by role of the target.", ["group", "role"]),
     );
     new Gauge({
-      ...define("replica_read_ratio", "Reads answered by replicas over all reads.", []),
+      ...define("replica_read_ratio", "Share of reads that replicas answered.", []),
       collect() {
         const all = readCounts.primary + readCounts.replica;
         this.set(all === 0 ? 0 : readCounts.replica / all);
       },
     });
     this.gaps = new Histogram({
-      ...define("failover_gap_seconds", "Last write acknowledged to first after.", ["group"]),
+      ...define(
+        "failover_gap_seconds",
+        "Time from the last write acknowledged before a failover to the first one after it.",
+        ["group"],
+      ),
       buckets: gapBucketsSeconds,
     });
     this.phases = new Histogram({
-      ...define("failover_phase_seconds", "The parts of the failover gap.", ["phase"]),
+      ...define("failover_phase_seconds", "Durations of the phases of a failover.", ["phase"]),
       buckets: gapBucketsSeconds,
     });
     this.waits = new Histogram({
-      ...define("queue_wait_seconds", "Wait for a slot, by class.", ["class"]),
+      ...define("queue_wait_seconds", "Time that requests waited for a slot, by class.", ["class"]),
       buckets: waitBucketsSeconds,
     });
     this.statements = new Histogram({
-      ...define("statement_seconds", "Statements from arrival to final answer.", ["outcome"]),
+      ...define("statement_seconds", "Time from a statement's arrival to its final answer.", [
+        "outcome",
+      ]),
       buckets: waitBucketsSeconds,
     });
     this.storeCalls = new Counter(
-      define("store_calls_total", "Calls on the platform's store.", ["operation", "outcome"]),
+      define("store_calls_total", "Calls to the platform's store.", ["operation", "outcome"]),
     );
     this.violations = new Counter(
-      define("invariant_violations_total", "Broken invariants.", ["invariant"]),
+      define("invariant_violations_total", "Violations of invariants.", ["invariant"]),
     );
     this.connections = new Gauge(
       define("connections", "Connections to targets, by state.", ["group", "state"]),
     );
-    this.revision = new Gauge(define("configuration_revision", "The revision in force.", []));
-    this.callers = new Gauge(define("callers_connected", "Callers connected now.", []));
+    this.revision = new Gauge(
+      define("configuration_revision", "Revision of the configuration in force.", []),
+    );
+    this.callers = new Gauge(define("callers_connected", "Number of connected callers.", []));
     for (const invariant of invariants) this.violations.inc({ invariant }, 0);
   }
 
@@ -160,7 +171,7 @@
     this.waits.observe({ class: priority }, seconds);
   }
 
-  /** One statement of a caller, from its arrival to its final answer. */
+  /** Records a caller's statement with the time from its arrival to its final answer. */
   recordStatement(outcome: string, seconds: number): void;
   recordStatement(outcome: string, seconds: number): void {
     this.statements.observe({ outcome }, seconds);
@@ -187,13 +198,13 @@
   }
 
   observeViolations(handle: (invariant: Invariant, detail: string) => void): Disposable {
-    const before = setViolationHandler((invariant, detail) => {
+    const previousHandler = setViolationHandler((invariant, detail) => {
       this.recordViolation(invariant);
       handle(invariant, detail);
     });
     return {
       dispose: () => {
-        setViolationHandler(before);
+        setViolationHandler(previousHandler);
       },
     };
   }
--- a/test/metric/metric.test.ts
+++ b/test/metric/metric.test.ts
@@ -2,7 +2,7 @@
 import { createMetrics, HealthServer, type HealthState } from "../../src/metric/index.js";
 import { assertInvariant, invariants } from "../../src/model/index.js";
 
-test("the two measures and every invariant are there by name from the start", async () => {
+test("the read ratio, the failover gap and every invariant are exported from the start", async () => {
   const page = await createMetrics().render();
   expect(page).toContain("radishwalk_replica_read_ratio 0");
   expect(page).toContain("# TYPE radishwalk_failover_gap_seconds histogram");
@@ -11,7 +11,7 @@
   }
 });
 
-test("the ratio follows the reads, and groups beyond the bound count together", async () => {
+test("the read ratio follows the reads, and groups beyond the limit are counted as other", async () => {
   const metrics = createMetrics();
   for (let i = 0; i < 300; i++) metrics.recordRead(`g${i}`, i % 4 === 0 ? "primary" : "replica");
   const page = await metrics.render();
@@ -19,23 +19,22 @@
   expect(page).toContain('radishwalk_reads_total{group="other",role="replica"} 75');
 });
 
-test("a broken invariant is counted and told, until the handler is given back", async () => {
+test("a violated invariant is counted and reported until the previous handler is restored", async () => {
   const metrics = createMetrics();
-  const told: string[] = [];
-  const observed = metrics.observeViolations((invariant) => void told.push(invariant));
+  const reported: string[] = [];
+  const observed = metrics.observeViolations((invariant) => void reported.push(invariant));
   assertInvariant("atMostOnce", false, () => "twice");
   await observed.dispose();
-  expect(told).toEqual(["atMostOnce"]);
+  expect(reported).toEqual(["atMostOnce"]);
   expect(await metrics.render()).toContain('total{invariant="atMostOnce"} 1');
   expect(() => {
     assertInvariant("atMostOnce", false, () => "twice");
   }).toThrow("atMostOnce");
 });
 
-// The balancer sends callers to a proxy whose page says ready.
-// A new proxy does not know the rules yet, a leaving one must get no new callers;
-// both live, so only /ready may say no.
-test("ready only with a configuration and not while leaving", async () => {
+// The balancer sends callers to a proxy whose /ready page answers 200. A new proxy does not know the
+// rules yet, and a leaving one must get no new callers. Both are alive, so only /ready may answer 503.
+test("the process is ready only with a configuration and not while leaving", async () => {
   let state: HealthState = { isConfigurationKnown: false, isLeaving: false };
   let drains = 0;
   const server = new HealthServer({
