--- a/src/settings/address.ts
+++ b/src/settings/address.ts
@@ -3,7 +3,7 @@
 
 const maxPort = 65535;
 
-/** Reads `IP:port` or `[IPv6]:port`; `undefined` when the text is neither. */
+/** Parses `IP:port` or `[IPv6]:port`; returns `undefined` if the text is neither. */
 export function parseAddress(text: string): Address | undefined {
   const match = /^(?:\[([^\]]+)\]|([^:]+)):(\d+)$/.exec(text);
   const host = match?.[1] ?? match?.[2];
@@ -12,7 +12,7 @@
   return { host, port };
 }
 
-/** Writes what `parseAddress` reads. */
+/** Formats an address in the notation that `parseAddress` accepts. */
 export function formatAddress({ host, port }: Address): string {
   return host.includes(":") ? `[${host}]:${port}` : `${host}:${port}`;
 }
--- a/src/settings/closest-name.ts
+++ b/src/settings/closest-name.ts
@@ -1,11 +1,14 @@
-/** Finds the known name that takes the fewest edits, or nothing when all are far from `name`. */
+/**
+ * Finds the known name with the smallest edit distance to `name`. Returns `undefined` if that distance
+ * exceeds half of `name`'s length, and at least two.
+ */
 export function findClosestName(name: string, known: readonly string[]): string | undefined {
-  const limit = Math.max(2, Math.floor(name.length / 2));
+  const maxDistance = Math.max(2, Math.floor(name.length / 2));
   const ordered = known
-    .map((candidate) => ({ candidate, edits: computeEditDistance(name, candidate) }))
-    .sort((a, b) => a.edits - b.edits);
+    .map((candidate) => ({ candidate, distance: computeEditDistance(name, candidate) }))
+    .sort((a, b) => a.distance - b.distance);
   const best = ordered[0];
-  return best !== undefined && best.edits <= limit ? best.candidate : undefined;
+  return best !== undefined && best.distance <= maxDistance ? best.candidate : undefined;
 }
 
 function computeEditDistance(a: string, b: string): number {
--- a/src/settings/configuration.ts
+++ b/src/settings/configuration.ts
@@ -13,15 +13,15 @@
 import { defineCount, defineDuration, defineName, defineObject, defineChoice } from "./fields.js";
 import { findClosestName } from "./closest-name.js";
 
-/** Roster and rules without a revision. */
+/** Teams and rules without a revision. */
 export interface ConfigurationDraft {
   readonly teams: readonly Team[];
   readonly rules: readonly Rule[];
 }
 
-/** What the operators' file holds. */
+/** The content of the operators' configuration file. */
 export interface ConfigurationFile extends ConfigurationDraft {
-  /** The revision that the file was edited from, as `radishwalk get` wrote it. */
+  /** The revision on which the edited file is based; `radishwalk get` writes it. */
   readonly revision?: number;
 }
 
@@ -55,7 +55,7 @@
 
 const refuse = defineObject({
   retryAfter: defineDuration("0ms", "24h"),
-  reason: z.string({ error: "must be a text for the caller" }).min(1),
+  reason: z.string({ error: "must be a non-empty text for the caller" }).min(1),
 });
 
 const file = defineObject({
@@ -75,7 +75,7 @@
 
 type ParsedRule = z.output<typeof file>["rules"][number];
 
-/** Reads teams and rules. Warns of a rule that an earlier one leaves nothing to match. */
+/** Loads teams and rules. Warns of a rule that can never match because of an earlier one. */
 export function loadConfigurationFile(text: string, source: string): LoadResult<ConfigurationFile> {
   const document = parseDocumentText(text, source);
   const loaded = validateDocument(document, file);
@@ -102,7 +102,7 @@
 ): readonly SettingsFault[] {
   return entries.flatMap(({ name }, i) =>
     entries.findIndex((entry) => entry.name === name) < i
-      ? [document.describeFault([list, i, "name"], `${name} stands twice`)]
+      ? [document.describeFault([list, i, "name"], `${name} is defined more than once`)]
       : [],
   );
 }
@@ -117,17 +117,20 @@
   const faults = (rule.when.teams ?? [])
     .filter((name) => !known.includes(name))
     .map((name) => {
-      const nearest = findClosestName(name, known);
-      const hint = nearest === undefined ? "" : `; did you mean ${nearest}?`;
-      return document.describeFault(["rules", index, "when", "teams"], `no team ${name}${hint}`);
+      const closest = findClosestName(name, known);
+      const hint = closest === undefined ? "" : `; did you mean ${closest}?`;
+      return document.describeFault(
+        ["rules", index, "when", "teams"],
+        `team ${name} does not exist${hint}`,
+      );
     });
   const { serve, refuse } = rule.then;
   if ((serve === undefined) === (refuse === undefined)) {
-    const message = "must have either serve or refuse";
+    const message = "must have exactly one of serve and refuse";
     faults.push(document.describeFault(["rules", index, "then"], message));
   }
   if (serve?.route === "primary" && serve.stale !== undefined) {
-    const message = "a primary's data has no age; use route replica";
+    const message = "applies only to route replica: a primary's data is never stale";
     faults.push(document.describeFault(["rules", index, "then", "serve", "stale"], message));
   }
   return faults;
@@ -138,9 +141,9 @@
   draft: ConfigurationDraft,
 ): readonly SettingsFault[] {
   return draft.rules.flatMap((rule, i) => {
-    const covering = findShadowingRule(draft.rules.slice(0, i), rule, draft.teams);
-    if (covering === undefined) return [];
-    const message = `can never match: ${covering.name} stands before and matches all it matches`;
+    const shadowing = findShadowingRule(draft.rules.slice(0, i), rule, draft.teams);
+    if (shadowing === undefined) return [];
+    const message = `can never match: the earlier rule ${shadowing.name} matches every request that it matches`;
     return [document.describeFault(["rules", i, "name"], message)];
   });
 }
--- a/src/settings/document.ts
+++ b/src/settings/document.ts
@@ -1,19 +1,22 @@
 import { isMap, isNode, isScalar, isSeq, LineCounter, parseDocument, type Document } from "yaml";
 import type { SettingsFault } from "./fault.js";
 
-/** Keys and indices from the top of a document. */
+/** The keys and indices from a document's root to a value. */
 export type Path = readonly (string | number)[];
 
-/** A parsed YAML text that can tell where each of its values stands. */
+/** A parsed YAML document that knows the position of each value in its text. */
 export interface SettingsDocument {
   readonly value: unknown;
-  /** Faults of the YAML itself. */
+  /** Syntax errors of the YAML text; `value` is `undefined` if there are any. */
   readonly faults: readonly SettingsFault[];
-  /** Describes a fault at the value of `path`, or at its key, or at the nearest parent. */
+  /**
+   * Creates a fault with the position of the value at `path`, or of its key. If the document has no
+   * such value, the position is that of its closest existing parent.
+   */
   describeFault(path: Path, message: string, at?: "key" | "value"): SettingsFault;
 }
 
-/** Reads one YAML text. */
+/** Parses a YAML text. `source` is the file name that its faults give. */
 export function parseDocumentText(text: string, source: string): SettingsDocument {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
--- a/src/settings/duration.ts
+++ b/src/settings/duration.ts
@@ -4,7 +4,10 @@
 
 const unitsLargestFirst: readonly Unit[] = ["h", "m", "s", "ms"];
 
-/** Reads `500ms`, `5s`, `1.5s`, `10m` or `24h` as whole milliseconds; `undefined` for other text. */
+/**
+ * Parses a duration such as `500ms`, `5s`, `1.5s`, `10m` or `24h` and returns whole milliseconds, or
+ * `undefined` if the text is no such duration.
+ */
 export function parseDuration(text: string): number | undefined {
   const match = /^(\d+(?:\.\d+)?)(ms|s|m|h)$/.exec(text);
   if (match === null) return undefined;
@@ -12,7 +15,7 @@
   return Number.isSafeInteger(ms) ? ms : undefined;
 }
 
-/** Writes milliseconds in the largest unit that needs no fraction. */
+/** Formats milliseconds in the largest unit that divides them without a fraction. */
 export function formatDuration(ms: number): string {
   const unit = unitsLargestFirst.find((u) => ms > 0 && ms % units[u] === 0) ?? "ms";
   return `${ms / units[unit]}${unit}`;
--- a/src/settings/fields.ts
+++ b/src/settings/fields.ts
@@ -9,7 +9,7 @@
   readonly max: number;
 }
 
-/** Defines an object that refuses unknown keys and names the nearest known one. */
+/** Defines an object that rejects unknown keys and suggests the closest known one. */
 export function defineObject<S extends z.core.$ZodLooseShape>(shape: S) {
   const known = Object.keys(shape);
   return z.strictObject(shape, {
@@ -23,12 +23,13 @@
 }
 
 function describeUnknownKey(key: string, known: readonly string[]): string {
-  const nearest = findClosestName(key, known);
-  const hint = nearest === undefined ? `known are ${known.join(", ")}` : `did you mean ${nearest}?`;
+  const closest = findClosestName(key, known);
+  const hint =
+    closest === undefined ? `known keys are ${known.join(", ")}` : `did you mean ${closest}?`;
   return `unknown key ${key}; ${hint}`;
 }
 
-/** Defines a duration in milliseconds; both ends of its range are written with units, too. */
+/** Defines a duration, read as milliseconds; `min` and `max` are durations with units as well. */
 export function defineDuration(min: string, max: string) {
   const range = { min: parseDuration(min) ?? 0, max: parseDuration(max) ?? 0 };
   const error = `must be a duration from ${min} to ${max}, such as 500ms, 5s or 10m`;
@@ -43,7 +44,7 @@
 
 const sizeUnits = { B: 1, KiB: 1024, MiB: 1024 * 1024 } as const;
 
-/** Defines a size in bytes, written such as `16MiB`. */
+/** Defines a size with a unit, such as `16MiB`, read as bytes. */
 export function defineSize(min: string, max: string) {
   const range = { min: parseSize(min) ?? 0, max: parseSize(max) ?? 0 };
   const error = `must be a size from ${min} to ${max}, such as 64KiB or 16MiB`;
@@ -65,15 +66,15 @@
   return value >= min && value <= max;
 }
 
-/** Defines a whole number of things named by `unit`. */
+/** Defines a whole number; `unit` names what is counted, in error messages. */
 export function defineCount(unit: string, min: number, max: number) {
   const error = `must be a whole number of ${unit} from ${min} to ${max}`;
   return z.int({ error }).min(min, { error }).max(max, { error });
 }
 
-/** Defines an address: an IP number and a port. */
+/** Defines an address: an IP address and a port. */
 export function defineAddress() {
-  const error = "must be an IP number and a port, such as 10.0.1.11:6432 or [::1]:6432";
+  const error = "must be an IP address and a port, such as 10.0.1.11:6432 or [::1]:6432";
   return z.string({ error }).transform((text, context): Address => {
     const address = parseAddress(text);
     if (address !== undefined) return address;
@@ -93,13 +94,13 @@
     .regex(/^[\p{L}\p{N}_.-]+$/u, { error });
 }
 
-/** Defines one of a few words; the fault names the nearest. */
-export function defineChoice<const W extends readonly string[]>(words: W) {
-  return z.enum(words, {
+/** Defines one of a set of strings; the fault suggests the closest one. */
+export function defineChoice<const W extends readonly string[]>(choices: W) {
+  return z.enum(choices, {
     error: (issue) => {
-      const nearest = findClosestName(String(issue.input), words);
-      const hint = nearest === undefined ? "" : `; did you mean ${nearest}?`;
-      return `must be one of ${words.join(", ")}${hint}`;
+      const closest = findClosestName(String(issue.input), choices);
+      const hint = closest === undefined ? "" : `; did you mean ${closest}?`;
+      return `must be one of ${choices.join(", ")}${hint}`;
     },
   });
 }
--- a/src/settings/proxy.ts
+++ b/src/settings/proxy.ts
@@ -13,39 +13,39 @@
   defineChoice,
 } from "./fields.js";
 
-/** Where a side's key and certificate are; `off` only where the file says so. */
+/** The TLS files of one listener; `off` only if the settings file says so explicitly. */
 export type TlsSettings =
   | { readonly type: "off" }
   | {
       readonly type: "files";
       readonly certificate: string;
       readonly key: string;
-      /** Certificates of the authorities that the other side's certificate must come from. */
+      /** Certificates of the authorities that must have issued the other side's certificate. */
       readonly authority?: string;
     };
 
-/** A key that signs session tokens. The first of the list signs, all of them verify. */
+/** A key for session tokens. The first key of the list signs tokens; all of them verify tokens. */
 export interface SessionKey {
   readonly id: string;
   readonly secret: string;
 }
 
-/** What callers may cost, all together and each. */
+/** Limits on the resources of all callers together and of each caller. */
 export interface CallerLimits {
   readonly connections: number;
   readonly connectionsPerTeam: number;
   readonly messageBytes: number;
-  /** From the accepted connection to the end of start-up. */
+  /** The longest time from accepting a connection to the end of its start-up. */
   readonly startUpMs: number;
-  /** Without a message from the caller, outside a transaction. */
+  /** The longest time without a message from the caller, outside a transaction. */
   readonly idleMs: number;
-  /** Without the caller taking a byte of its answer. */
+  /** The longest time in which the caller reads no byte of its answer. */
   readonly writeStallMs: number;
 }
 
-/** Time limits towards the outside. */
+/** Time limits of requests and of calls to other processes. */
 export interface Deadlines {
-  /** For requests that no rule matches. */
+  /** The deadline of requests that no rule matches. */
   readonly requestMs: number;
   readonly targetConnectMs: number;
   readonly targetControlMs: number;
@@ -60,21 +60,21 @@
   readonly listen: {
     readonly callers: Address;
     readonly peers: Address;
-    /** Health, readiness, metrics and the proxy's report. */
+    /** Serves health, readiness, metrics and the proxy's report. */
     readonly health: Address;
   };
   /** Addresses of the platform's service, tried in order. */
   readonly platform: readonly Address[];
-  /** Peer addresses of other proxies, asked at a start while the platform's service is down. */
+  /** Peer addresses of other proxies, asked at start if the platform's service is unreachable. */
   readonly seeds: readonly Address[];
   readonly tls: { readonly callers: TlsSettings; readonly peers: TlsSettings };
   readonly sessionKeys: readonly SessionKey[];
   readonly limits: CallerLimits;
   readonly deadlines: Deadlines;
   readonly drain: {
-    /** How long it stays reachable, but not ready, so that the balancer and peers notice. */
+    /** How long the proxy stays reachable but not ready, so that the balancer and peers notice. */
     readonly announceMs: number;
-    /** The longest wait for what is in flight. */
+    /** The longest time to wait for requests in flight. */
     readonly limitMs: number;
   };
   readonly log: { readonly level: "debug" | "info" | "warn" | "error" };
@@ -88,7 +88,7 @@
 
 const tls = z
   .union([z.literal("off"), tlsFiles], {
-    error: "must be the word off, or a map with certificate, key and authority",
+    error: "must be off, or a map with certificate, key and authority",
   })
   .transform((value): TlsSettings => {
     if (value === "off") return { type: "off" };
@@ -147,17 +147,17 @@
   }).prefault({}),
 });
 
-/** Reads a proxy's settings. `source` names the file in faults. */
+/** Loads a proxy's settings. `source` is the file name that faults give. */
 export function loadProxySettings(text: string, source: string): LoadResult<ProxySettings> {
   const loaded = validateDocument(parseDocumentText(text, source), proxy);
   if (loaded.type === "faulty") return loaded;
   return { ...loaded, value: toProxySettings(loaded.value) };
 }
 
-function toProxySettings(read: z.output<typeof proxy>): ProxySettings {
-  const { limits, deadlines, drain } = read;
+function toProxySettings(parsed: z.output<typeof proxy>): ProxySettings {
+  const { limits, deadlines, drain } = parsed;
   return {
-    ...read,
+    ...parsed,
     limits: {
       connections: limits.connections,
       connectionsPerTeam: limits.connectionsPerTeam,
--- a/src/settings/render.ts
+++ b/src/settings/render.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationFile } from "./configuration.js";
 import { formatDuration } from "./duration.js";
 
-/** Writes teams and rules in the form that `loadConfigurationFile` reads. */
+/** Renders teams and rules as YAML that `loadConfigurationFile` can load. */
 export function renderConfigurationFile(file: ConfigurationFile): string {
   const { revision, teams, rules } = file;
   return stringify(
--- a/src/settings/shadowing.ts
+++ b/src/settings/shadowing.ts
@@ -1,6 +1,6 @@
 import type { Condition, Rule, Team } from "../model/index.js";
 
-/** Finds the first of `earlier` that matches whatever `rule` matches. */
+/** Finds the first of `earlierRules` that matches every request that `rule` matches. */
 export function findShadowingRule(
   earlierRules: readonly Rule[],
   rule: Rule,
--- a/src/settings/validate.ts
+++ b/src/settings/validate.ts
@@ -4,7 +4,7 @@
 
 type Issue = z.core.$ZodIssue;
 
-/** Checks a document against a schema and gives its value, or all faults in order of line. */
+/** Validates a document against a schema and returns its value, or all faults in order of position. */
 export function validateDocument<T>(
   document: SettingsDocument,
   schema: z.ZodType<T>,
@@ -15,7 +15,7 @@
   return toFaultyResult(result.error.issues.flatMap((issue) => toFaults(document, issue)));
 }
 
-/** Refuses a file for its faults, in order of line. */
+/** Creates the result of loading an invalid file, with its faults in order of position. */
 export function toFaultyResult(faults: readonly SettingsFault[]): {
   readonly type: "faulty";
   readonly faults: readonly SettingsFault[];
@@ -34,7 +34,8 @@
   const path = [...parent, ...issue.path.filter((s) => typeof s !== "symbol")];
   const value = findValue(document.value, path);
   if (issue.code === "invalid_union" && typeof value === "object") {
-    // A union's last choice is its structured one: its own faults say more than the union's.
+    // The last option of each union is the structured one. Its issues are more specific than the
+    // message of the union.
     const last = issue.errors.at(-1) ?? [];
     return last.flatMap((inner) => toFaults(document, inner, path));
   }
--- a/test/settings/configuration.test.ts
+++ b/test/settings/configuration.test.ts
@@ -15,7 +15,7 @@
 const serve =
   "{ serve: { route: replica, stale: 5s, class: browsing, deadline: 2s, queue: 500ms } }";
 
-test("a rule is read in the words of the model", () => {
+test("rules are converted to the types of the model", () => {
   const loaded = load(`teams: [{ name: a, plan: trial }]
 rules:
   - { name: look, when: { teams: a, effect: read }, then: ${serve} }
@@ -36,7 +36,7 @@
   });
 });
 
-test("repeated names, unknown teams and contradictions are all named", () => {
+test("duplicate names, unknown teams and contradictions are all reported", () => {
   const text = `teams: [{ name: maria, plan: trial }, { name: maria, plan: paying }]
 rules:
   - { name: x, when: { teams: [mara] }, then: {} }
@@ -46,15 +46,15 @@
     "r.yaml:4:67: rules[1].then.serve.class: must be one of critical, normal, browsing, trial; did you mean trial?",
   ]);
   expect(loadFaults(text.replace("trail", "trial"))).toEqual([
-    "r.yaml:1:47: teams[1].name: maria stands twice",
-    "r.yaml:3:31: rules[0].when.teams: no team mara; did you mean maria?",
-    "r.yaml:3:47: rules[0].then: must have either serve or refuse",
-    "r.yaml:4:13: rules[1].name: x stands twice",
-    "r.yaml:4:56: rules[1].then.serve.stale: a primary's data has no age; use route replica",
+    "r.yaml:1:47: teams[1].name: maria is defined more than once",
+    "r.yaml:3:31: rules[0].when.teams: team mara does not exist; did you mean maria?",
+    "r.yaml:3:47: rules[0].then: must have exactly one of serve and refuse",
+    "r.yaml:4:13: rules[1].name: x is defined more than once",
+    "r.yaml:4:56: rules[1].then.serve.stale: applies only to route replica: a primary's data is never stale",
   ]);
 });
 
-test("a rule behind one that matches all it matches is warned of", () => {
+test("a rule that is shadowed by an earlier one gets a warning", () => {
   const faults = loadFaults(`teams: [{ name: a, plan: trial }, { name: b, plan: paying }]
 rules:
   - { name: trials, when: { plan: trial }, then: ${serve} }
@@ -62,7 +62,7 @@
   - { name: both-read, when: { teams: [a, b], effect: read }, then: ${serve} }
 `);
   expect(faults).toEqual([
-    "r.yaml:4:13: rules[1].name: can never match: trials stands before and matches all it matches",
+    "r.yaml:4:13: rules[1].name: can never match: the earlier rule trials matches every request that it matches",
   ]);
 });
 
--- a/test/settings/proxy.test.ts
+++ b/test/settings/proxy.test.ts
@@ -26,7 +26,7 @@
   expect(loaded.value.drain).toEqual({ announceMs: 3000, limitMs: 60000 });
 });
 
-test("all faults come at once, each with its line, column and path", () => {
+test("all faults are reported together, each with its line, column and path", () => {
   const text = good
     .replace("vm: palermo-1\n", "")
     .replace("health:", "helth:")
@@ -43,19 +43,19 @@
   ]);
 });
 
-test("TLS is off only where the file says so", () => {
+test("TLS is off only if the file says so explicitly", () => {
   expect(loadFaults(good.replace("callers: off, ", ""))).toEqual([
     "p.yaml:5:6: tls.callers: is missing",
   ]);
 });
 
-test("a host name is refused: addresses are IP numbers", () => {
+test("a host name is refused: addresses are IP addresses", () => {
   expect(loadFaults(good.replace("10.0.0.1:8080", "platform.example:8080"))[0]).toContain(
-    "p.yaml:4:12: platform[0]: must be an IP number",
+    "p.yaml:4:12: platform[0]: must be an IP address",
   );
 });
 
-test("YAML that cannot be read has its line too", () => {
+test("a YAML syntax error is reported with its line", () => {
   expect(loadFaults("vm: a\nvm: b\n")[0]).toMatch(/^p\.yaml:2:1: Map keys must be unique/);
 });
 
@@ -64,7 +64,7 @@
   expect(loaded).toMatchObject({ type: "loaded", warnings: [] });
 });
 
-test("docs/SETTINGS.md names every key that the examples show", () => {
+test("docs/SETTINGS.md documents every key of the example settings", () => {
   const page = readFileSync("docs/SETTINGS.md", "utf8");
   const example = parse(readFileSync("config/ferrante-palermo-1.yaml", "utf8")) as object;
   const keys = Object.entries(example).flatMap(([name, value]: [string, unknown]) =>
