--- a/src/command/context.ts
+++ b/src/command/context.ts
@@ -18,7 +18,7 @@
   readonly proxies: ProxyHttpClient;
   /** The health addresses given by `--proxy`; if empty, they are derived from the platform's list. */
   readonly givenProxies: readonly Address[];
-  readonly healthOffset: number;
+  readonly healthPortOffset: number;
   readonly clock: Clock;
   readonly random: Random;
   readonly json: boolean;
--- a/src/command/create-context.ts
+++ b/src/command/create-context.ts
@@ -9,7 +9,7 @@
 import { createProxyHttpClient } from "./proxy-client.js";
 
 /** The difference between the health port and the peer port in the example settings. */
-export const defaultHealthOffset = 2000;
+export const defaultHealthPortOffset = 2000;
 
 const platformVariable = "RADISHWALK_PLATFORM";
 
@@ -20,7 +20,7 @@
     store: lazyStore.store,
     proxies: createProxyHttpClient(),
     givenProxies: [flags.proxy ?? []].flat().map(parseProxyAddress),
-    healthOffset: flags.healthOffset ?? defaultHealthOffset,
+    healthPortOffset: flags.healthOffset ?? defaultHealthPortOffset,
     clock: createSystemClock(),
     random: createSystemRandom(),
     json: flags.json === true,
--- a/src/command/endpoints.ts
+++ b/src/command/endpoints.ts
@@ -24,6 +24,6 @@
   return read.value.map((vm) => toProxyEndpoint(context, vm));
 }
 
-function toProxyEndpoint({ healthOffset }: CommandContext, { name, peer }: Vm): ProxyEndpoint {
-  return { name, health: { host: peer.host, port: peer.port + healthOffset } };
+function toProxyEndpoint({ healthPortOffset }: CommandContext, { name, peer }: Vm): ProxyEndpoint {
+  return { name, health: { host: peer.host, port: peer.port + healthPortOffset } };
 }
--- a/src/load/settings.ts
+++ b/src/load/settings.ts
@@ -6,7 +6,7 @@
   defineDuration,
   defineName,
   defineObject,
-  parseDocumentText,
+  parseSettingsDocument,
   type LoadResult,
 } from "../settings/index.js";
 
@@ -45,5 +45,5 @@
 
 /** Reads the load tool's YAML. */
 export function loadLoadSettings(text: string, source: string): LoadResult<LoadSettings> {
-  return validateDocument(parseDocumentText(text, source), schema);
+  return validateDocument(parseSettingsDocument(text, source), schema);
 }
--- a/src/metric/health.ts
+++ b/src/metric/health.ts
@@ -67,54 +67,55 @@
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const reply = await this.reply(request).catch((error: unknown) =>
-      replyJson(500, { error: String(error) }),
+    const reply = await this.createReply(request).catch((error: unknown) =>
+      createJsonReply(500, { error: String(error) }),
     );
     response.writeHead(reply.status, { "content-type": reply.type });
     response.end(reply.body);
   }
 
-  private async reply(request: IncomingMessage): Promise<Reply> {
+  private async createReply(request: IncomingMessage): Promise<Reply> {
     const { metrics } = this.options;
     switch (`${request.method ?? ""} ${request.url ?? ""}`) {
       case "GET /metrics":
         return { status: 200, type: metrics.contentType, body: await metrics.render() };
       case "GET /health":
-        return replyJson(200, { status: "alive", ...this.options.getSummary?.() });
+        return createJsonReply(200, { status: "alive", ...this.options.getSummary?.() });
       case "GET /ready":
-        return this.replyReadiness();
+        return this.createReadinessReply();
       case "GET /report":
-        return replyJson(200, await this.options.getReport());
+        return createJsonReply(200, await this.options.getReport());
       case "GET /configuration":
-        return this.replyConfiguration();
+        return this.createConfigurationReply();
       case "POST /drain":
         if (this.options.startDrain === undefined)
-          return replyJson(404, { error: "this process can't be drained over HTTP" });
+          return createJsonReply(404, { error: "this process can't be drained over HTTP" });
         this.options.startDrain();
-        return replyJson(202, { status: "draining" });
+        return createJsonReply(202, { status: "draining" });
       default:
-        return replyJson(404, { error: "no such page" });
+        return createJsonReply(404, { error: "no such page" });
     }
   }
 
-  private replyConfiguration(): Reply {
+  private createConfigurationReply(): Reply {
     const configuration = this.options.getConfiguration?.();
-    if (configuration === undefined) return replyJson(404, { error: "no configuration is known" });
-    return replyJson(200, configuration);
+    if (configuration === undefined)
+      return createJsonReply(404, { error: "no configuration is known" });
+    return createJsonReply(200, configuration);
   }
 
-  private replyReadiness(): Reply {
+  private createReadinessReply(): Reply {
     const { isConfigurationKnown, isLeaving } = this.options.getState();
     const reasons = [
       ...(isConfigurationKnown ? [] : ["no configuration is known"]),
       ...(isLeaving ? ["leaving"] : []),
     ];
     return reasons.length === 0
-      ? replyJson(200, { status: "ready" })
-      : replyJson(503, { status: "not ready", reasons });
+      ? createJsonReply(200, { status: "ready" })
+      : createJsonReply(503, { status: "not ready", reasons });
   }
 }
 
-function replyJson(status: number, body: Json): Reply {
+function createJsonReply(status: number, body: Json): Reply {
   return { status, type: "application/json", body: `${JSON.stringify(body)}\n` };
 }
--- a/src/metric/metrics.ts
+++ b/src/metric/metrics.ts
@@ -78,9 +78,9 @@
 
   private readonly requests: Counter<"verdict" | "reason" | "class">;
   private readonly reads: Counter<"group" | "role">;
-  private readonly gaps: Histogram<"group">;
-  private readonly phases: Histogram<"phase">;
-  private readonly waits: Histogram<"class">;
+  private readonly failoverGaps: Histogram<"group">;
+  private readonly failoverPhases: Histogram<"phase">;
+  private readonly queueWaits: Histogram<"class">;
   private readonly statements: Histogram<"outcome">;
   private readonly storeCalls: Counter<"operation" | "outcome">;
   private readonly violations: Counter<"invariant">;
@@ -114,7 +114,7 @@
         this.set(all === 0 ? 0 : readCounts.replica / all);
       },
     });
-    this.gaps = new Histogram({
+    this.failoverGaps = new Histogram({
       ...define(
         "failover_gap_seconds",
         "Time from the last write acknowledged before a failover to the first one after it.",
@@ -122,11 +122,11 @@
       ),
       buckets: gapBucketsSeconds,
     });
-    this.phases = new Histogram({
+    this.failoverPhases = new Histogram({
       ...define("failover_phase_seconds", "Durations of the phases of a failover.", ["phase"]),
       buckets: gapBucketsSeconds,
     });
-    this.waits = new Histogram({
+    this.queueWaits = new Histogram({
       ...define("queue_wait_seconds", "Time that requests waited for a slot, by class.", ["class"]),
       buckets: waitBucketsSeconds,
     });
@@ -162,13 +162,13 @@
   }
 
   recordFailover({ group, gapSeconds, phaseSeconds }: FailoverSample): void {
-    this.gaps.observe({ group: this.groupLabels.toLabelValue(group) }, gapSeconds);
+    this.failoverGaps.observe({ group: this.groupLabels.toLabelValue(group) }, gapSeconds);
     for (const [phase, seconds] of Object.entries(phaseSeconds))
-      this.phases.observe({ phase }, seconds);
+      this.failoverPhases.observe({ phase }, seconds);
   }
 
   recordQueueWait(priority: Priority, seconds: number): void {
-    this.waits.observe({ class: priority }, seconds);
+    this.queueWaits.observe({ class: priority }, seconds);
   }
 
   /** Records a caller's statement with the time from its arrival to its final answer. */
--- a/src/settings/configuration.ts
+++ b/src/settings/configuration.ts
@@ -8,7 +8,7 @@
 } from "../model/index.js";
 import { validateDocument, toFaultyResult } from "./validate.js";
 import { findShadowingRule } from "./shadowing.js";
-import { parseDocumentText, type SettingsDocument } from "./document.js";
+import { parseSettingsDocument, type SettingsDocument } from "./document.js";
 import type { LoadResult, SettingsFault } from "./fault.js";
 import { defineCount, defineDuration, defineName, defineObject, defineChoice } from "./fields.js";
 import { findClosestName } from "./closest-name.js";
@@ -77,7 +77,7 @@
 
 /** Loads teams and rules. Warns of a rule that can never match because of an earlier one. */
 export function loadConfigurationFile(text: string, source: string): LoadResult<ConfigurationFile> {
-  const document = parseDocumentText(text, source);
+  const document = parseSettingsDocument(text, source);
   const loaded = validateDocument(document, file);
   if (loaded.type === "faulty") return loaded;
   const { revision, teams, rules } = loaded.value;
@@ -102,7 +102,7 @@
 ): readonly SettingsFault[] {
   return entries.flatMap(({ name }, i) =>
     entries.findIndex((entry) => entry.name === name) < i
-      ? [document.describeFault([list, i, "name"], `${name} is defined more than once`)]
+      ? [document.createFault([list, i, "name"], `${name} is defined more than once`)]
       : [],
   );
 }
@@ -119,7 +119,7 @@
     .map((name) => {
       const closest = findClosestName(name, known);
       const hint = closest === undefined ? "" : `; did you mean ${closest}?`;
-      return document.describeFault(
+      return document.createFault(
         ["rules", index, "when", "teams"],
         `team ${name} does not exist${hint}`,
       );
@@ -127,11 +127,11 @@
   const { serve, refuse } = rule.then;
   if ((serve === undefined) === (refuse === undefined)) {
     const message = "must have exactly one of serve and refuse";
-    faults.push(document.describeFault(["rules", index, "then"], message));
+    faults.push(document.createFault(["rules", index, "then"], message));
   }
   if (serve?.route === "primary" && serve.stale !== undefined) {
     const message = "applies only to route replica: a primary's data is never stale";
-    faults.push(document.describeFault(["rules", index, "then", "serve", "stale"], message));
+    faults.push(document.createFault(["rules", index, "then", "serve", "stale"], message));
   }
   return faults;
 }
@@ -144,7 +144,7 @@
     const shadowing = findShadowingRule(draft.rules.slice(0, i), rule, draft.teams);
     if (shadowing === undefined) return [];
     const message = `can never match: the earlier rule ${shadowing.name} matches every request that it matches`;
-    return [document.describeFault(["rules", i, "name"], message)];
+    return [document.createFault(["rules", i, "name"], message)];
   });
 }
 
--- a/src/settings/document.ts
+++ b/src/settings/document.ts
@@ -13,11 +13,11 @@
    * Creates a fault with the position of the value at `path`, or of its key. If the document has no
    * such value, the position is that of its closest existing parent.
    */
-  describeFault(path: Path, message: string, at?: "key" | "value"): SettingsFault;
+  createFault(path: Path, message: string, at?: "key" | "value"): SettingsFault;
 }
 
 /** Parses a YAML text. `source` is the file name that its faults give. */
-export function parseDocumentText(text: string, source: string): SettingsDocument {
+export function parseSettingsDocument(text: string, source: string): SettingsDocument {
   const lines = new LineCounter();
   const document = parseDocument(text, { lineCounter: lines, prettyErrors: false });
   const describe = (offset: number, path: Path, message: string): SettingsFault => {
@@ -28,7 +28,7 @@
   return {
     value: faults.length === 0 ? (document.toJS() as unknown) : undefined,
     faults,
-    describeFault: (path, message, at = "value") =>
+    createFault: (path, message, at = "value") =>
       describe(findOffset(document, path, at), path, message),
   };
 }
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -17,5 +17,5 @@
 } from "./proxy.js";
 export { renderConfigurationFile } from "./render.js";
 export { validateDocument } from "./validate.js";
-export { parseDocumentText } from "./document.js";
+export { parseSettingsDocument } from "./document.js";
 export { defineAddress, defineCount, defineDuration, defineName, defineObject } from "./fields.js";
--- a/src/settings/proxy.ts
+++ b/src/settings/proxy.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import type { Address } from "../model/index.js";
 import { validateDocument } from "./validate.js";
-import { parseDocumentText } from "./document.js";
+import { parseSettingsDocument } from "./document.js";
 import type { LoadResult } from "./fault.js";
 import {
   defineAddress,
@@ -149,7 +149,7 @@
 
 /** Loads a proxy's settings. `source` is the file name that faults give. */
 export function loadProxySettings(text: string, source: string): LoadResult<ProxySettings> {
-  const loaded = validateDocument(parseDocumentText(text, source), proxy);
+  const loaded = validateDocument(parseSettingsDocument(text, source), proxy);
   if (loaded.type === "faulty") return loaded;
   return { ...loaded, value: toProxySettings(loaded.value) };
 }
--- a/src/settings/shadowing.ts
+++ b/src/settings/shadowing.ts
@@ -17,7 +17,7 @@
     isSubset(narrow.tables, wide.tables) &&
     isSame(narrow.effect, wide.effect) &&
     isSame(narrow.transaction, wide.transaction) &&
-    (isSame(narrow.plan, wide.plan) || haveAllPlan(narrow.teams, wide.plan, teams))
+    (isSame(narrow.plan, wide.plan) || areAllOnPlan(narrow.teams, wide.plan, teams))
   );
 }
 
@@ -29,7 +29,7 @@
   return wide === undefined || narrow === wide;
 }
 
-function haveAllPlan(
+function areAllOnPlan(
   names: readonly string[] | undefined,
   plan: Team["plan"] | undefined,
   teams: readonly Team[],
--- a/src/settings/validate.ts
+++ b/src/settings/validate.ts
@@ -42,11 +42,11 @@
   if (issue.code === "unrecognized_keys") {
     const messages = issue.message.split("\n");
     return issue.keys.map((key, i) =>
-      document.describeFault([...path, key], messages[i] ?? "unknown key", "key"),
+      document.createFault([...path, key], messages[i] ?? "unknown key", "key"),
     );
   }
   const isMissing = value === undefined && issue.code !== "custom";
-  return [document.describeFault(path, isMissing ? "is missing" : issue.message)];
+  return [document.createFault(path, isMissing ? "is missing" : issue.message)];
 }
 
 function findValue(value: unknown, path: Path): unknown {
--- a/test/command/command.test.ts
+++ b/test/command/command.test.ts
@@ -62,7 +62,7 @@
         clock,
         random: makeRandom(1),
         givenProxies: [],
-        healthOffset: 2000,
+        healthPortOffset: 2000,
         json: flags.json === true,
         proxies: {
           readSummary: async ({ host }) => {
