--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -95,8 +95,8 @@
     invariant: "A caller receives the whole answer to its own request",
     safeguard: "an answer that nobody asked for closes the connection",
     file: "src/target/session.ts",
-    find: 'if (!unasked.has(message[0] ?? 0)) this.drop("an answer came that nobody asked for");',
-    put: "void unasked.has(message[0] ?? 0);",
+    find: 'if (!asynchronousCodes.has(message[0] ?? 0)) this.terminate("an answer came that nobody asked for");',
+    put: "void asynchronousCodes.has(message[0] ?? 0);",
     tests: "test/target",
   },
   {
--- a/src/direct/callers.ts
+++ b/src/direct/callers.ts
@@ -148,7 +148,7 @@
     this.rejectAndClose(reply);
   }
 
-  handleStall(): void {
+  handleLineTimeout(): void {
     this.rejectAndClose(failLocally("malformed", "a line was not completed in time", "idle"));
   }
 
--- a/src/lines/link.ts
+++ b/src/lines/link.ts
@@ -12,7 +12,7 @@
 export interface TargetCodec {
   encode(command: TargetCommand): string;
   /** For the answer to the opening line, an error ends the answer; the target then closes. */
-  createReader(answers: "opening" | "command"): ReplyReader;
+  createReader(phase: "opening" | "command"): ReplyReader;
 }
 
 /** What opening a connection needs. */
@@ -21,7 +21,7 @@
   readonly address: Address;
   readonly codec: TargetCodec;
   /** The line that opens the conversation; its answer is one reply. */
-  readonly opening: string;
+  readonly openingLine: string;
   readonly maxLineBytes: number;
   readonly timeoutMs: number;
 }
@@ -45,7 +45,7 @@
   const socket = connect({ host, port, noDelay: true });
   const link = new LineLink(options, socket);
   const reader = options.codec.createReader("opening");
-  const result = await link.exchange(options.opening, reader, options.timeoutMs);
+  const result = await link.exchange(options.openingLine, reader, options.timeoutMs);
   if (result.type === "broken") throw new LinkError(result.reason, "unreachable");
   if (result.reply.end.type === "error") {
     link.close();
@@ -74,8 +74,8 @@
     this.target = options.target;
     this.splitter = new LineSplitter(options.maxLineBytes);
     socket.on("data", (chunk: Buffer) => this.handleChunk(chunk));
-    socket.on("error", (error) => this.drop(error.message));
-    socket.on("close", () => this.drop("the target closed the connection"));
+    socket.on("error", (error) => this.terminate(error.message));
+    socket.on("close", () => this.terminate("the target closed the connection"));
   }
 
   get isUsable(): boolean {
@@ -95,7 +95,7 @@
       return Promise.resolve({ type: "broken", sent: false, reason });
     }
     return new Promise((resolve) => {
-      const timer = setTimeout(() => this.drop("no answer in time"), Math.max(1, timeoutMs));
+      const timer = setTimeout(() => this.terminate("no answer in time"), Math.max(1, timeoutMs));
       const end = (result: CommandResult) => {
         clearTimeout(timer);
         resolve(result);
@@ -106,12 +106,12 @@
   }
 
   close(): void {
-    this.drop("closed here");
+    this.terminate("closed here");
   }
 
   private handleChunk(chunk: Buffer): void {
     for (const event of this.splitter.push(chunk)) {
-      if (event.type === "unreadable") this.drop(`unreadable answer: ${event.reason}`);
+      if (event.type === "unreadable") this.terminate(`unreadable answer: ${event.reason}`);
       else this.handleLine(event.text);
     }
   }
@@ -123,20 +123,20 @@
   private handleLine(line: string): void {
     const { current } = this;
     if (current === undefined) {
-      this.drop("a line came that answers nothing");
+      this.terminate("a line came that answers nothing");
       return;
     }
     const read = current.reader.read(line);
     if (read === "more") return;
     if (read === "unreadable") {
-      this.drop("an answer came that is not of the protocol");
+      this.terminate("an answer came that is not of the protocol");
       return;
     }
     this.current = undefined;
     current.end({ type: "answered", reply: read });
   }
 
-  private drop(reason: string): void {
+  private terminate(reason: string): void {
     if (!this.isOpen) return;
     this.isOpen = false;
     this.socket.destroy();
--- a/src/lines/server.ts
+++ b/src/lines/server.ts
@@ -14,7 +14,7 @@
   handleLine(line: string): void;
   handleUnreadable(reason: "tooLong" | "strayBreak"): void;
   /** Half a line has waited for longer than the limit. */
-  handleStall(): void;
+  handleLineTimeout(): void;
   handleClose(): void;
 }
 
@@ -23,7 +23,7 @@
   readonly address: Address;
   readonly maxLineBytes: number;
   /** How long a line may take from its first byte to its end, in milliseconds. */
-  readonly findLineTimeoutMs: () => number;
+  readonly getLineTimeoutMs: () => number;
   readonly accept: (connection: LineConnection) => LineHandler;
 }
 
@@ -54,12 +54,12 @@
   }
 
   /** Accepts no more connections; open ones stay. */
-  refuseNew(): void {
+  stopAccepting(): void {
     if (this.server.listening) this.server.close();
   }
 
   dispose(): void {
-    this.refuseNew();
+    this.stopAccepting();
     for (const socket of this.sockets) socket.destroy();
   }
 
@@ -82,8 +82,8 @@
         else handler.handleUnreadable(event.reason);
       }
       clearTimeout(stall);
-      stall = splitter.isInside
-        ? setTimeout(() => handler.handleStall(), this.options.findLineTimeoutMs())
+      stall = splitter.hasPartialLine
+        ? setTimeout(() => handler.handleLineTimeout(), this.options.getLineTimeoutMs())
         : undefined;
     });
     // A reset brings an error and then the close, which is handled below.
--- a/src/lines/splitter.ts
+++ b/src/lines/splitter.ts
@@ -15,62 +15,62 @@
  * reader that takes it for a break, and the rest would run as a statement of its own.
  */
 export class LineSplitter {
-  private waiting: Buffer[] = [];
-  private waitingBytes = 0;
+  private pending: Buffer[] = [];
+  private pendingBytes = 0;
   private isBroken = false;
 
   constructor(private readonly maxBytes: number) {}
 
   /** Whether a line has begun and not ended. */
-  get isInside(): boolean {
-    return this.waitingBytes > 0;
+  get hasPartialLine(): boolean {
+    return this.pendingBytes > 0;
   }
 
   push(chunk: Buffer): readonly LineEvent[] {
     if (this.isBroken) return [];
     const events: LineEvent[] = [];
-    const input = this.joinWaiting(chunk);
+    const input = this.joinPending(chunk);
     let start = 0;
     for (;;) {
       const end = input.indexOf(lineFeed, start);
       if (end === -1) break;
       const event = readLine(input.subarray(start, end), this.maxBytes);
       events.push(event);
-      if (event.type === "unreadable") return this.break(events);
+      if (event.type === "unreadable") return this.stop(events);
       start = end + 1;
     }
-    return this.keep(input.subarray(start), events);
+    return this.keepRest(input.subarray(start), events);
   }
 
-  private joinWaiting(chunk: Buffer): Buffer {
-    if (this.waitingBytes === 0) return chunk;
+  private joinPending(chunk: Buffer): Buffer {
+    if (this.pendingBytes === 0) return chunk;
     // Joined only once a line ends: joining at each piece would copy a long line again and again.
-    if (!chunk.includes(lineFeed) && this.waitingBytes + chunk.length <= this.maxBytes) {
-      this.waiting.push(chunk);
-      this.waitingBytes += chunk.length;
+    if (!chunk.includes(lineFeed) && this.pendingBytes + chunk.length <= this.maxBytes) {
+      this.pending.push(chunk);
+      this.pendingBytes += chunk.length;
       return Buffer.alloc(0);
     }
-    const joined = Buffer.concat([...this.waiting, chunk]);
-    this.waiting = [];
-    this.waitingBytes = 0;
+    const joined = Buffer.concat([...this.pending, chunk]);
+    this.pending = [];
+    this.pendingBytes = 0;
     return joined;
   }
 
-  private keep(rest: Buffer, events: LineEvent[]): readonly LineEvent[] {
+  private keepRest(rest: Buffer, events: LineEvent[]): readonly LineEvent[] {
     if (rest.length === 0) return events;
     if (rest.length > this.maxBytes) {
       events.push({ type: "unreadable", reason: "tooLong" });
-      return this.break(events);
+      return this.stop(events);
     }
-    this.waiting = [rest];
-    this.waitingBytes = rest.length;
+    this.pending = [rest];
+    this.pendingBytes = rest.length;
     return events;
   }
 
-  private break(events: LineEvent[]): readonly LineEvent[] {
+  private stop(events: LineEvent[]): readonly LineEvent[] {
     this.isBroken = true;
-    this.waiting = [];
-    this.waitingBytes = 0;
+    this.pending = [];
+    this.pendingBytes = 0;
     return events;
   }
 }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -185,7 +185,7 @@
       new LineServer({
         address: settings.callers,
         maxLineBytes: adapter.maxLineBytes,
-        findLineTimeoutMs: () => this.follower.scene.lineTimeoutMs,
+        getLineTimeoutMs: () => this.follower.scene.lineTimeoutMs,
         accept: (connection) => this.callers.accept(connection),
       }),
     );
@@ -196,7 +196,7 @@
       countInFlight: () => this.countInFlight(),
       onAnnounce: () => this.changer.stop(),
       onRefuseNew: () => {
-        this.server.refuseNew();
+        this.server.stopAccepting();
         this.callers.drain();
       },
     });
--- a/src/owner/connections.ts
+++ b/src/owner/connections.ts
@@ -29,7 +29,7 @@
   const ports: PoolPorts<TargetSession> = {
     open: (timeoutMs) => connector.open(target, database, timeoutMs),
     check: checkSession,
-    isTooMany: (error) => error instanceof OpenError && error.state === tooManyConnectionsState,
+    isTooMany: (error) => error instanceof OpenError && error.sqlState === tooManyConnectionsState,
   };
   return new TargetPool(ports, clock, { settings: { limit: target.connections } });
 }
--- a/src/platform/call.ts
+++ b/src/platform/call.ts
@@ -1,14 +1,14 @@
-import { UnsentError, type CallPool } from "./pool.js";
+import { UnsentError, type HttpPool } from "./pool.js";
 
 /** What came of one HTTP call. */
-export type CallResult =
+export type HttpCallResult =
   | { readonly type: "answered"; readonly status: number; readonly body: unknown }
   /** No byte of the request can have reached the platform. */
   | { readonly type: "notSent"; readonly reason: string }
   | { readonly type: "lost"; readonly reason: string };
 
 /** One HTTP call to the platform. */
-export interface Call {
+export interface HttpCall {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   readonly headers?: Readonly<Record<string, string>>;
   readonly path: string;
@@ -17,9 +17,9 @@
   readonly signal?: AbortSignal;
 }
 
-const firstErrorStatus = 400;
+const minErrorStatus = 400;
 /** The signal goes first where it works: its reason says more. */
-const signalMarginMs = 5;
+const timerDelayMs = 5;
 
 /** Failures of connecting: the request was not begun. */
 const connectFailures: ReadonlySet<string> = new Set([
@@ -36,19 +36,25 @@
  * connect, and whoever waits for it stands still meanwhile; a timer of its own ends the call. The
  * signal stays, to end what the pool has begun.
  */
-export async function sendCall(pool: Pick<CallPool, "request">, call: Call): Promise<CallResult> {
+export async function sendHttpCall(
+  pool: Pick<HttpPool, "request">,
+  call: HttpCall,
+): Promise<HttpCallResult> {
   let timer: NodeJS.Timeout | undefined;
-  const late = new Promise<CallResult>((resolve) => {
+  const late = new Promise<HttpCallResult>((resolve) => {
     timer = setTimeout(() => {
       resolve({ type: "lost", reason: "no answer in time" });
-    }, call.timeoutMs + signalMarginMs);
+    }, call.timeoutMs + timerDelayMs);
   });
   const result = await Promise.race([sendOverPool(pool, call), late]);
   clearTimeout(timer);
   return result;
 }
 
-async function sendOverPool(pool: Pick<CallPool, "request">, call: Call): Promise<CallResult> {
+async function sendOverPool(
+  pool: Pick<HttpPool, "request">,
+  call: HttpCall,
+): Promise<HttpCallResult> {
   const timeout = AbortSignal.timeout(call.timeoutMs);
   const signal = call.signal === undefined ? timeout : AbortSignal.any([timeout, call.signal]);
   try {
@@ -61,7 +67,7 @@
     });
     return { type: "answered", status: statusCode, body: parseBody(text, statusCode) };
   } catch (error) {
-    return describeFailure(error);
+    return toFailureResult(error);
   }
 }
 
@@ -70,12 +76,12 @@
   try {
     return JSON.parse(text) as unknown;
   } catch (error) {
-    if (status >= firstErrorStatus) return undefined;
+    if (status >= minErrorStatus) return undefined;
     throw error;
   }
 }
 
-function describeFailure(error: unknown): CallResult {
+function toFailureResult(error: unknown): HttpCallResult {
   const { code, message } = error as { readonly code?: unknown; readonly message?: unknown };
   const isRefused = typeof code === "string" && connectFailures.has(code);
   const isUnsent = error instanceof UnsentError || isRefused;
--- a/src/platform/client.ts
+++ b/src/platform/client.ts
@@ -1,8 +1,8 @@
 import { targetEvents } from "../log/events/target.js";
 import { silentLogger, type Logger } from "../log/index.js";
 import type { Disposable, Json, StoredObject, StoreRead, StoreWrite } from "../model/index.js";
-import { sendCall, type Call, type CallResult } from "./call.js";
-import { openCallPool, type CallPool } from "./pool.js";
+import { sendHttpCall, type HttpCall, type HttpCallResult } from "./call.js";
+import { openHttpPool, type HttpPool } from "./pool.js";
 
 /** How a platform's store is reached. */
 export interface StoreClientOptions {
@@ -29,19 +29,19 @@
   readonly revision: number;
 }
 
-type CallSpec = Pick<Call, "method" | "path" | "body">;
+type StoreRequest = Pick<HttpCall, "method" | "path" | "body">;
 
 /** How one platform's store writes its calls and answers. */
 export interface StoreDialect {
-  get(kind: string, name: string): CallSpec;
-  list(kind: string, after?: string): CallSpec;
+  get(kind: string, name: string): StoreRequest;
+  list(kind: string, after?: string): StoreRequest;
   /** Version 0 means that the object must not exist. */
-  put(kind: string, name: string, value: Json, version: number): CallSpec;
-  remove(kind: string, name: string, version: number): CallSpec;
+  put(kind: string, name: string, value: Json, version: number): StoreRequest;
+  remove(kind: string, name: string, version: number): StoreRequest;
   decodeObject(kind: string, body: unknown): StoredObject | undefined;
   decodePage(kind: string, body: unknown): StorePage | undefined;
   /** Whether a status says that a write was turned away and not done. */
-  isTurnedAway(status: number): boolean;
+  isWriteRejected(status: number): boolean;
 }
 
 const ok = 200;
@@ -55,7 +55,7 @@
 export class StoreClient implements Disposable {
   protected readonly timeoutMs: number;
   protected readonly logger: Logger;
-  private calls: CallPool;
+  private pool: HttpPool;
   private readonly connections: number;
 
   constructor(
@@ -65,13 +65,13 @@
     this.timeoutMs = timeoutMs ?? 2_000;
     this.logger = logger ?? silentLogger;
     this.connections = connections ?? 4;
-    this.calls = openCallPool(url, this.connections);
+    this.pool = openHttpPool(url, this.connections);
   }
 
   /** Reaches the store at another origin from now on; calls on their way end where they are. */
   setUrl(url: string): void {
-    const before = this.calls;
-    this.calls = openCallPool(url, this.connections);
+    const before = this.pool;
+    this.pool = openHttpPool(url, this.connections);
     before.close();
   }
 
@@ -82,12 +82,12 @@
   }
 
   async list(kind: string): Promise<StoreRead<readonly StoredObject[]>> {
-    const read = await this.readListing(kind);
+    const read = await this.listWithRevision(kind);
     return read.type === "found" ? { type: "found", value: read.value.objects } : read;
   }
 
   /** Lists a kind, all pages of it, with the store's revision. */
-  async readListing(kind: string): Promise<StoreRead<StoreListing>> {
+  async listWithRevision(kind: string): Promise<StoreRead<StoreListing>> {
     const objects: StoredObject[] = [];
     let revision: number | undefined;
     let after: string | undefined;
@@ -102,7 +102,7 @@
       after = read.value.next;
       if (after === undefined) return { type: "found", value: { objects, revision } };
     }
-    return this.noteUnavailable(kind, "a listing without an end");
+    return this.reportUnavailable(kind, "a listing without an end");
   }
 
   async put(kind: string, name: string, value: Json, version: number): Promise<StoreWrite> {
@@ -114,47 +114,47 @@
   }
 
   dispose(): void {
-    this.calls.destroy();
+    this.pool.destroy();
   }
 
-  protected send(call: CallSpec): Promise<CallResult> {
-    return sendCall(this.calls, { ...call, timeoutMs: this.timeoutMs });
+  protected send(call: StoreRequest): Promise<HttpCallResult> {
+    return sendHttpCall(this.pool, { ...call, timeoutMs: this.timeoutMs });
   }
 
   /** Reads an answer. One of another shape counts as none. */
   protected parse<T>(
     path: string,
-    result: CallResult,
+    result: HttpCallResult,
     decode: (body: unknown) => T | undefined,
   ): StoreRead<T> {
-    if (result.type !== "answered") return this.noteUnavailable(path, result.reason);
+    if (result.type !== "answered") return this.reportUnavailable(path, result.reason);
     if (result.status === notFound) return { type: "absent" };
     const value = result.status === ok ? decode(result.body) : undefined;
     if (value !== undefined) return { type: "found", value };
-    return this.noteUnavailable(path, `status ${result.status}, or an answer of another shape`);
+    return this.reportUnavailable(path, `status ${result.status}, or an answer of another shape`);
   }
 
-  private async write(kind: string, call: CallSpec): Promise<StoreWrite> {
+  private async write(kind: string, call: StoreRequest): Promise<StoreWrite> {
     const result = await this.send(call);
-    if (result.type === "notSent") return this.noteUnavailable(call.path, result.reason);
-    if (result.type === "lost") return this.noteLost(call.path, result.reason);
+    if (result.type === "notSent") return this.reportUnavailable(call.path, result.reason);
+    if (result.type === "lost") return this.reportLostAnswer(call.path, result.reason);
     const { status } = result;
     if (status === conflict) return { type: "conflict" };
     const isDone = status === ok || status === created;
     const object = isDone ? this.dialect.decodeObject(kind, result.body) : undefined;
     if (object !== undefined) return { type: "written", object };
-    if (this.dialect.isTurnedAway(status) || !(isDone || status >= 500)) {
-      return this.noteUnavailable(call.path, `status ${status}`);
+    if (this.dialect.isWriteRejected(status) || !(isDone || status >= 500)) {
+      return this.reportUnavailable(call.path, `status ${status}`);
     }
-    return this.noteLost(call.path, `status ${status}`);
+    return this.reportLostAnswer(call.path, `status ${status}`);
   }
 
-  private noteUnavailable(path: string, reason: string) {
+  private reportUnavailable(path: string, reason: string) {
     this.logger.write(targetEvents.storeUnavailable, { path, reason });
     return { type: "unavailable", reason } as const;
   }
 
-  private noteLost(path: string, reason: string) {
+  private reportLostAnswer(path: string, reason: string) {
     this.logger.write(targetEvents.storeAnswerLost, { path, reason });
     return { type: "unknown", reason } as const;
   }
--- a/src/platform/dialect.ts
+++ b/src/platform/dialect.ts
@@ -1,9 +1,9 @@
 import type { Json } from "../model/index.js";
 import type { StoreDialect } from "./client.js";
-import { objectList, storedObject } from "./wire.js";
+import { objectListSchema, storedObjectSchema } from "./schemas.js";
 
 /** The store as the project's own stand-in speaks it. */
-export const ownDialect: StoreDialect = {
+export const standinDialect: StoreDialect = {
   get: (kind, name) => ({ method: "GET", path: makePath(kind, name) }),
   list: (kind) => ({ method: "GET", path: makePath(kind) }),
   put: (kind, name, value: Json, version) => ({
@@ -15,14 +15,14 @@
     method: "DELETE",
     path: `${makePath(kind, name)}?version=${version}`,
   }),
-  decodeObject: (_kind, body) => storedObject.safeParse(body).data,
+  decodeObject: (_kind, body) => storedObjectSchema.safeParse(body).data,
   decodePage: (_kind, body) => {
-    const list = objectList.safeParse(body).data;
+    const list = objectListSchema.safeParse(body).data;
     if (list === undefined) return undefined;
     const revision = list.objects.reduce((most, { version }) => Math.max(most, version), 0);
     return { objects: list.objects, revision };
   },
-  isTurnedAway: () => false,
+  isWriteRejected: () => false,
 };
 
 function makePath(...parts: readonly string[]): string {
--- a/src/platform/pool.ts
+++ b/src/platform/pool.ts
@@ -1,7 +1,7 @@
 import { Agent, request, type ClientRequest } from "node:http";
 
 /** What a pool is asked to send. */
-export interface PooledCall {
+export interface HttpRequest {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
@@ -10,15 +10,15 @@
 }
 
 /** A whole answer. */
-export interface PooledAnswer {
+export interface HttpResponse {
   readonly statusCode: number;
   readonly text: string;
 }
 
 /** Kept-alive connections to one origin. */
-export interface CallPool {
+export interface HttpPool {
   /** Rejects with an `UnsentError` when the call was given up before a connection stood. */
-  request(call: PooledCall): Promise<PooledAnswer>;
+  request(call: HttpRequest): Promise<HttpResponse>;
   /** Closes the connections that no call uses, and the others as their calls end. */
   close(): void;
   /** Closes all connections. */
@@ -31,7 +31,7 @@
 }
 
 /** Opens a pool of at most `connections` to an origin such as `http://10.0.0.1:8080`. */
-export function openCallPool(origin: string, connections: number): CallPool {
+export function openHttpPool(origin: string, connections: number): HttpPool {
   const agent = new Agent({
     keepAlive: true,
     maxSockets: connections,
@@ -46,11 +46,11 @@
           call,
         );
       } catch (error) {
-        closeIdle(agent);
+        closeIdleConnections(agent);
         throw error;
       }
     },
-    close: () => closeIdle(agent),
+    close: () => closeIdleConnections(agent),
     destroy: () => agent.destroy(),
   };
 }
@@ -60,13 +60,13 @@
  * idle ones are closed with it, since each that is as old would cost one more call its whole time, and
  * after two of them a proxy may use primaries no more.
  */
-function closeIdle(agent: Agent): void {
+function closeIdleConnections(agent: Agent): void {
   for (const sockets of Object.values(agent.freeSockets)) {
     for (const socket of sockets ?? []) socket.destroy();
   }
 }
 
-function exchange(sending: ClientRequest, call: PooledCall): Promise<PooledAnswer> {
+function exchange(sending: ClientRequest, call: HttpRequest): Promise<HttpResponse> {
   return new Promise((resolve, reject) => {
     let hasConnection = false;
     const giveUp = () => {
--- a/src/platform/wire.ts
+++ b/src/platform/schemas.ts
@@ -1,25 +1,25 @@
 import { z } from "zod";
 import type { Json } from "../model/index.js";
 
-const json = z.custom<Json>((value) => value !== undefined);
-const address = z.object({ host: z.string(), port: z.int() });
+const jsonSchema = z.custom<Json>((value) => value !== undefined);
+const addressSchema = z.object({ host: z.string(), port: z.int() });
 
 /** An object as the platform sends it. */
-export const storedObject = z.object({
+export const storedObjectSchema = z.object({
   kind: z.string(),
   name: z.string(),
   version: z.int(),
-  value: json,
+  value: jsonSchema,
 });
 
 /** The answer to a listing of a kind. */
-export const objectList = z.object({ objects: z.array(storedObject) });
+export const objectListSchema = z.object({ objects: z.array(storedObjectSchema) });
 
 /** The answer to a watch: changes, and the version up to which they go. */
-export const changeList = z.object({
+export const changeListSchema = z.object({
   changes: z.array(
     z.discriminatedUnion("type", [
-      z.object({ type: z.literal("changed"), object: storedObject }),
+      z.object({ type: z.literal("changed"), object: storedObjectSchema }),
       z.object({ type: z.literal("removed"), kind: z.string(), name: z.string() }),
     ]),
   ),
@@ -27,19 +27,19 @@
 });
 
 /** The platform's list of VMs. */
-export const vmList = z.object({
+export const vmListSchema = z.object({
   vms: z.array(
     z.object({
       name: z.string(),
       dataCentre: z.string(),
-      peer: address,
+      peer: addressSchema,
       state: z.enum(["live", "leaving"]),
     }),
   ),
 });
 
 /** The database groups that the platform runs. */
-export const groupList = z.object({
+export const groupListSchema = z.object({
   groups: z.array(
     z.object({
       name: z.string(),
@@ -47,7 +47,7 @@
         z.object({
           name: z.string(),
           dataCentre: z.string(),
-          address,
+          address: addressSchema,
           slots: z.int(),
           connections: z.int(),
         }),
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -1,11 +1,11 @@
 import type { ZodType } from "zod";
 import { targetEvents } from "../log/events/target.js";
 import type { Group, ObjectStore, StoreChange, StoreRead, Vm } from "../model/index.js";
-import { sendCall } from "./call.js";
+import { sendHttpCall } from "./call.js";
 import { StoreClient, type StoreClientOptions } from "./client.js";
-import { ownDialect } from "./dialect.js";
-import { openCallPool, type CallPool } from "./pool.js";
-import { changeList, groupList, vmList } from "./wire.js";
+import { standinDialect } from "./dialect.js";
+import { openHttpPool, type HttpPool } from "./pool.js";
+import { changeListSchema, groupListSchema, vmListSchema } from "./schemas.js";
 
 /** How the platform's service is reached. */
 export interface HttpObjectStoreOptions extends StoreClientOptions {
@@ -17,14 +17,14 @@
 
 /** The platform's object API over HTTP and JSON, with watches by waiting calls. */
 export class HttpObjectStore extends StoreClient implements ObjectStore {
-  private readonly watches: CallPool;
+  private readonly watchPool: HttpPool;
   private readonly watchWaitMs: number;
 
   constructor(options: HttpObjectStoreOptions) {
-    super(options, ownDialect);
+    super(options, standinDialect);
     this.watchWaitMs = options.watchWaitMs ?? 30_000;
     // Watches have connections of their own: calls would queue behind those that wait.
-    this.watches = openCallPool(options.url, maxWatches);
+    this.watchPool = openHttpPool(options.url, maxWatches);
   }
 
   async watch(
@@ -35,7 +35,7 @@
   ): Promise<void> {
     let after = afterVersion;
     while (!isAborted(signal)) {
-      const result = await this.waitChanges(kind, after, signal);
+      const result = await this.requestChanges(kind, after, signal);
       if (isAborted(signal)) return;
       if (result.type !== "found") {
         this.logger.write(targetEvents.watchBroken, { kind, after });
@@ -48,16 +48,16 @@
   }
 
   listVms(): Promise<StoreRead<readonly Vm[]>> {
-    return this.readPath("/vms", vmList, ({ vms }) => vms);
+    return this.readPath("/vms", vmListSchema, ({ vms }) => vms);
   }
 
   listGroups(): Promise<StoreRead<readonly Group[]>> {
-    return this.readPath("/groups", groupList, ({ groups }) => groups);
+    return this.readPath("/groups", groupListSchema, ({ groups }) => groups);
   }
 
   override dispose(): void {
     super.dispose();
-    this.watches.destroy();
+    this.watchPool.destroy();
   }
 
   private async readPath<T, R>(
@@ -70,11 +70,11 @@
     return read.type === "found" ? { type: "found", value: pick(read.value) } : read;
   }
 
-  private async waitChanges(kind: string, after: number, signal: AbortSignal) {
+  private async requestChanges(kind: string, after: number, signal: AbortSignal) {
     const path = `/watch/${encodeURIComponent(kind)}?after=${after}&waitMs=${this.watchWaitMs}`;
     const timeoutMs = this.watchWaitMs + this.timeoutMs;
-    const result = await sendCall(this.watches, { method: "GET", path, timeoutMs, signal });
-    return this.parse(path, result, (body) => changeList.safeParse(body).data);
+    const result = await sendHttpCall(this.watchPool, { method: "GET", path, timeoutMs, signal });
+    return this.parse(path, result, (body) => changeListSchema.safeParse(body).data);
   }
 }
 
--- a/src/target/connector.ts
+++ b/src/target/connector.ts
@@ -21,15 +21,15 @@
 
   constructor(
     message: string,
-    readonly state?: string,
+    readonly sqlState?: string,
   ) {
     super(message);
   }
 }
 
-const authentication = 0x52;
-const errorResponse = 0x45;
-const ready = 0x5a;
+const authenticationCode = 0x52;
+const errorResponseCode = 0x45;
+const readyForQueryCode = 0x5a;
 const headerBytes = 5;
 
 /** Opens connections in the PostgreSQL protocol, without encryption or a password. */
@@ -80,9 +80,9 @@
 
 function readStartUp(frames: FrameSplitter, chunk: Buffer): "ready" | "more" | OpenError {
   for (const message of frames.push(chunk)) {
-    if (message[0] === ready) return "ready";
-    if (message[0] === errorResponse) return readError(message);
-    if (message[0] === authentication && message.readInt32BE(headerBytes) !== 0) {
+    if (message[0] === readyForQueryCode) return "ready";
+    if (message[0] === errorResponseCode) return readError(message);
+    if (message[0] === authenticationCode && message.readInt32BE(headerBytes) !== 0) {
       return new OpenError("the target asks for a kind of authentication that is not supported");
     }
   }
--- a/src/target/control.ts
+++ b/src/target/control.ts
@@ -22,13 +22,13 @@
   readonly logger?: Logger;
 }
 
-interface Lane {
+interface ControlConnection {
   readonly client: pg.Client;
   readonly ready: Promise<unknown>;
   isBusy: boolean;
 }
 
-type LaneName = "command" | "watch";
+type ConnectionUse = "command" | "watch";
 
 type Reply =
   | { readonly type: "accepted"; readonly status: TargetStatus }
@@ -39,7 +39,7 @@
  * commands and one for waiting status requests, so that a fence never queues behind a wait.
  */
 export class PgTargetControl implements TargetControl, Disposable {
-  private readonly lanes = new Map<string, Lane>();
+  private readonly connections = new Map<string, ControlConnection>();
 
   constructor(private readonly options: ControlOptions = {}) {}
 
@@ -74,40 +74,40 @@
   }
 
   dispose(): void {
-    for (const key of [...this.lanes.keys()]) this.drop(key);
+    for (const key of [...this.connections.keys()]) this.remove(key);
   }
 
   private async send(
     target: Target,
-    name: LaneName | undefined,
+    name: ConnectionUse | undefined,
     call: string,
     values: readonly (string | number)[],
     timeoutMs: number,
   ): Promise<ControlResult> {
-    const { key, lane } = this.open(target, name);
+    const { key, lane } = this.acquire(target, name);
     lane.isBusy = true;
     try {
-      const reply = await withTimeout(this.ask(lane, call, values), timeoutMs);
-      if (key === undefined) end(lane);
+      const reply = await withTimeout(this.query(lane, call, values), timeoutMs);
+      if (key === undefined) destroyConnection(lane);
       lane.isBusy = false;
       return reply;
     } catch (error) {
       // A request that timed out may still be answered, and the connection may be silent for good.
       // The next request on it would then wait in vain, so it gets a new connection.
-      if (key === undefined) end(lane);
-      else this.drop(key, lane);
-      return this.noteUnreachable(target, call, String(error));
+      if (key === undefined) destroyConnection(lane);
+      else this.remove(key, lane);
+      return this.reportUnreachable(target, call, String(error));
     }
   }
 
-  private noteUnreachable(target: Target, call: string, reason: string): ControlResult {
+  private reportUnreachable(target: Target, call: string, reason: string): ControlResult {
     const { logger = silentLogger } = this.options;
     logger.write(targetEvents.unreachable, { target: target.name, call, reason });
     return { type: "unreachable", reason };
   }
 
-  private async ask(
-    lane: Lane,
+  private async query(
+    lane: ControlConnection,
     call: string,
     values: readonly (string | number)[],
   ): Promise<ControlResult> {
@@ -124,21 +124,21 @@
   }
 
   /** A kept connection, or one for this call alone when none was asked for or it is busy. */
-  private open(target: Target, name: LaneName | undefined): { key?: string; lane: Lane } {
+  private acquire(target: Target, name: ConnectionUse | undefined): { key?: string; lane: ControlConnection } {
     if (name === undefined) return { lane: this.connect(target) };
     const { host, port } = target.address;
     const key = `${name} ${host}:${port}`;
-    const kept = this.lanes.get(key);
+    const kept = this.connections.get(key);
     if (kept?.isBusy === true) return { lane: this.connect(target) };
     const lane = kept ?? this.connect(target);
     if (kept === undefined) {
-      this.lanes.set(key, lane);
-      lane.client.on("end", () => this.drop(key, lane));
+      this.connections.set(key, lane);
+      lane.client.on("end", () => this.remove(key, lane));
     }
     return { key, lane };
   }
 
-  private connect(target: Target): Lane {
+  private connect(target: Target): ControlConnection {
     const client = new pg.Client({
       ...target.address,
       user: this.options.user ?? "radishwalk",
@@ -151,15 +151,15 @@
     return { client, ready, isBusy: false };
   }
 
-  private drop(key: string, lane = this.lanes.get(key)): void {
+  private remove(key: string, lane = this.connections.get(key)): void {
     if (lane === undefined) return;
-    if (this.lanes.get(key) === lane) this.lanes.delete(key);
-    end(lane);
+    if (this.connections.get(key) === lane) this.connections.delete(key);
+    destroyConnection(lane);
   }
 }
 
 /** Ends a connection without waiting for its far end, which may be silent. */
-function end({ client }: Lane): void {
+function destroyConnection({ client }: ControlConnection): void {
   client.end().catch(() => undefined);
   client.connection.stream.destroy();
 }
--- a/src/target/frames.ts
+++ b/src/target/frames.ts
@@ -4,29 +4,29 @@
 
 /** Splits a byte stream into whole protocol messages, type byte and length included. */
 export class FrameSplitter {
-  private parts: Buffer[] = [];
-  private bytes = 0;
+  private chunks: Buffer[] = [];
+  private byteCount = 0;
 
   /** Whether a message has begun that has not ended yet. */
-  get isWithin(): boolean {
-    return this.bytes > 0;
+  get hasPartialMessage(): boolean {
+    return this.byteCount > 0;
   }
 
   /** Takes a chunk and hands back the messages that it completes. Throws on a false length. */
   push(chunk: Buffer): readonly Buffer[] {
-    this.parts.push(chunk);
-    this.bytes += chunk.length;
-    if (this.bytes < this.findNeeded()) return [];
-    const [only = chunk, ...more] = this.parts;
-    return this.split(more.length === 0 ? only : Buffer.concat(this.parts));
+    this.chunks.push(chunk);
+    this.byteCount += chunk.length;
+    if (this.byteCount < this.getNeededBytes()) return [];
+    const [only = chunk, ...more] = this.chunks;
+    return this.split(more.length === 0 ? only : Buffer.concat(this.chunks));
   }
 
   /** The bytes that the message at the front needs, as far as its header is there. */
-  private findNeeded(): number {
-    const [first] = this.parts;
-    if (first === undefined || this.bytes < headerBytes) return headerBytes;
-    if (first.length < headerBytes) this.parts = [Buffer.concat(this.parts)];
-    return readLength(this.parts[0] ?? first, 0);
+  private getNeededBytes(): number {
+    const [first] = this.chunks;
+    if (first === undefined || this.byteCount < headerBytes) return headerBytes;
+    if (first.length < headerBytes) this.chunks = [Buffer.concat(this.chunks)];
+    return readLength(this.chunks[0] ?? first, 0);
   }
 
   private split(data: Buffer): readonly Buffer[] {
@@ -38,8 +38,8 @@
       messages.push(data.subarray(start, end));
       start = end;
     }
-    this.parts = start < data.length ? [data.subarray(start)] : [];
-    this.bytes = data.length - start;
+    this.chunks = start < data.length ? [data.subarray(start)] : [];
+    this.byteCount = data.length - start;
     return messages;
   }
 }
--- a/src/target/session.ts
+++ b/src/target/session.ts
@@ -9,11 +9,11 @@
   readonly end: (result: ExchangeResult) => void;
 }
 
-const readyCode = 0x5a;
+const readyForQueryCode = 0x5a;
 const statusOffset = 5;
 
 /** Messages that a target may send at any time: notice, parameter status, error before closing. */
-const unasked: ReadonlySet<number> = new Set([0x4e, 0x53, 0x45]);
+const asynchronousCodes: ReadonlySet<number> = new Set([0x4e, 0x53, 0x45]);
 
 /** One connection to a target, after its start-up. */
 export class PgTargetSession implements TargetSession {
@@ -22,7 +22,7 @@
   private isDelivering = false;
   private current: Exchange | undefined;
   private isOpen = true;
-  private progress: NodeJS.Timeout | undefined;
+  private progressTimer: NodeJS.Timeout | undefined;
 
   constructor(
     readonly target: string,
@@ -32,8 +32,8 @@
     private readonly logger: Logger,
   ) {
     socket.on("data", (chunk) => this.handleChunk(chunk));
-    socket.on("error", (error) => this.drop(error.message));
-    socket.on("close", () => this.drop("the target closed the connection"));
+    socket.on("error", (error) => this.terminate(error.message));
+    socket.on("close", () => this.terminate("the target closed the connection"));
   }
 
   get isUsable(): boolean {
@@ -41,14 +41,14 @@
   }
 
   exchange(messages: Uint8Array, sink: MessageSink, signal: AbortSignal): Promise<ExchangeResult> {
-    const refusal = this.findRefusal(signal);
+    const refusal = this.findNotSentReason(signal);
     if (refusal !== undefined) {
       return Promise.resolve({ type: "broken", sent: false, reason: refusal });
     }
     return new Promise((resolve) => {
       // An answer that comes after the caller went would be read as the next caller's answer.
       // Closing the connection suffices: nothing of it can reach anyone any more.
-      const onAbort = () => this.drop("abandoned");
+      const onAbort = () => this.terminate("abandoned");
       signal.addEventListener("abort", onAbort, { once: true });
       const end = (result: ExchangeResult) => {
         signal.removeEventListener("abort", onAbort);
@@ -56,15 +56,15 @@
       };
       this.current = { sink, end };
       this.socket.write(messages);
-      this.watchProgress();
+      this.restartProgressTimer();
     });
   }
 
   close(): void {
-    this.drop("closed");
+    this.terminate("closed");
   }
 
-  private findRefusal(signal: AbortSignal): string | undefined {
+  private findNotSentReason(signal: AbortSignal): string | undefined {
     if (!this.isOpen) return "the connection was closed before";
     if (this.current !== undefined) return "another exchange is under way";
     return signal.aborted ? "abandoned before it was sent" : undefined;
@@ -75,71 +75,71 @@
     try {
       this.queue.push(...this.frames.push(chunk));
     } catch (error) {
-      this.drop(error instanceof Error ? error.message : String(error));
+      this.terminate(error instanceof Error ? error.message : String(error));
       return;
     }
     if (this.isDelivering) return;
-    this.watchProgress();
-    void this.relayQueue();
+    this.restartProgressTimer();
+    void this.deliverQueue();
   }
 
   /** Hands the messages on one by one. The socket rests while a sink is not ready for more. */
-  private async relayQueue(): Promise<void> {
+  private async deliverQueue(): Promise<void> {
     this.isDelivering = true;
     for (let message = this.queue.shift(); message !== undefined; message = this.queue.shift()) {
-      const pending = this.relayMessage(message);
+      const pending = this.deliverMessage(message);
       if (pending === undefined) continue;
       this.socket.pause();
-      if (!(await this.waitSink(pending))) return;
+      if (!(await this.waitForSink(pending))) return;
       this.socket.resume();
-      this.watchProgress();
+      this.restartProgressTimer();
     }
     this.isDelivering = false;
   }
 
-  private async waitSink(pending: Promise<void>): Promise<boolean> {
-    clearTimeout(this.progress);
+  private async waitForSink(pending: Promise<void>): Promise<boolean> {
+    clearTimeout(this.progressTimer);
     try {
       await pending;
     } catch (error) {
-      this.drop(`the sink failed: ${String(error)}`);
+      this.terminate(`the sink failed: ${String(error)}`);
     }
     return this.isOpen;
   }
 
-  private relayMessage(message: Buffer): Promise<void> | undefined {
+  private deliverMessage(message: Buffer): Promise<void> | undefined {
     const { current } = this;
     if (current === undefined) {
-      this.checkUnasked(message);
+      this.closeIfUnexpected(message);
       return undefined;
     }
-    if (message[0] !== readyCode) return runSink(current.sink, message);
-    this.finish(current, readStatus(message));
+    if (message[0] !== readyForQueryCode) return callSink(current.sink, message);
+    this.completeExchange(current, readStatus(message));
     return undefined;
   }
 
-  private finish(current: Exchange, status: "I" | "T" | "E"): void {
+  private completeExchange(current: Exchange, status: "I" | "T" | "E"): void {
     this.current = undefined;
-    clearTimeout(this.progress);
+    clearTimeout(this.progressTimer);
     current.end({ type: "ready", status });
   }
 
   /** An answer nobody asked for shows that the two ends disagree on where they are. */
-  private checkUnasked(message: Buffer): void {
-    if (!unasked.has(message[0] ?? 0)) this.drop("an answer came that nobody asked for");
+  private closeIfUnexpected(message: Buffer): void {
+    if (!asynchronousCodes.has(message[0] ?? 0)) this.terminate("an answer came that nobody asked for");
   }
 
-  private watchProgress(): void {
-    clearTimeout(this.progress);
+  private restartProgressTimer(): void {
+    clearTimeout(this.progressTimer);
     if (this.progressTimeoutMs === 0 || this.current === undefined) return;
-    this.progress = setTimeout(() => this.drop("no progress"), this.progressTimeoutMs);
+    this.progressTimer = setTimeout(() => this.terminate("no progress"), this.progressTimeoutMs);
   }
 
-  private drop(reason: string): void {
+  private terminate(reason: string): void {
     if (!this.isOpen) return;
     this.isOpen = false;
     this.queue = [];
-    clearTimeout(this.progress);
+    clearTimeout(this.progressTimer);
     this.socket.destroy();
     const { current } = this;
     this.current = undefined;
@@ -149,7 +149,7 @@
   }
 }
 
-function runSink(sink: MessageSink, message: Buffer): Promise<void> | undefined {
+function callSink(sink: MessageSink, message: Buffer): Promise<void> | undefined {
   try {
     const result = sink(message);
     return result instanceof Promise ? result : undefined;
--- a/test/platform/pool.test.ts
+++ b/test/platform/pool.test.ts
@@ -1,18 +1,18 @@
 import { createServer, type Server } from "node:http";
 import type { Socket } from "node:net";
 import { afterEach, beforeEach, expect, test } from "@jest/globals";
-import { sendCall } from "../../src/platform/call.js";
-import { openCallPool, type CallPool } from "../../src/platform/pool.js";
+import { sendHttpCall } from "../../src/platform/call.js";
+import { openHttpPool, type HttpPool } from "../../src/platform/pool.js";
 
 let server: Server;
-let pool: CallPool;
+let pool: HttpPool;
 const sockets = new Set<Socket>();
 const silent = new Set<Socket>();
 
 const openPool = () => {
   const address = server.address();
   const port = typeof address === "object" && address !== null ? address.port : 0;
-  return openCallPool(`http://127.0.0.1:${port}`, 3);
+  return openHttpPool(`http://127.0.0.1:${port}`, 3);
 };
 
 beforeEach(async () => {
@@ -35,7 +35,7 @@
   await new Promise((resolve) => server.close(resolve));
 });
 
-const get = (timeoutMs: number) => sendCall(pool, { method: "GET", path: "/a", timeoutMs });
+const get = (timeoutMs: number) => sendHttpCall(pool, { method: "GET", path: "/a", timeoutMs });
 
 test("a connection serves one call after the other", async () => {
   for (let i = 0; i < 5; i += 1) {
@@ -60,5 +60,5 @@
   const closed = openPool();
   await new Promise((resolve) => server.close(resolve));
   const call = { method: "PUT", path: "/a", body: "{}", timeoutMs: 5000 } as const;
-  expect((await sendCall(closed, call)).type).toBe("notSent");
+  expect((await sendHttpCall(closed, call)).type).toBe("notSent");
 });
--- a/test/platformside/codec.test.ts
+++ b/test/platformside/codec.test.ts
@@ -2,9 +2,9 @@
 import fc from "fast-check";
 import { callerCodec } from "../../platform/callers.js";
 import { parseSettings } from "../../platform/settings.js";
-import { decodeRoutes } from "../../platform/feed.js";
+import { decodeRouteTable } from "../../platform/feed.js";
 import { parseReport, targetCodec } from "../../platform/targets.js";
-import { formatPosition, parsePosition } from "../../platform/words.js";
+import { formatPosition, parsePosition } from "../../platform/protocol.js";
 import type { Reply, TargetCommand } from "../../src/statement/index.js";
 
 const word = fc.stringMatching(/^[a-z0-9_]{1,12}$/);
@@ -141,5 +141,5 @@
   ["routes that are no list", { version: 1, routes: {}, services: [] }],
   ["nothing", null],
 ])("a configuration with %s is none", (_name, value) => {
-  expect(decodeRoutes(value)).toBeUndefined();
+  expect(decodeRouteTable(value)).toBeUndefined();
 });
--- a/test/platformside/entries.test.ts
+++ b/test/platformside/entries.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import * as fc from "fast-check";
-import { decodeEntry } from "../../platform/entries.js";
-import { decodeListing } from "../../platform/feed.js";
+import { decodeTargetEntry } from "../../platform/entries.js";
+import { decodeTargetListing } from "../../platform/feed.js";
 import type { Json, StoredObject } from "../../src/model/index.js";
 
 const whole = {
@@ -27,7 +27,7 @@
 });
 
 const listNames = (objects: readonly StoredObject[]) =>
-  decodeListing(objects).targets.map(({ target }) => target.name);
+  decodeTargetListing(objects).targets.map(({ target }) => target.name);
 
 /** A value of another type than the one that stands in a target's entry. */
 const wrong = (field: keyof typeof whole) =>
@@ -42,7 +42,7 @@
     : fc.oneof(fc.constant(null), fc.boolean(), fc.nat(), fc.constant(""), fc.array(fc.string()));
 
 test("a target's own entry names it, with all that it says", () => {
-  expect(decodeEntry(store("i-1", whole))).toEqual({
+  expect(decodeTargetEntry(store("i-1", whole))).toEqual({
     type: "target",
     entry: {
       group: "ledger",
@@ -67,14 +67,14 @@
   for (const field of fields.filter((name) => name !== "born")) {
     const { [field]: left, ...rest } = whole;
     expect(left).toBeDefined();
-    expect(decodeEntry(store("i-1", rest))).toEqual({
+    expect(decodeTargetEntry(store("i-1", rest))).toEqual({
       type: "refused",
       entry: { name: "i-1", field },
     });
   }
   const { born, ...older } = whole;
   expect(born).toBeDefined();
-  expect(decodeEntry(store("i-1", older)).type).toBe("target");
+  expect(decodeTargetEntry(store("i-1", older)).type).toBe("target");
 });
 
 test("an entry with a field of another type names no target, and the others hold", () => {
@@ -88,7 +88,7 @@
           store("i-3", whole),
         ];
         expect(listNames(objects)).toEqual(["i-1", "i-3"]);
-        expect(decodeListing(objects).refused).toEqual([{ name: "i-2", field }]);
+        expect(decodeTargetListing(objects).refused).toEqual([{ name: "i-2", field }]);
       },
     ),
     { seed: 71, numRuns: 300 },
@@ -96,7 +96,7 @@
 });
 
 test("words and addresses that are not known name no target", () => {
-  const refuse = (change: object) => decodeEntry(store("i-1", { ...whole, ...change })).type;
+  const refuse = (change: object) => decodeTargetEntry(store("i-1", { ...whole, ...change })).type;
   expect(refuse({ state: "starting" })).toBe("refused");
   expect(refuse({ "db-role": "witness" })).toBe("refused");
   for (const address of ["10.0.0.4", ":80", "10.0.0.4:", "10.0.0.4:http", "10.0.0.4:0", "h:99999"])
@@ -115,6 +115,6 @@
 });
 
 test("an entry of unreadable bytes names no target", () => {
-  expect(decodeEntry(store("i-1", "\u0000\ufffd\ufffd{")).type).toBe("refused");
-  expect(decodeEntry(store("i-1", null)).type).toBe("refused");
+  expect(decodeTargetEntry(store("i-1", "\u0000\ufffd\ufffd{")).type).toBe("refused");
+  expect(decodeTargetEntry(store("i-1", null)).type).toBe("refused");
 });
--- a/test/platformside/teams.test.ts
+++ b/test/platformside/teams.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "@jest/globals";
-import { decodeRoutes } from "../../platform/feed.js";
+import { decodeRouteTable } from "../../platform/feed.js";
 import { decodeTeams } from "../../platform/teams.js";
 
 const good = { name: "cello", "api-keys": ["k1"], "rate-per-s": 5, burst: 7 };
@@ -52,22 +52,22 @@
     name: `team${t}`,
     "api-keys": Array.from({ length: 100 }, (_unused, k) => `key-${t}-${k}`),
   }));
-  const table = decodeRoutes({ version: 1, routes: [], services: [], tenants });
+  const table = decodeRouteTable({ version: 1, routes: [], services: [], tenants });
   expect(table?.roster?.findByKey("key-73-41")?.name).toBe("team73");
   expect(table?.faults).toEqual([]);
 });
 
 test("a configuration whose teams are no list is none, and one without them keeps no roster", () => {
   const plain = { version: 1, routes: [], services: [] };
-  expect(decodeRoutes({ ...plain, tenants: {} })).toBeUndefined();
-  expect(decodeRoutes(plain)).not.toHaveProperty("roster");
+  expect(decodeRouteTable({ ...plain, tenants: {} })).toBeUndefined();
+  expect(decodeRouteTable(plain)).not.toHaveProperty("roster");
 });
 
 test("a route is open to all only where it says so", () => {
   const route = { host: "stock", service: "s", type: "primary" };
   const open = [true, "true", 1, undefined].map((isOpen) => {
     const routes = [{ ...route, public: isOpen }];
-    return decodeRoutes({ version: 1, routes, services: [] })?.databases.get("stock")?.isPublic;
+    return decodeRouteTable({ version: 1, routes, services: [] })?.databases.get("stock")?.isPublic;
   });
   expect(open).toEqual([true, false, false, false]);
 });
--- a/test/target/frames.test.ts
+++ b/test/target/frames.test.ts
@@ -25,7 +25,7 @@
         rest = rest.subarray(size);
       }
       expect(out).toEqual(messages);
-      expect(frames.isWithin).toBe(false);
+      expect(frames.hasPartialMessage).toBe(false);
     }),
     { seed: 1 },
   );
--- a/test/target/target.test.ts
+++ b/test/target/target.test.ts
@@ -123,7 +123,7 @@
 test("opening fails with the target's reason, or when no answer comes in time", async () => {
   const [target] = await start({ connections: 1 });
   await open(target);
-  await expect(open(target)).rejects.toMatchObject({ state: "53300" });
+  await expect(open(target)).rejects.toMatchObject({ sqlState: "53300" });
   target.faults.running.close();
   const late = new PgTargetConnector().open(target.target, "ledger", 20);
   await expect(late).rejects.toBeInstanceOf(OpenError);
