--- a/src/platform/call.ts
+++ b/src/platform/call.ts
@@ -1,13 +1,14 @@
 import { UnsentError, type HttpPool } from "./pool.js";
 
-/** What came of one HTTP call. */
+/** The outcome of one HTTP request. */
 export type HttpCallResult =
   | { readonly type: "answered"; readonly status: number; readonly body: unknown }
-  /** No byte of the request can have reached the platform. */
+  /** No byte of the request reached the platform. */
   | { readonly type: "notSent"; readonly reason: string }
+  /** No complete answer arrived; the platform may have executed the request. */
   | { readonly type: "lost"; readonly reason: string };
 
-/** One HTTP call to the platform. */
+/** One HTTP request to the platform, with its timeout. */
 export interface HttpCall {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   readonly headers?: Readonly<Record<string, string>>;
@@ -18,10 +19,10 @@
 }
 
 const minErrorStatus = 400;
-/** The signal goes first where it works: its reason says more. */
+/** Lets the abort signal fire before the timer, because its reason is more specific. */
 const timerDelayMs = 5;
 
-/** Failures of connecting: the request was not begun. */
+/** Node.js error codes of a failed connection attempt, after which nothing was sent. */
 const connectFailures: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -30,23 +31,23 @@
 ]);
 
 /**
- * Makes one call. Never rejects, and ends within its timeout.
+ * Sends one request. Never rejects, and resolves within its timeout plus 5 ms.
  *
- * A pool that heeds a signal only once a connection stands would hang for as long as it tries to
- * connect, and whoever waits for it stands still meanwhile; a timer of its own ends the call. The
- * signal stays, to end what the pool has begun.
+ * A separate timer ends the wait: a pool that observes the abort signal only after it has connected
+ * would block the caller for as long as it tries to connect. The signal is passed on as well, so that the
+ * pool aborts a request that it has started.
  */
 export async function sendHttpCall(
   pool: Pick<HttpPool, "request">,
   call: HttpCall,
 ): Promise<HttpCallResult> {
   let timer: NodeJS.Timeout | undefined;
-  const late = new Promise<HttpCallResult>((resolve) => {
+  const timedOut = new Promise<HttpCallResult>((resolve) => {
     timer = setTimeout(() => {
       resolve({ type: "lost", reason: "no answer in time" });
     }, call.timeoutMs + timerDelayMs);
   });
-  const result = await Promise.race([sendOverPool(pool, call), late]);
+  const result = await Promise.race([sendOverPool(pool, call), timedOut]);
   clearTimeout(timer);
   return result;
 }
@@ -71,7 +72,10 @@
   }
 }
 
-/** A refusal's body is for people and may be anything; a success without its object is none. */
+/**
+ * Parses a body as JSON. The body of an error status is a text for people and need not parse; a successful
+ * answer that does not parse is an error.
+ */
 function parseBody(text: string, status: number): unknown {
   try {
     return JSON.parse(text) as unknown;
@@ -83,7 +87,7 @@
 
 function toFailureResult(error: unknown): HttpCallResult {
   const { code, message } = error as { readonly code?: unknown; readonly message?: unknown };
-  const isRefused = typeof code === "string" && connectFailures.has(code);
-  const isUnsent = error instanceof UnsentError || isRefused;
+  const hasConnectFailed = typeof code === "string" && connectFailures.has(code);
+  const isUnsent = error instanceof UnsentError || hasConnectFailed;
   return { type: isUnsent ? "notSent" : "lost", reason: String(message ?? error) };
 }
--- a/src/platform/client.ts
+++ b/src/platform/client.ts
@@ -4,18 +4,18 @@
 import { sendHttpCall, type HttpCall, type HttpCallResult } from "./call.js";
 import { openHttpPool, type HttpPool } from "./pool.js";
 
-/** How a platform's store is reached. */
+/** Options of a `StoreClient`. */
 export interface StoreClientOptions {
-  /** Origin of the service, such as `http://10.0.0.1:8080`. */
+  /** Origin of the store, such as `http://10.0.0.1:8080`. */
   readonly url: string;
-  /** Longest time for one call, in milliseconds. Default 2000. */
+  /** Timeout of one request, in milliseconds. Default 2000. */
   readonly timeoutMs?: number;
-  /** Connections to the service. Default 4. */
+  /** Maximum number of connections to the store. Default 4. */
   readonly connections?: number;
   readonly logger?: Logger;
 }
 
-/** One page of a listing. `next` tells where the next one begins; absent on the last. */
+/** One page of a listing. `next` is where the next page begins; undefined on the last page. */
 export interface StorePage {
   readonly objects: readonly StoredObject[];
   /** The store's revision when it answered. */
@@ -23,7 +23,7 @@
   readonly next?: string;
 }
 
-/** What a listing gives: the objects of a kind, and the store's revision before the first page. */
+/** All objects of a kind, with the store's revision when it answered the request for the first page. */
 export interface StoreListing {
   readonly objects: readonly StoredObject[];
   readonly revision: number;
@@ -31,16 +31,16 @@
 
 type StoreRequest = Pick<HttpCall, "method" | "path" | "body">;
 
-/** How one platform's store writes its calls and answers. */
+/** How a platform's store formats its requests and answers. */
 export interface StoreDialect {
   get(kind: string, name: string): StoreRequest;
   list(kind: string, after?: string): StoreRequest;
-  /** Version 0 means that the object must not exist. */
+  /** Writes an object that still has the given version; version 0 means that it must not exist. */
   put(kind: string, name: string, value: Json, version: number): StoreRequest;
   remove(kind: string, name: string, version: number): StoreRequest;
   decodeObject(kind: string, body: unknown): StoredObject | undefined;
   decodePage(kind: string, body: unknown): StorePage | undefined;
-  /** Whether a status says that a write was turned away and not done. */
+  /** Whether a status means that a write was rejected without taking effect. */
   isWriteRejected(status: number): boolean;
 }
 
@@ -48,10 +48,10 @@
 const created = 201;
 const notFound = 404;
 const conflict = 409;
-/** Pages of one listing, to bound a listing of a store that answers nonsense. */
+/** Bounds a listing when a faulty store always announces a further page. */
 const maxPages = 64;
 
-/** Calls of a platform's store in its own dialect. No call rejects, none outlasts its timeout. */
+/** Client of a platform's object store. No promise rejects, and no request outlasts its timeout. */
 export class StoreClient implements Disposable {
   protected readonly timeoutMs: number;
   protected readonly logger: Logger;
@@ -68,11 +68,11 @@
     this.pool = openHttpPool(url, this.connections);
   }
 
-  /** Reaches the store at another origin from now on; calls on their way end where they are. */
+  /** Sends further requests to another origin; pending ones finish on their present connections. */
   setUrl(url: string): void {
-    const before = this.pool;
+    const previous = this.pool;
     this.pool = openHttpPool(url, this.connections);
-    before.close();
+    previous.close();
   }
 
   async get(kind: string, name: string): Promise<StoreRead<StoredObject>> {
@@ -86,7 +86,7 @@
     return read.type === "found" ? { type: "found", value: read.value.objects } : read;
   }
 
-  /** Lists a kind, all pages of it, with the store's revision. */
+  /** Lists all objects of a kind, over all pages, with the store's revision. */
   async listWithRevision(kind: string): Promise<StoreRead<StoreListing>> {
     const objects: StoredObject[] = [];
     let revision: number | undefined;
@@ -102,7 +102,7 @@
       after = read.value.next;
       if (after === undefined) return { type: "found", value: { objects, revision } };
     }
-    return this.reportUnavailable(kind, "a listing without an end");
+    return this.reportUnavailable(kind, `the listing has more than ${maxPages} pages`);
   }
 
   async put(kind: string, name: string, value: Json, version: number): Promise<StoreWrite> {
@@ -121,7 +121,7 @@
     return sendHttpCall(this.pool, { ...call, timeoutMs: this.timeoutMs });
   }
 
-  /** Reads an answer. One of another shape counts as none. */
+  /** Decodes an answer. One that can't be decoded counts as `unavailable`. */
   protected parse<T>(
     path: string,
     result: HttpCallResult,
@@ -131,7 +131,7 @@
     if (result.status === notFound) return { type: "absent" };
     const value = result.status === ok ? decode(result.body) : undefined;
     if (value !== undefined) return { type: "found", value };
-    return this.reportUnavailable(path, `status ${result.status}, or an answer of another shape`);
+    return this.reportUnavailable(path, `unexpected status ${result.status} or response body`);
   }
 
   private async write(kind: string, call: StoreRequest): Promise<StoreWrite> {
--- a/src/platform/dialect.ts
+++ b/src/platform/dialect.ts
@@ -2,7 +2,7 @@
 import type { StoreDialect } from "./client.js";
 import { objectListSchema, storedObjectSchema } from "./schemas.js";
 
-/** The store as the project's own stand-in speaks it. */
+/** The dialect of the stand-in platform in `standin/`. */
 export const standinDialect: StoreDialect = {
   get: (kind, name) => ({ method: "GET", path: makePath(kind, name) }),
   list: (kind) => ({ method: "GET", path: makePath(kind) }),
@@ -19,7 +19,7 @@
   decodePage: (_kind, body) => {
     const list = objectListSchema.safeParse(body).data;
     if (list === undefined) return undefined;
-    const revision = list.objects.reduce((most, { version }) => Math.max(most, version), 0);
+    const revision = list.objects.reduce((highest, { version }) => Math.max(highest, version), 0);
     return { objects: list.objects, revision };
   },
   isWriteRejected: () => false,
--- a/src/platform/pool.ts
+++ b/src/platform/pool.ts
@@ -1,6 +1,6 @@
 import { Agent, request, type ClientRequest } from "node:http";
 
-/** What a pool is asked to send. */
+/** A request that is sent over a pool. Aborting the signal makes it reject. */
 export interface HttpRequest {
   readonly method: "GET" | "POST" | "PUT" | "DELETE";
   readonly path: string;
@@ -9,28 +9,28 @@
   readonly signal: AbortSignal;
 }
 
-/** A whole answer. */
+/** A completely received answer; `text` is its body. */
 export interface HttpResponse {
   readonly statusCode: number;
   readonly text: string;
 }
 
-/** Kept-alive connections to one origin. */
+/** A pool of keep-alive connections to one origin. */
 export interface HttpPool {
-  /** Rejects with an `UnsentError` when the call was given up before a connection stood. */
+  /** Rejects with an `UnsentError` when the request is aborted before its connection is established. */
   request(call: HttpRequest): Promise<HttpResponse>;
-  /** Closes the connections that no call uses, and the others as their calls end. */
+  /** Closes idle connections. Pending requests finish. */
   close(): void;
   /** Closes all connections. */
   destroy(): void;
 }
 
-/** The call was given up before a connection stood: no byte of it was sent. */
+/** The request was aborted before its connection was established: no byte of it was sent. */
 export class UnsentError extends Error {
   override readonly name = "UnsentError";
 }
 
-/** Opens a pool of at most `connections` to an origin such as `http://10.0.0.1:8080`. */
+/** Creates a pool of at most `connections` connections to an origin such as `http://10.0.0.1:8080`. */
 export function openHttpPool(origin: string, connections: number): HttpPool {
   const agent = new Agent({
     keepAlive: true,
@@ -41,7 +41,7 @@
   return {
     request: async (call) => {
       try {
-        return await exchange(
+        return await sendRequest(
           request({ agent, hostname, port, method: call.method, path: call.path }),
           call,
         );
@@ -56,9 +56,9 @@
 }
 
 /**
- * Connections may fall silent for good while new ones work. One call that gets no answer shows it; the
- * idle ones are closed with it, since each that is as old would cost one more call its whole time, and
- * after two of them a proxy may use primaries no more.
+ * Closes the idle connections after a request has failed. A network fault can silence all established
+ * connections for good while new ones work. Each further dead connection would cost another request its
+ * whole timeout, and after two such requests a proxy loses its permit to use primaries.
  */
 function closeIdleConnections(agent: Agent): void {
   for (const sockets of Object.values(agent.freeSockets)) {
@@ -66,35 +66,37 @@
   }
 }
 
-function exchange(sending: ClientRequest, call: HttpRequest): Promise<HttpResponse> {
+function sendRequest(clientRequest: ClientRequest, call: HttpRequest): Promise<HttpResponse> {
   return new Promise((resolve, reject) => {
     let hasConnection = false;
-    const giveUp = () => {
+    const abort = () => {
       const reason = call.signal.reason as Error;
-      sending.destroy(hasConnection ? reason : new UnsentError(reason.message));
+      clientRequest.destroy(hasConnection ? reason : new UnsentError(reason.message));
     };
-    const end = (finish: () => void) => {
-      call.signal.removeEventListener("abort", giveUp);
+    const settle = (finish: () => void) => {
+      call.signal.removeEventListener("abort", abort);
       finish();
     };
-    sending.on("socket", (socket) => {
+    clientRequest.on("socket", (socket) => {
       if (!socket.connecting) hasConnection = true;
       else socket.once("connect", () => (hasConnection = true));
     });
-    sending.on("error", (error) => end(() => reject(error)));
-    sending.on("response", (response) => {
+    clientRequest.on("error", (error) => settle(() => reject(error)));
+    clientRequest.on("response", (response) => {
       const chunks: Buffer[] = [];
       response.on("data", (chunk: Buffer) => chunks.push(chunk));
-      response.on("error", (error) => end(() => reject(error)));
+      response.on("error", (error) => settle(() => reject(error)));
       response.on("end", () => {
         const text = Buffer.concat(chunks).toString("utf8");
-        end(() => resolve({ statusCode: response.statusCode ?? 0, text }));
+        settle(() => resolve({ statusCode: response.statusCode ?? 0, text }));
       });
     });
-    call.signal.addEventListener("abort", giveUp, { once: true });
-    for (const [name, value] of Object.entries(call.headers ?? {})) sending.setHeader(name, value);
-    if (call.body !== undefined) sending.setHeader("content-length", Buffer.byteLength(call.body));
-    sending.end(call.body);
-    if (call.signal.aborted) giveUp();
+    call.signal.addEventListener("abort", abort, { once: true });
+    for (const [name, value] of Object.entries(call.headers ?? {}))
+      clientRequest.setHeader(name, value);
+    if (call.body !== undefined)
+      clientRequest.setHeader("content-length", Buffer.byteLength(call.body));
+    clientRequest.end(call.body);
+    if (call.signal.aborted) abort();
   });
 }
--- a/src/platform/schemas.ts
+++ b/src/platform/schemas.ts
@@ -4,7 +4,7 @@
 const jsonSchema = z.custom<Json>((value) => value !== undefined);
 const addressSchema = z.object({ host: z.string(), port: z.int() });
 
-/** An object as the platform sends it. */
+/** One stored object. */
 export const storedObjectSchema = z.object({
   kind: z.string(),
   name: z.string(),
@@ -12,10 +12,10 @@
   value: jsonSchema,
 });
 
-/** The answer to a listing of a kind. */
+/** The answer to a request for all objects of a kind. */
 export const objectListSchema = z.object({ objects: z.array(storedObjectSchema) });
 
-/** The answer to a watch: changes, and the version up to which they go. */
+/** The answer to one long poll of a watch: the changes up to `version`, where the next poll continues. */
 export const changeListSchema = z.object({
   changes: z.array(
     z.discriminatedUnion("type", [
@@ -26,7 +26,7 @@
   version: z.int(),
 });
 
-/** The platform's list of VMs. */
+/** The answer to a request for the VMs. */
 export const vmListSchema = z.object({
   vms: z.array(
     z.object({
@@ -38,7 +38,7 @@
   ),
 });
 
-/** The database groups that the platform runs. */
+/** The answer to a request for the database groups and their targets. */
 export const groupListSchema = z.object({
   groups: z.array(
     z.object({
--- a/src/platform/store.ts
+++ b/src/platform/store.ts
@@ -7,15 +7,15 @@
 import { openHttpPool, type HttpPool } from "./pool.js";
 import { changeListSchema, groupListSchema, vmListSchema } from "./schemas.js";
 
-/** How the platform's service is reached. */
+/** Options of an `HttpObjectStore`. */
 export interface HttpObjectStoreOptions extends StoreClientOptions {
-  /** How long one watch call waits for changes, in milliseconds. Default 30000. */
+  /** How long the store may hold one long-polling request open, in milliseconds. Default 30000. */
   readonly watchWaitMs?: number;
 }
 
 const maxWatches = 64;
 
-/** The platform's object API over HTTP and JSON, with watches by waiting calls. */
+/** The stand-in platform's object API over HTTP and JSON, with watches by long polling. */
 export class HttpObjectStore extends StoreClient implements ObjectStore {
   private readonly watchPool: HttpPool;
   private readonly watchWaitMs: number;
@@ -23,7 +23,7 @@
   constructor(options: HttpObjectStoreOptions) {
     super(options, standinDialect);
     this.watchWaitMs = options.watchWaitMs ?? 30_000;
-    // Watches have connections of their own: calls would queue behind those that wait.
+    // Watches use separate connections: other requests would queue behind a pending long poll.
     this.watchPool = openHttpPool(options.url, maxWatches);
   }
 
@@ -62,12 +62,12 @@
 
   private async readPath<T, R>(
     path: string,
-    shape: ZodType<T>,
-    pick: (body: T) => R,
+    schema: ZodType<T>,
+    select: (body: T) => R,
   ): Promise<StoreRead<R>> {
     const result = await this.send({ method: "GET", path });
-    const read = this.parse(path, result, (body) => shape.safeParse(body).data);
-    return read.type === "found" ? { type: "found", value: pick(read.value) } : read;
+    const read = this.parse(path, result, (body) => schema.safeParse(body).data);
+    return read.type === "found" ? { type: "found", value: select(read.value) } : read;
   }
 
   private async requestChanges(kind: string, after: number, signal: AbortSignal) {
--- a/test/platform/call.test.ts
+++ b/test/platform/call.test.ts
@@ -2,10 +2,11 @@
 import { sendHttpCall } from "../../src/platform/call.js";
 import type { HttpPool } from "../../src/platform/pool.js";
 
-// The store is cut off and the pool tries to connect; it looks at no signal until then. The caller of
-// a call that never ends would stand still: a proxy looked at nothing for 7 s, though its peers would
-// have confirmed who leads, and refused every statement that needs a primary.
-test("a call ends in time though the pool never answers", async () => {
+// The store is unreachable, and the pool ignores the abort signal while it connects. A request that then
+// outlasts its timeout blocks its caller: a proxy that waited 7 s for the store in this way did not ask
+// its peers for the leadership, which they would have confirmed, and refused every statement that needs
+// a primary.
+test("a request ends within its timeout although the pool never answers", async () => {
   const pool = { request: () => new Promise(() => undefined) } as unknown as HttpPool;
   const call = { method: "GET", path: "/objects/a", timeoutMs: 30 } as const;
   expect(await sendHttpCall(pool, call)).toEqual({ type: "lost", reason: "no answer in time" });
--- a/test/platform/pool.test.ts
+++ b/test/platform/pool.test.ts
@@ -37,17 +37,17 @@
 
 const get = (timeoutMs: number) => sendHttpCall(pool, { method: "GET", path: "/a", timeoutMs });
 
-test("a connection serves one call after the other", async () => {
+test("a connection is reused for successive requests", async () => {
   for (let i = 0; i < 5; i += 1) {
     expect(await get(5000)).toEqual({ type: "answered", status: 200, body: { path: "/a" } });
   }
   expect(sockets.size).toBe(1);
 });
 
-// All connections to the store fall silent for good, while new ones work. The first call that gets no
-// answer shows it. Were only its own connection closed, each of the others would cost one more call its
-// whole time, and a node that may not look at the store for that long refuses its callers.
-test("after one call without an answer the next goes over a new connection", async () => {
+// A network fault silences all established connections to the store for good, while new ones work. If
+// only the connection of the first unanswered request were closed, each of the others would cost another
+// request its whole timeout, and a node that can't read the store for that long refuses its callers.
+test("after an unanswered request the next one uses a new connection", async () => {
   await Promise.all([get(5000), get(5000), get(5000)]);
   expect(sockets.size).toBe(3);
   for (const socket of sockets) silent.add(socket);
@@ -55,8 +55,8 @@
   expect((await get(5000)).type).toBe("answered");
 });
 
-// Nothing listens: no byte was sent, which a caller of a write must know.
-test("a call that found nobody was not sent", async () => {
+// Nothing listens on the port, so no byte is sent. The caller of a write must be able to tell.
+test("a request whose connection is refused is reported as not sent", async () => {
   const closed = openPool();
   await new Promise((resolve) => server.close(resolve));
   const call = { method: "PUT", path: "/a", body: "{}", timeoutMs: 5000 } as const;
--- a/test/platform/store.test.ts
+++ b/test/platform/store.test.ts
@@ -36,7 +36,7 @@
   return { waitFor, ended };
 }
 
-test("updates are conditional and versions grow, also over a removal", async () => {
+test("updates are conditional, and versions grow even across a removal", async () => {
   expect(await store.get("rules", "all")).toEqual({ type: "absent" });
   const first = await store.put("rules", "all", { n: 1 }, 0);
   expect(first).toMatchObject({ type: "written", object: { version: 1, value: { n: 1 } } });
@@ -48,16 +48,16 @@
   expect(await store.list("rules")).toMatchObject({ type: "found", value: [{ version: 3 }] });
 });
 
-// The store applies a write and its answer is lost. The client can't tell whether it happened and
-// must say so; a repeat with the old version then meets a conflict, never a second change.
-test("a write whose answer is lost is unknown and stands", async () => {
+// The store applies a write but its answer is lost. The client can't tell whether the write took effect
+// and must report `unknown`; a retry with the old version then gets a conflict and changes nothing.
+test("a write whose answer is lost is reported as unknown and is not applied twice", async () => {
   platform.faults.loseWriteAnswers(1);
   expect(await store.put("rules", "all", 1, 0)).toMatchObject({ type: "unknown" });
   expect(await store.get("rules", "all")).toMatchObject({ value: { value: 1 } });
   expect(await store.put("rules", "all", 1, 0)).toEqual({ type: "conflict" });
 });
 
-test("a store that is down or too slow is unavailable and takes no write", async () => {
+test("a store that is down or too slow is unavailable and applies no write", async () => {
   platform.faults.slowMs = 1_000;
   expect(await store.get("rules", "all")).toMatchObject({ type: "unavailable" });
   platform.faults.slowMs = 0;
@@ -71,7 +71,7 @@
   expect(await fresh.put("rules", "all", 1, 0)).toMatchObject({ type: "unavailable" });
 });
 
-test("a watch hands on changes after a version, over several waiting calls", async () => {
+test("a watch reports the changes after a version, over several long polls", async () => {
   await store.put("rules", "all", 1, 0);
   const { waitFor } = watchFrom(1);
   await store.put("other", "all", 1, 0);
@@ -82,9 +82,9 @@
   expect(platform.calls.writes).toBe(4);
 });
 
-// Something between the two ends drops the watch. Changes may be missed from then on, so the watch
-// ends with `broken` and its user lists again.
-test("a dropped watch ends as broken", async () => {
+// The connection of a watch is cut. Changes may be missed from then on, so the watch ends with `broken`
+// and its user lists the objects again.
+test("a watch whose connection is cut ends as broken", async () => {
   const { waitFor, ended } = watchFrom(0);
   while (platform.calls.watches === 0) await new Promise((resolve) => setImmediate(resolve));
   platform.dropWatches();
@@ -92,7 +92,7 @@
   await ended;
 });
 
-test("the list of VMs lags", async () => {
+test("the list of VMs may be out of date", async () => {
   const vm = { name: "vm-1", dataCentre: "palermo", peer: { host: "127.0.0.1", port: 1 } };
   platform.setVms([{ ...vm, state: "live" }]);
   platform.faults.listLagMs = 3_600_000;
