--- a/test/platformside/bundle.test.ts
+++ b/test/platformside/bundle.test.ts
@@ -10,12 +10,12 @@
   spawnSync(process.execPath, [...options, program, "--version"], { encoding: "utf8" });
 
 beforeAll(() => {
-  const made = spawnSync(process.execPath, ["scripts/bundle.mjs"], { encoding: "utf8" });
-  expect(made.stderr).toBe("");
+  const bundling = spawnSync(process.execPath, ["scripts/bundle.mjs"], { encoding: "utf8" });
+  expect(bundling.stderr).toBe("");
 });
 
-// After a loss of power all nodes start at once, and callers wait for as long as that takes. A cache
-// that does not fit would make each start slow, and nothing else would show it.
+// After a power failure all nodes start at once, and callers wait for as long as that takes. A code cache
+// that does not match would make each start slow without any other symptom.
 test("the bundled node starts with the code cache that was made for it", () => {
   const { status, stdout, stderr } = run();
   expect(status).toBe(0);
@@ -23,20 +23,20 @@
   expect(stderr).toBe("");
 });
 
-test("a cache of another runtime is told of, and the node starts all the same", () => {
+test("a cache of another runtime is reported, and the node starts without it", () => {
   const { stdout, stderr } = run("--max-old-space-size=100");
   expect(stdout).toMatch(version);
   expect(stderr).toContain("the code cache is of another runtime");
 });
 
-test("without a cache, or with a broken one, the node starts all the same", () => {
-  const whole = readFileSync(cache);
+test("the node starts without a cache, and with a corrupt one", () => {
+  const completeCache = readFileSync(cache);
   try {
-    writeFileSync(cache, whole.subarray(0, 1000));
+    writeFileSync(cache, completeCache.subarray(0, 1000));
     expect(run().stdout).toMatch(version);
     rmSync(cache);
     expect(run().stdout).toMatch(version);
   } finally {
-    writeFileSync(cache, whole);
+    writeFileSync(cache, completeCache);
   }
 });
--- a/test/platformside/codec.test.ts
+++ b/test/platformside/codec.test.ts
@@ -41,7 +41,7 @@
   );
 });
 
-test("an answer of a target is passed on as it came", () => {
+test("an answer of a target is passed on unchanged", () => {
   fc.assert(
     fc.property(fc.array(data), data, mark, (rows, signature, at) => {
       const lines = [
@@ -59,7 +59,7 @@
   );
 });
 
-test("positions survive, and what is none is none", () => {
+test("a position is parsed as it was formatted, and a malformed one is undefined", () => {
   fc.assert(
     fc.property(mark, (m) => expect(parsePosition(formatPosition(m))).toEqual(m)),
     { seed: 5 },
@@ -78,20 +78,20 @@
   );
 });
 
-test("an error word that is not known promises nothing", () => {
+test("an unknown error code counts as in doubt", () => {
   const reader = targetCodec.createReader("command");
   reader.read("ERROR NEWWORD why");
   expect(reader.read("READY I -")).toMatchObject({ end: { code: "inDoubt" } });
 });
 
-test("a refused opening is one error; the target closes after it", () => {
+test("a refused opening line is answered with an error alone", () => {
   const reader = targetCodec.createReader("opening");
   expect(reader.read("ERROR TOOMANYCON full")).toMatchObject({
     end: { type: "error", code: "tooManyConnections" },
   });
 });
 
-test("a target's report is read, and a row of another shape is none", () => {
+test("a target's status row is parsed, and a malformed one is undefined", () => {
   const reply = (row: string): Reply => ({
     rows: [row],
     end: { type: "complete", signature: "-" },
@@ -115,7 +115,7 @@
   "cloud-api.address=10.0.0.3:4",
 ];
 
-test("settings are read; a missing or unreadable field is named", () => {
+test("settings are parsed, and each missing or malformed field is named", () => {
   const read = parseSettings(settingsText.join("\n"));
   expect(read).toMatchObject({ type: "read", settings: { vm: "vm-1", graceMs: 6000 } });
   const faulty = parseSettings(
@@ -138,8 +138,8 @@
     "a route of an unknown kind",
     { version: 1, routes: [{ host: "a", service: "s", type: "x" }], services: [] },
   ],
-  ["routes that are no list", { version: 1, routes: {}, services: [] }],
-  ["nothing", null],
-])("a configuration with %s is none", (_name, value) => {
+  ["routes that are not a list", { version: 1, routes: {}, services: [] }],
+  ["a value of null", null],
+])("a configuration with %s is rejected", (_name, value) => {
   expect(decodeRouteTable(value)).toBeUndefined();
 });
--- a/test/platformside/entries.test.ts
+++ b/test/platformside/entries.test.ts
@@ -4,7 +4,7 @@
 import { decodeTargetListing } from "../../platform/feed.js";
 import type { Json, StoredObject } from "../../src/model/index.js";
 
-const whole = {
+const validEntry = {
   service: "ledger",
   address: "10.0.0.4:8080",
   zone: "a",
@@ -17,9 +17,9 @@
   born: 1_790_000_000_000,
 };
 
-const fields = Object.keys(whole) as readonly (keyof typeof whole)[];
+const fields = Object.keys(validEntry) as readonly (keyof typeof validEntry)[];
 
-const store = (name: string, value: Json): StoredObject => ({
+const makeObject = (name: string, value: Json): StoredObject => ({
   kind: "targets",
   name,
   version: 1,
@@ -29,9 +29,9 @@
 const listNames = (objects: readonly StoredObject[]) =>
   decodeTargetListing(objects).targets.map(({ target }) => target.name);
 
-/** A value of another type than the one that stands in a target's entry. */
-const wrong = (field: keyof typeof whole) =>
-  typeof whole[field] === "number"
+/** A value of another type than the field has in a target's entry, or out of range. */
+const arbitraryInvalidValue = (field: keyof typeof validEntry) =>
+  typeof validEntry[field] === "number"
     ? fc.oneof(
         fc.constant(null),
         fc.boolean(),
@@ -41,8 +41,8 @@
       )
     : fc.oneof(fc.constant(null), fc.boolean(), fc.nat(), fc.constant(""), fc.array(fc.string()));
 
-test("a target's own entry names it, with all that it says", () => {
-  expect(decodeTargetEntry(store("i-1", whole))).toEqual({
+test("a target's own entry is decoded with all its fields", () => {
+  expect(decodeTargetEntry(makeObject("i-1", validEntry))).toEqual({
     type: "target",
     entry: {
       group: "ledger",
@@ -60,32 +60,34 @@
   });
 });
 
-// Somebody else writes among the targets' entries and leaves a field out. Filled up with defaults it
-// would name a target to which statements are sent, and which nobody runs. Targets of an older version
-// do not say when they were started; their entries hold.
-test("an entry without one of the fields names no target", () => {
+// Something other than a target writes an entry that lacks a field. Completed with defaults it would add a
+// target that does not exist, to which statements would be sent. Targets of an older version don't report
+// when they were started; their entries are valid.
+test("an entry without one of the required fields is refused", () => {
   for (const field of fields.filter((name) => name !== "born")) {
-    const { [field]: left, ...rest } = whole;
+    const { [field]: left, ...rest } = validEntry;
     expect(left).toBeDefined();
-    expect(decodeTargetEntry(store("i-1", rest))).toEqual({
+    expect(decodeTargetEntry(makeObject("i-1", rest))).toEqual({
       type: "refused",
       entry: { name: "i-1", field },
     });
   }
-  const { born, ...older } = whole;
+  const { born, ...older } = validEntry;
   expect(born).toBeDefined();
-  expect(decodeTargetEntry(store("i-1", older)).type).toBe("target");
+  expect(decodeTargetEntry(makeObject("i-1", older)).type).toBe("target");
 });
 
-test("an entry with a field of another type names no target, and the others hold", () => {
+test("an entry with a field of the wrong type is refused, and the others are kept", () => {
   fc.assert(
     fc.property(
-      fc.constantFrom(...fields).chain((field) => fc.tuple(fc.constant(field), wrong(field))),
+      fc
+        .constantFrom(...fields)
+        .chain((field) => fc.tuple(fc.constant(field), arbitraryInvalidValue(field))),
       ([field, value]) => {
         const objects = [
-          store("i-1", whole),
-          store("i-2", { ...whole, [field]: value }),
-          store("i-3", whole),
+          makeObject("i-1", validEntry),
+          makeObject("i-2", { ...validEntry, [field]: value }),
+          makeObject("i-3", validEntry),
         ];
         expect(listNames(objects)).toEqual(["i-1", "i-3"]);
         expect(decodeTargetListing(objects).refused).toEqual([{ name: "i-2", field }]);
@@ -95,8 +97,9 @@
   );
 });
 
-test("words and addresses that are not known name no target", () => {
-  const refuse = (change: object) => decodeTargetEntry(store("i-1", { ...whole, ...change })).type;
+test("entries with unknown words or malformed values are refused", () => {
+  const refuse = (change: object) =>
+    decodeTargetEntry(makeObject("i-1", { ...validEntry, ...change })).type;
   expect(refuse({ state: "starting" })).toBe("refused");
   expect(refuse({ "db-role": "witness" })).toBe("refused");
   for (const address of ["10.0.0.4", ":80", "10.0.0.4:", "10.0.0.4:http", "10.0.0.4:0", "h:99999"])
@@ -105,16 +108,18 @@
   expect(refuse({ born: 1.5 })).toBe("refused");
 });
 
-test("whatever stands in an entry, reading the list does not fail", () => {
+test("the list is decoded whatever an entry contains", () => {
   fc.assert(
     fc.property(fc.jsonValue(), (value) => {
-      expect(listNames([store("x", value as Json), store("i-1", whole)])).toContain("i-1");
+      expect(listNames([makeObject("x", value as Json), makeObject("i-1", validEntry)])).toContain(
+        "i-1",
+      );
     }),
     { seed: 72, numRuns: 300 },
   );
 });
 
-test("an entry of unreadable bytes names no target", () => {
-  expect(decodeTargetEntry(store("i-1", "\u0000\ufffd\ufffd{")).type).toBe("refused");
-  expect(decodeTargetEntry(store("i-1", null)).type).toBe("refused");
+test("an entry that is not a JSON object is refused", () => {
+  expect(decodeTargetEntry(makeObject("i-1", "\u0000\ufffd\ufffd{")).type).toBe("refused");
+  expect(decodeTargetEntry(makeObject("i-1", null)).type).toBe("refused");
 });
--- a/test/platformside/program.test.ts
+++ b/test/platformside/program.test.ts
@@ -19,7 +19,7 @@
   });
 }
 
-test("a program with faulty settings names each field and does not start", () => {
+test("with faulty settings the program names each field and does not start", () => {
   const { status, stderr } = runProgram("zone=a\nlisten.frontend=here\n");
   expect(status).toBe(faultyExit);
   expect(stderr).toContain("node-name: missing");
