--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -95,7 +95,7 @@
     invariant: "A caller receives the whole answer to its own request",
     safeguard: "an answer that nobody asked for closes the connection",
     file: "src/target/session.ts",
-    find: 'if (!asynchronousCodes.has(message[0] ?? 0)) this.terminate("an answer came that nobody asked for");',
+    find: 'if (!asynchronousCodes.has(message[0] ?? 0)) this.terminate("unexpected message");',
     put: "void asynchronousCodes.has(message[0] ?? 0);",
     tests: "test/target",
   },
--- a/src/target/connector.ts
+++ b/src/target/connector.ts
@@ -6,16 +6,19 @@
 import { FrameSplitter } from "./frames.js";
 import { PgTargetSession } from "./session.js";
 
-/** How connections to targets are opened. */
+/** Options of a `PgTargetConnector`. */
 export interface ConnectorOptions {
-  /** The user at start-up. Default `radishwalk`. */
+  /** The user named in the start-up message. Default `radishwalk`. */
   readonly user?: string;
-  /** Longest silence within an exchange, in milliseconds. Default 0: only the caller's signal ends one. */
+  /**
+   * Maximum time without data from the target during an exchange, in milliseconds. Default 0: no limit, only
+   * the caller's signal ends an exchange.
+   */
   readonly progressTimeoutMs?: number;
   readonly logger?: Logger;
 }
 
-/** Why a connection could not be opened; `state` is the target's SQLSTATE, where it gave one. */
+/** A connection could not be opened; `sqlState` is the target's SQLSTATE, if it sent one. */
 export class OpenError extends Error {
   override readonly name = "OpenError";
 
@@ -65,7 +68,7 @@
       };
       const timer = setTimeout(() => end(new OpenError("no answer in time")), timeoutMs);
       socket.on("error", (error) => end(new OpenError(error.message)));
-      socket.on("close", () => end(new OpenError("closed during start-up")));
+      socket.on("close", () => end(new OpenError("the connection was closed during start-up")));
       socket.on("connect", () =>
         socket.write(serialize.startup({ user, database, client_encoding: "UTF8" })),
       );
@@ -83,7 +86,7 @@
     if (message[0] === readyForQueryCode) return "ready";
     if (message[0] === errorResponseCode) return readError(message);
     if (message[0] === authenticationCode && message.readInt32BE(headerBytes) !== 0) {
-      return new OpenError("the target asks for a kind of authentication that is not supported");
+      return new OpenError("the target requests an unsupported authentication method");
     }
   }
   return "more";
@@ -92,5 +95,5 @@
 function readError(message: Buffer): OpenError {
   const fields = message.toString("utf8", headerBytes).split("\0");
   const find = (code: string) => fields.find((f) => f.startsWith(code))?.slice(1);
-  return new OpenError(find("M") ?? "refused", find("C"));
+  return new OpenError(find("M") ?? "the target refused the connection", find("C"));
 }
--- a/src/target/control.ts
+++ b/src/target/control.ts
@@ -13,9 +13,9 @@
   type Term,
 } from "../model/index.js";
 
-/** How control connections are opened. */
+/** Options of a `PgTargetControl`. */
 export interface ControlOptions {
-  /** Default `radishwalk`. */
+  /** The user of control connections. Default `radishwalk`. */
   readonly user?: string;
   /** The database of control connections. Default `standin_control`. */
   readonly database?: string;
@@ -30,13 +30,14 @@
 
 type ConnectionUse = "command" | "watch";
 
+/** The JSON value that a control function returns, other than a bare status. */
 type Reply =
   | { readonly type: "accepted"; readonly status: TargetStatus }
   | { readonly type: "refused"; readonly fencedAt: Term };
 
 /**
- * Control of targets over connections of its own. For each target one connection is kept for
- * commands and one for waiting status requests, so that a fence never queues behind a wait.
+ * Controls targets over separate connections. For each target it keeps one connection for commands and one
+ * for long-polling status requests, so that a fence never queues behind a pending poll.
  */
 export class PgTargetControl implements TargetControl, Disposable {
   private readonly connections = new Map<string, ControlConnection>();
@@ -92,8 +93,8 @@
       lane.isBusy = false;
       return reply;
     } catch (error) {
-      // A request that timed out may still be answered, and the connection may be silent for good.
-      // The next request on it would then wait in vain, so it gets a new connection.
+      // A request that timed out may still be answered, or the connection may be dead, and the next
+      // request on it would never be answered. So the connection is closed and the next one is new.
       if (key === undefined) destroyConnection(lane);
       else this.remove(key, lane);
       return this.reportUnreachable(target, call, String(error));
@@ -112,8 +113,8 @@
     values: readonly (string | number)[],
   ): Promise<ControlResult> {
     await lane.ready;
-    const places = values.map((_, i) => `$${i + 1}`).join();
-    const text = `SELECT standin_${call}(${places})`;
+    const placeholders = values.map((_, i) => `$${i + 1}`).join();
+    const text = `SELECT standin_${call}(${placeholders})`;
     const { rows } = await lane.client.query<[string]>({
       text,
       values: [...values],
@@ -123,7 +124,10 @@
     return "type" in answer ? answer : { type: "accepted", status: answer };
   }
 
-  /** A kept connection, or one for this call alone when none was asked for or it is busy. */
+  /**
+   * Returns the kept connection for a use, with its key. Without a use, or while the kept one is busy, returns
+   * a new connection without a key, which serves one request only.
+   */
   private acquire(target: Target, name: ConnectionUse | undefined): { key?: string; lane: ControlConnection } {
     if (name === undefined) return { lane: this.connect(target) };
     const { host, port } = target.address;
@@ -158,7 +162,7 @@
   }
 }
 
-/** Ends a connection without waiting for its far end, which may be silent. */
+/** Closes a connection without waiting for the target, which may not respond. */
 function destroyConnection({ client }: ControlConnection): void {
   client.end().catch(() => undefined);
   client.connection.stream.destroy();
--- a/src/target/frames.ts
+++ b/src/target/frames.ts
@@ -2,17 +2,17 @@
 const lengthOffset = 1;
 const maxMessageBytes = 1 << 30;
 
-/** Splits a byte stream into whole protocol messages, type byte and length included. */
+/** Splits a byte stream into complete protocol messages, including their type byte and length. */
 export class FrameSplitter {
   private chunks: Buffer[] = [];
   private byteCount = 0;
 
-  /** Whether a message has begun that has not ended yet. */
+  /** Whether a message has begun and is not complete. */
   get hasPartialMessage(): boolean {
     return this.byteCount > 0;
   }
 
-  /** Takes a chunk and hands back the messages that it completes. Throws on a false length. */
+  /** Adds a chunk and returns the messages that it completes. Throws if a length field is invalid. */
   push(chunk: Buffer): readonly Buffer[] {
     this.chunks.push(chunk);
     this.byteCount += chunk.length;
@@ -21,7 +21,7 @@
     return this.split(more.length === 0 ? only : Buffer.concat(this.chunks));
   }
 
-  /** The bytes that the message at the front needs, as far as its header is there. */
+  /** Returns the length of the first message, or that of a header while the header is incomplete. */
   private getNeededBytes(): number {
     const [first] = this.chunks;
     if (first === undefined || this.byteCount < headerBytes) return headerBytes;
@@ -47,7 +47,7 @@
 function readLength(data: Buffer, start: number): number {
   const length = data.readInt32BE(start + lengthOffset);
   if (length < headerBytes - lengthOffset || length > maxMessageBytes) {
-    throw new Error(`a message of ${length} bytes can't be`);
+    throw new Error(`invalid message length: ${length} bytes`);
   }
   return length + lengthOffset;
 }
--- a/src/target/session.ts
+++ b/src/target/session.ts
@@ -12,10 +12,10 @@
 const readyForQueryCode = 0x5a;
 const statusOffset = 5;
 
-/** Messages that a target may send at any time: notice, parameter status, error before closing. */
+/** Message types that a target may send at any time: notice, parameter status, error before closing. */
 const asynchronousCodes: ReadonlySet<number> = new Set([0x4e, 0x53, 0x45]);
 
-/** One connection to a target, after its start-up. */
+/** A connection to a target that has completed its start-up. */
 export class PgTargetSession implements TargetSession {
   private readonly frames = new FrameSplitter();
   private queue: Buffer[] = [];
@@ -27,7 +27,7 @@
   constructor(
     readonly target: string,
     private readonly socket: Socket,
-    /** Longest silence within an exchange, in milliseconds; 0 for none. */
+    /** Maximum time without data from the target during an exchange, in milliseconds; 0 for no limit. */
     private readonly progressTimeoutMs: number,
     private readonly logger: Logger,
   ) {
@@ -46,8 +46,8 @@
       return Promise.resolve({ type: "broken", sent: false, reason: refusal });
     }
     return new Promise((resolve) => {
-      // An answer that comes after the caller went would be read as the next caller's answer.
-      // Closing the connection suffices: nothing of it can reach anyone any more.
+      // An answer that arrives after the caller has gone would be delivered to the next caller. Closing
+      // the connection suffices: nothing more is read from it.
       const onAbort = () => this.terminate("abandoned");
       signal.addEventListener("abort", onAbort, { once: true });
       const end = (result: ExchangeResult) => {
@@ -83,7 +83,7 @@
     void this.deliverQueue();
   }
 
-  /** Hands the messages on one by one. The socket rests while a sink is not ready for more. */
+  /** Delivers the queued messages one by one. The socket is paused while a sink's promise is pending. */
   private async deliverQueue(): Promise<void> {
     this.isDelivering = true;
     for (let message = this.queue.shift(); message !== undefined; message = this.queue.shift()) {
@@ -124,9 +124,12 @@
     current.end({ type: "ready", status });
   }
 
-  /** An answer nobody asked for shows that the two ends disagree on where they are. */
+  /**
+   * Closes the connection on an unexpected message. Such a message shows that the proxy and the target
+   * disagree about which exchange is current, and it could be read as the next caller's answer.
+   */
   private closeIfUnexpected(message: Buffer): void {
-    if (!asynchronousCodes.has(message[0] ?? 0)) this.terminate("an answer came that nobody asked for");
+    if (!asynchronousCodes.has(message[0] ?? 0)) this.terminate("unexpected message");
   }
 
   private restartProgressTimer(): void {
--- a/test/target/frames.test.ts
+++ b/test/target/frames.test.ts
@@ -8,9 +8,9 @@
   return Buffer.concat([header, body]);
 }
 
-// A chunk ended within a message's header, and the splitter lost the bytes before the next chunk:
-// the rest of a large answer never came. Whole messages must come out wherever the stream is cut.
-test("messages come out whole wherever the stream is cut", () => {
+// If the splitter loses the bytes of a chunk that ends within a message's header, the rest of a large answer
+// never arrives. Complete messages must come out wherever the stream is divided.
+test("messages come out complete wherever the stream is divided", () => {
   const bodies = fc.array(fc.uint8Array({ maxLength: 20 }), { maxLength: 8 });
   const sizes = fc.infiniteStream(fc.integer({ min: 1, max: 12 }));
   fc.assert(
--- a/test/target/target.test.ts
+++ b/test/target/target.test.ts
@@ -35,7 +35,7 @@
   };
 }
 
-test("an exchange hands on whole messages up to the end of the batch", async () => {
+test("an exchange delivers complete messages up to the end of the batch", async () => {
   const session = await open((await start())[0]);
   const answer = collect();
   const batch = Buffer.concat([
@@ -52,9 +52,9 @@
   expect(begun).toEqual({ type: "ready", status: "T" });
 });
 
-// The second statement of a pipeline fails. The messages up to Sync are passed over, and the first
-// statement's change is undone with it, since both belong to one implicit transaction.
-test("an error within a pipeline undoes the pipeline and ends at its Sync", async () => {
+// The second statement of a pipeline fails. The target skips the messages up to Sync and rolls back the
+// first statement as well, since both belong to one implicit transaction.
+test("an error within a pipeline rolls the pipeline back and ends at its Sync", async () => {
   const [target] = await start();
   const session = await open(target);
   const run = (texts: readonly string[]) => {
@@ -79,7 +79,7 @@
   expect(target.member.status.mark.offset).toBe(1);
 });
 
-test("a slow sink gets a large answer whole and in order", async () => {
+test("a slow sink receives a large answer completely", async () => {
   const session = await open((await start())[0]);
   let rows = 0;
   const sink: MessageSink = async (m) => {
@@ -93,9 +93,9 @@
   expect(session.isUsable).toBe(true);
 });
 
-// The caller gives up while its statement runs. The answer comes later; were the connection used
-// again, the next caller would read it as its own. So the abandoned connection is closed.
-test("an abandoned exchange closes its connection", async () => {
+// The caller gives up while its statement runs, and the answer arrives later. If the connection were used
+// again, the next caller would receive that answer. So aborting an exchange closes its connection.
+test("aborting an exchange closes its connection", async () => {
   const session = await open((await start())[0]);
   const abort = new AbortController();
   const result = session.exchange(
@@ -109,9 +109,9 @@
   expect(after).toMatchObject({ type: "broken", sent: false });
 });
 
-// The connection has gone silent for good: the target accepts the bytes and says nothing.
-// Without the progress timeout the request would wait for its whole deadline.
-test("a silent connection ends by its progress timeout", async () => {
+// The connection is dead: bytes are accepted but no answer arrives. Without the progress timeout the
+// request would wait for its whole deadline.
+test("a connection without answers is closed after its progress timeout", async () => {
   const [target] = await start();
   const session = await open(target, { progressTimeoutMs: 20 });
   target.silenceConnections();
@@ -120,7 +120,7 @@
   expect(session.isUsable).toBe(false);
 });
 
-test("opening fails with the target's reason, or when no answer comes in time", async () => {
+test("opening a connection fails with the target's reason, or when no answer arrives in time", async () => {
   const [target] = await start({ connections: 1 });
   await open(target);
   await expect(open(target)).rejects.toMatchObject({ sqlState: "53300" });
@@ -129,7 +129,7 @@
   await expect(late).rejects.toBeInstanceOf(OpenError);
 });
 
-test("control reports status, fences and promotes", async () => {
+test("control reports a target's status and makes it fence, promote and follow", async () => {
   const [a, b] = await start({}, 2);
   const control = store.add(new PgTargetControl());
   expect(await control.status(b.target, { timeoutMs })).toEqual({
@@ -147,9 +147,9 @@
   expect(older).toEqual({ type: "refused", fencedAt: term(1) });
 });
 
-// A status request waits at the target for news. A fence sent meanwhile must not queue behind it:
-// it is the fence that brings the news.
-test("a waiting status answers as soon as the fence changes", async () => {
+// A status request waits at the target for a change. A fence that is sent meanwhile must not queue behind
+// it, because the fence is that change.
+test("a long-polling status request is answered as soon as the fence changes", async () => {
   const [target] = await start();
   const control = store.add(new PgTargetControl());
   const { mark, fencedAt } = target.member.status;
@@ -159,9 +159,9 @@
   expect(await waiting).toMatchObject({ status: { fencedAt: term(3) } });
 });
 
-// Control connections are cut while the target works on. The request resolves as unreachable in
-// time, and after the cut a new connection answers: the silent one is not asked again.
-test("a target that does not answer is unreachable, and asked anew over a new connection", async () => {
+// Control connections stop answering while the target keeps running. The request resolves as unreachable in
+// time, and once the fault is over a new connection is used: the dead one is not used again.
+test("a target that does not answer is unreachable, and the next request uses a new connection", async () => {
   const [target] = await start();
   const control = store.add(new PgTargetControl());
   target.faults.control.close();
--- a/test/target/unasked.test.ts
+++ b/test/target/unasked.test.ts
@@ -23,9 +23,9 @@
   server.close();
 });
 
-// An answer that comes late, after its exchange was thought over, would be read as the next caller's.
-// A connection on which an answer comes that nobody asked for is closed and never used again.
-test("a connection with an answer that nobody asked for is used no more", async () => {
+// An answer that arrives after its exchange is considered over would be read as the next caller's. So a
+// connection that receives an unexpected message is closed and never used again.
+test("a connection that receives an unexpected message is closed", async () => {
   const { port } = server.address() as AddressInfo;
   const address = { host: "127.0.0.1", port };
   const target = { name: "t", dataCentre: "dc", address, slots: 1, connections: 1 };
