--- a/src/lines/link.ts
+++ b/src/lines/link.ts
@@ -3,30 +3,30 @@
 import type { CommandResult, Reply, TargetCommand, TargetLink } from "../statement/index.js";
 import { LineSplitter } from "./splitter.js";
 
-/** Gathers the lines of one answer; gives the reply with the line that ends it. */
+/** Parses one answer line by line. Returns the reply with the last line, and "more" before it. */
 export interface ReplyReader {
   read(line: string): Reply | "more" | "unreadable";
 }
 
-/** How commands and replies are written by a target's protocol. */
+/** Encodes commands and parses replies in a target's protocol. */
 export interface TargetCodec {
   encode(command: TargetCommand): string;
-  /** For the answer to the opening line, an error ends the answer; the target then closes. */
+  /** In the answer to the opening line an error is the last line; the target then closes the connection. */
   createReader(phase: "opening" | "command"): ReplyReader;
 }
 
-/** What opening a connection needs. */
+/** Options of `openLink`. */
 export interface LinkOptions {
   readonly target: string;
   readonly address: Address;
   readonly codec: TargetCodec;
-  /** The line that opens the conversation; its answer is one reply. */
+  /** The first line that is sent; it is answered with one reply. */
   readonly openingLine: string;
   readonly maxLineBytes: number;
   readonly timeoutMs: number;
 }
 
-/** Why no connection could be opened. `refused` came from the target, with its code. */
+/** A connection could not be opened. When `kind` is "refused", `refusal` is the target's error reply. */
 export class LinkError extends Error {
   override readonly name = "LinkError";
 
@@ -39,7 +39,7 @@
   }
 }
 
-/** Opens a connection and waits for the answer to its opening line. Rejects with a `LinkError`. */
+/** Connects and waits for the answer to the opening line. Rejects with a `LinkError`. */
 export async function openLink(options: LinkOptions): Promise<TargetLink> {
   const { host, port } = options.address;
   const socket = connect({ host, port, noDelay: true });
@@ -117,13 +117,13 @@
   }
 
   /**
-   * A line outside an exchange belongs to nobody. Were the connection used again, the next caller
-   * could get it as its own answer, so it is closed.
+   * A line outside an exchange closes the connection. If the connection were used again, the next caller
+   * could receive that line as part of its own answer.
    */
   private handleLine(line: string): void {
     const { current } = this;
     if (current === undefined) {
-      this.terminate("a line came that answers nothing");
+      this.terminate("received a line outside an exchange");
       return;
     }
     const read = current.reader.read(line);
--- a/src/lines/server.ts
+++ b/src/lines/server.ts
@@ -2,35 +2,35 @@
 import type { Address, Disposable } from "../model/index.js";
 import { LineSplitter } from "./splitter.js";
 
-/** One connection of a caller, as the server sees it. */
+/** A caller's connection, for writing replies. */
 export interface LineConnection {
   write(text: string): void;
-  /** Sends what is written and closes; nothing further is read. */
+  /** Closes the connection after everything written has been sent. */
   end(): void;
 }
 
-/** What a server does with one connection. */
+/** Handles the events of one connection. */
 export interface LineHandler {
   handleLine(line: string): void;
   handleUnreadable(reason: "tooLong" | "strayBreak"): void;
-  /** Half a line has waited for longer than the limit. */
+  /** A line was not completed within the line timeout. */
   handleLineTimeout(): void;
   handleClose(): void;
 }
 
-/** What a line server is built from. */
+/** Options of a `LineServer`. */
 export interface LineServerOptions {
   readonly address: Address;
   readonly maxLineBytes: number;
-  /** How long a line may take from its first byte to its end, in milliseconds. */
+  /** Returns how long a line may stay incomplete after the last received byte, in milliseconds. */
   readonly getLineTimeoutMs: () => number;
   readonly accept: (connection: LineConnection) => LineHandler;
 }
 
-/** Waiting connections; when the queue is full a caller's first packet is lost for seconds. */
+/** Maximum of connections not yet accepted. Beyond it a caller's SYN is dropped and resent seconds later. */
 const backlog = 1024;
 
-/** Serves a protocol of lines over TCP. */
+/** A TCP server for a line-based protocol. */
 export class LineServer implements Disposable {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
@@ -47,13 +47,13 @@
     });
   }
 
-  /** The port in use. */
+  /** The port that the server listens on; 0 while it does not listen. */
   get port(): number {
     const address = this.server.address();
     return typeof address === "object" && address !== null ? address.port : 0;
   }
 
-  /** Accepts no more connections; open ones stay. */
+  /** Stops accepting connections; open ones stay open. */
   stopAccepting(): void {
     if (this.server.listening) this.server.close();
   }
@@ -66,7 +66,7 @@
   private accept(socket: Socket): void {
     this.sockets.add(socket);
     const splitter = new LineSplitter(this.options.maxLineBytes);
-    let stall: NodeJS.Timeout | undefined;
+    let lineTimer: NodeJS.Timeout | undefined;
     const connection: LineConnection = {
       write: (text) => {
         if (!socket.destroyed && socket.writable) socket.write(text, "latin1");
@@ -81,15 +81,15 @@
         if (event.type === "line") handler.handleLine(event.text);
         else handler.handleUnreadable(event.reason);
       }
-      clearTimeout(stall);
-      stall = splitter.hasPartialLine
+      clearTimeout(lineTimer);
+      lineTimer = splitter.hasPartialLine
         ? setTimeout(() => handler.handleLineTimeout(), this.options.getLineTimeoutMs())
         : undefined;
     });
-    // A reset brings an error and then the close, which is handled below.
+    // After an error, such as a reset, the socket emits "close", which is handled below.
     socket.on("error", () => undefined);
     socket.on("close", () => {
-      clearTimeout(stall);
+      clearTimeout(lineTimer);
       this.sockets.delete(socket);
       handler.handleClose();
     });
--- a/src/lines/splitter.ts
+++ b/src/lines/splitter.ts
@@ -1,18 +1,18 @@
-/** What a piece of input brought. */
+/** A line that was completed, or an error in the input. */
 export type LineEvent =
   | { readonly type: "line"; readonly text: string }
-  /** A line outgrew the limit, or a line break is no CR LF; nothing after it can be trusted. */
+  /** A line exceeds the limit, or a CR or LF stands alone. What follows can't be trusted and is discarded. */
   | { readonly type: "unreadable"; readonly reason: "tooLong" | "strayBreak" };
 
 const carriageReturn = 0x0d;
 const lineFeed = 0x0a;
 
 /**
- * Cuts a stream into lines that end in CR LF. Bytes are kept as they are: Latin-1 maps each to one
- * character and back, so that opaque text is passed on unchanged whatever its encoding.
+ * Splits a byte stream into lines that end with CR LF. Lines are decoded as Latin-1, which maps each byte
+ * to one character and back, so that opaque text passes through unchanged whatever its encoding.
  *
- * A CR or an LF alone is refused. Passed on inside a statement it would end the line early at a
- * reader that takes it for a break, and the rest would run as a statement of its own.
+ * A lone CR or LF is rejected. Forwarded inside a statement, it would end the line early for a reader that
+ * accepts it as a line break, and the rest of the line would run as a separate statement.
  */
 export class LineSplitter {
   private pending: Buffer[] = [];
@@ -21,7 +21,7 @@
 
   constructor(private readonly maxBytes: number) {}
 
-  /** Whether a line has begun and not ended. */
+  /** Whether a line has begun and is not complete. */
   get hasPartialLine(): boolean {
     return this.pendingBytes > 0;
   }
@@ -44,7 +44,7 @@
 
   private joinPending(chunk: Buffer): Buffer {
     if (this.pendingBytes === 0) return chunk;
-    // Joined only once a line ends: joining at each piece would copy a long line again and again.
+    // Chunks are joined only when a line ends: joining each one would copy a long line repeatedly.
     if (!chunk.includes(lineFeed) && this.pendingBytes + chunk.length <= this.maxBytes) {
       this.pending.push(chunk);
       this.pendingBytes += chunk.length;
--- a/test/lines/splitter.test.ts
+++ b/test/lines/splitter.test.ts
@@ -4,14 +4,14 @@
 
 const limit = 64;
 
-/** Feeds a text in pieces cut at the given places. */
+/** Feeds a text in chunks that are split at the given offsets. */
 function feed(text: string, cuts: readonly number[]): readonly LineEvent[] {
   const splitter = new LineSplitter(limit);
   const bytes = Buffer.from(text, "latin1");
-  const places = [...new Set(cuts.map((cut) => cut % (bytes.length + 1)))].sort((a, b) => a - b);
+  const offsets = [...new Set(cuts.map((cut) => cut % (bytes.length + 1)))].sort((a, b) => a - b);
   const events: LineEvent[] = [];
   let start = 0;
-  for (const end of [...places, bytes.length]) {
+  for (const end of [...offsets, bytes.length]) {
     events.push(...splitter.push(bytes.subarray(start, end)));
     start = end;
   }
@@ -22,7 +22,7 @@
   .string({ unit: "binary-ascii", maxLength: 40 })
   .map((s) => s.replace(/[\r\n]/g, "_"));
 
-test("lines come out whole and unchanged, however they are cut", () => {
+test("lines are complete and unchanged, however the stream is divided into chunks", () => {
   fc.assert(
     fc.property(fc.array(plain), fc.array(fc.nat()), (lines, cuts) => {
       const text = lines.map((line) => `${line}\r\n`).join("");
@@ -32,9 +32,9 @@
   );
 });
 
-// A statement with a lone CR or LF is cut differently by a reader that takes it for a line's end: the
+// A reader that accepts a lone CR or LF as a line break would split a statement that contains one, and the
 // rest would run as a statement that no caller sent.
-test("a lone CR or LF ends the input, and nothing after it is read", () => {
+test("a lone CR or LF is an error, and nothing after it is read", () => {
   fc.assert(
     fc.property(
       plain,
@@ -50,7 +50,7 @@
   );
 });
 
-test("a line over the limit is refused before its end comes", () => {
+test("a line over the limit is refused before it is complete", () => {
   expect(feed("x".repeat(limit + 2), [10, 30])).toEqual([
     { type: "unreadable", reason: "tooLong" },
   ]);
