--- a/src/target/control.ts
+++ b/src/target/control.ts
@@ -54,10 +54,10 @@
     },
   ): Promise<ControlResult> {
     const { after, waitMs = 0, timeoutMs, fresh = false } = options;
-    const name = fresh ? undefined : after === undefined ? "command" : "watch";
+    const use = fresh ? undefined : after === undefined ? "command" : "watch";
     const values =
       after === undefined ? [] : [formatMark(after.mark), formatTerm(after.fencedAt), waitMs];
-    return this.send(target, name, "status", values, timeoutMs);
+    return this.send(target, use, "status", values, timeoutMs);
   }
 
   fence(target: Target, term: Term, timeoutMs: number): Promise<ControlResult> {
@@ -80,23 +80,23 @@
 
   private async send(
     target: Target,
-    name: ConnectionUse | undefined,
+    use: ConnectionUse | undefined,
     call: string,
     values: readonly (string | number)[],
     timeoutMs: number,
   ): Promise<ControlResult> {
-    const { key, lane } = this.acquire(target, name);
-    lane.isBusy = true;
+    const { key, connection } = this.acquire(target, use);
+    connection.isBusy = true;
     try {
-      const reply = await withTimeout(this.query(lane, call, values), timeoutMs);
-      if (key === undefined) destroyConnection(lane);
-      lane.isBusy = false;
+      const reply = await withTimeout(this.callFunction(connection, call, values), timeoutMs);
+      if (key === undefined) destroyConnection(connection);
+      connection.isBusy = false;
       return reply;
     } catch (error) {
       // A request that timed out may still be answered, or the connection may be dead, and the next
       // request on it would never be answered. So the connection is closed and the next one is new.
-      if (key === undefined) destroyConnection(lane);
-      else this.remove(key, lane);
+      if (key === undefined) destroyConnection(connection);
+      else this.remove(key, connection);
       return this.reportUnreachable(target, call, String(error));
     }
   }
@@ -107,15 +107,15 @@
     return { type: "unreachable", reason };
   }
 
-  private async query(
-    lane: ControlConnection,
+  private async callFunction(
+    connection: ControlConnection,
     call: string,
     values: readonly (string | number)[],
   ): Promise<ControlResult> {
-    await lane.ready;
+    await connection.ready;
     const placeholders = values.map((_, i) => `$${i + 1}`).join();
     const text = `SELECT standin_${call}(${placeholders})`;
-    const { rows } = await lane.client.query<[string]>({
+    const { rows } = await connection.client.query<[string]>({
       text,
       values: [...values],
       rowMode: "array",
@@ -128,18 +128,21 @@
    * Returns the kept connection for a use, with its key. Without a use, or while the kept one is busy, returns
    * a new connection without a key, which serves one request only.
    */
-  private acquire(target: Target, name: ConnectionUse | undefined): { key?: string; lane: ControlConnection } {
-    if (name === undefined) return { lane: this.connect(target) };
+  private acquire(
+    target: Target,
+    use: ConnectionUse | undefined,
+  ): { key?: string; connection: ControlConnection } {
+    if (use === undefined) return { connection: this.connect(target) };
     const { host, port } = target.address;
-    const key = `${name} ${host}:${port}`;
+    const key = `${use} ${host}:${port}`;
     const kept = this.connections.get(key);
-    if (kept?.isBusy === true) return { lane: this.connect(target) };
-    const lane = kept ?? this.connect(target);
+    if (kept?.isBusy === true) return { connection: this.connect(target) };
+    const connection = kept ?? this.connect(target);
     if (kept === undefined) {
-      this.connections.set(key, lane);
-      lane.client.on("end", () => this.remove(key, lane));
+      this.connections.set(key, connection);
+      connection.client.on("end", () => this.remove(key, connection));
     }
-    return { key, lane };
+    return { key, connection };
   }
 
   private connect(target: Target): ControlConnection {
@@ -155,10 +158,10 @@
     return { client, ready, isBusy: false };
   }
 
-  private remove(key: string, lane = this.connections.get(key)): void {
-    if (lane === undefined) return;
-    if (this.connections.get(key) === lane) this.connections.delete(key);
-    destroyConnection(lane);
+  private remove(key: string, connection = this.connections.get(key)): void {
+    if (connection === undefined) return;
+    if (this.connections.get(key) === connection) this.connections.delete(key);
+    destroyConnection(connection);
   }
 }
 
