--- a/standin/target/backend.ts
+++ b/standin/target/backend.ts
@@ -1,7 +1,7 @@
 import type { DefElem, Node, TransactionStmt } from "libpg-query";
 import type { Mark } from "../../src/model/index.js";
-import { makeUnsupported, SqlError } from "./error.js";
-import type { LostAnswer } from "./faults.js";
+import { createUnsupportedError, SqlError } from "./error.js";
+import type { AnswerLossMode } from "./faults.js";
 import { SessionSettings } from "./settings.js";
 import {
   describeStatement,
@@ -10,13 +10,13 @@
   type Statement,
   type StatementContext,
 } from "./sql/index.js";
-import type { StatementFate } from "./statement.js";
+import type { StatementOutcome } from "./statement.js";
 import type { Transaction } from "./transaction.js";
-import { runWork, type Services } from "./work.js";
+import { executeInSlot, type Services } from "./execution.js";
 
 /** Thrown after a commit took effect whose answer must not reach the client. */
-export class AnswerLost extends Error {
-  constructor(readonly how: LostAnswer) {
+export class AnswerLostError extends Error {
+  constructor(readonly mode: AnswerLossMode) {
     super("the answer to a commit was lost on purpose");
   }
 }
@@ -25,7 +25,7 @@
   readonly transaction: Transaction;
   isExplicit: boolean;
   hasFailed: boolean;
-  readonly fates: ((fate: StatementFate) => void)[];
+  readonly fates: ((fate: StatementOutcome) => void)[];
 }
 
 /** Runs the statements of one connection and keeps its transaction. */
@@ -61,18 +61,18 @@
   }
 
   /** Commits the implicit transaction, if one is open. */
-  finish(): void {
+  commitImplicit(): void {
     if (this.open?.isExplicit === false) this.commit();
   }
 
   /** Notes that a statement failed: an implicit transaction is rolled back, an explicit one fails. */
-  fail(): void {
+  markFailed(): void {
     if (this.open?.isExplicit === true) this.open.hasFailed = true;
-    else this.cancel();
+    else this.rollBack();
   }
 
   /** Rolls back what is open. */
-  cancel(): void {
+  rollBack(): void {
     const { open } = this;
     this.open = undefined;
     open?.transaction.end();
@@ -82,7 +82,7 @@
   /** Ends it with the target: what was under way must not commit after the crash. */
   kill(): void {
     this.isKilled = true;
-    this.cancel();
+    this.rollBack();
   }
 
   describe(node: Node, parameters: readonly (string | null)[]): readonly Field[] | undefined {
@@ -101,7 +101,7 @@
 
   private async runData(statement: Statement, context: StatementContext): Promise<Result> {
     const { transaction, fates } = this.begin(false);
-    const { result, tell } = await runWork(this.services, {
+    const { result, setOutcome: tell } = await executeInSlot(this.services, {
       statement,
       context,
       transaction,
@@ -134,8 +134,8 @@
       return { rows: [], tag: "BEGIN" };
     }
     if (kind === "TRANS_STMT_COMMIT") return this.runCommit();
-    if (kind !== "TRANS_STMT_ROLLBACK") throw makeUnsupported("savepoints and two-phase commit");
-    this.cancel();
+    if (kind !== "TRANS_STMT_ROLLBACK") throw createUnsupportedError("savepoints and two-phase commit");
+    this.rollBack();
     return { rows: [], tag: "ROLLBACK" };
   }
 
@@ -147,7 +147,7 @@
 
   private runCommit(): Result {
     if (this.open?.hasFailed === true) {
-      this.cancel();
+      this.rollBack();
       return { rows: [], tag: "ROLLBACK" };
     }
     this.commit();
@@ -168,21 +168,21 @@
     try {
       return this.services.member.commit(transaction);
     } catch (error) {
-      this.cancel();
+      this.rollBack();
       throw error;
     }
   }
 
   private tellCommitted(open: OpenTransaction, mark: Mark | undefined): void {
     this.lastCommit = mark ?? this.lastCommit;
-    const fate: StatementFate =
+    const fate: StatementOutcome =
       mark === undefined ? { type: "committed" } : { type: "committed", mark };
     for (const tell of open.fates) tell(fate);
   }
 
   private dropAnswer(): void {
-    const how = this.services.faults.takeLostAnswer();
-    if (how !== undefined) throw new AnswerLost(how);
+    const how = this.services.faults.takeAnswerLoss();
+    if (how !== undefined) throw new AnswerLostError(how);
   }
 }
 
--- a/standin/target/control.ts
+++ b/standin/target/control.ts
@@ -10,26 +10,26 @@
   type StatementContext,
 } from "./sql/index.js";
 import type { Field } from "./sql/index.js";
-import type { StatementRecord } from "./statement.js";
+import type { StatementHistory } from "./statement.js";
 import { findType, type Value } from "./value.js";
 
 /** What a control function may ask of the connection that calls it. */
-export interface Caller {
+export interface CallingConnection {
   readonly lastCommit: Mark | undefined;
 }
 
-type Call = (args: readonly Value[], caller: Caller) => unknown;
+type Call = (args: readonly Value[], caller: CallingConnection) => unknown;
 
 const prefix = "standin_";
 const maxWaitMs = 60_000;
 
 /** The control functions of a target, `SELECT standin_…`. They take no slot. */
-export class Control {
+export class ControlFunctions {
   private readonly calls: Readonly<Record<string, Call>>;
 
   constructor(
     private readonly member: Member,
-    record: StatementRecord,
+    record: StatementHistory,
     extra: Readonly<Record<string, Call>>,
   ) {
     this.calls = {
@@ -46,7 +46,7 @@
   }
 
   /** Runs a control function; undefined when the statement is none. */
-  async run(node: Node, context: StatementContext, caller: Caller): Promise<Result | undefined> {
+  async run(node: Node, context: StatementContext, caller: CallingConnection): Promise<Result | undefined> {
     const call = findCall(node);
     const name = readName(call?.funcname);
     if (!name.startsWith(prefix)) return undefined;
--- a/standin/target/error.ts
+++ b/standin/target/error.ts
@@ -11,6 +11,6 @@
 }
 
 /** Builds the error for SQL that the stand-in does not carry out. */
-export function makeUnsupported(what: string): SqlError {
+export function createUnsupportedError(what: string): SqlError {
   return new SqlError("0A000", `the stand-in does not support ${what}`);
 }
--- a/standin/target/work.ts
+++ b/standin/target/execution.ts
@@ -1,5 +1,5 @@
 import { setTimeout as sleep } from "node:timers/promises";
-import type { Control } from "./control.js";
+import type { ControlFunctions } from "./control.js";
 import { SqlError } from "./error.js";
 import type { Faults } from "./faults.js";
 import { LockedError, LockOwner } from "./locks.js";
@@ -13,7 +13,7 @@
   type Statement,
   type StatementContext,
 } from "./sql/index.js";
-import type { StatementFate, StatementRecord } from "./statement.js";
+import type { StatementOutcome, StatementHistory } from "./statement.js";
 import type { Transaction } from "./transaction.js";
 
 /** What the connections of one target share. */
@@ -21,13 +21,13 @@
   readonly member: Member;
   readonly slots: Slots;
   readonly faults: Faults;
-  readonly record: StatementRecord;
-  readonly control: Control;
+  readonly history: StatementHistory;
+  readonly control: ControlFunctions;
   readonly serviceMs: number;
 }
 
 /** One statement on data that is to be run. */
-export interface WorkItem {
+export interface ExecutionRequest {
   readonly statement: Statement;
   readonly context: StatementContext;
   readonly transaction: Transaction;
@@ -37,13 +37,13 @@
 }
 
 /** A statement's result, and how to tell what became of it. */
-export interface WorkDone {
+export interface ExecutionResult {
   readonly result: Result;
-  readonly tell: (fate: StatementFate) => void;
+  readonly setOutcome: (fate: StatementOutcome) => void;
 }
 
 /** Runs a statement in a slot for its service time, as often as it has to wait for a lock. */
-export async function runWork(services: Services, item: WorkItem): Promise<WorkDone> {
+export async function executeInSlot(services: Services, item: ExecutionRequest): Promise<ExecutionResult> {
   let serviceMs = findServiceMs(services, item);
   for (;;) {
     const done = await tryWork(services, item, serviceMs);
@@ -54,17 +54,17 @@
   }
 }
 
-function findServiceMs({ serviceMs, faults }: Services, { statement, context }: WorkItem): number {
+function findServiceMs({ serviceMs, faults }: Services, { statement, context }: ExecutionRequest): number {
   return serviceMs * faults.slowFactor + findSleep(statement.node, context);
 }
 
 /** Runs a statement in a slot, or tells for whose end it has to wait. */
 async function tryWork(
   services: Services,
-  item: WorkItem,
+  item: ExecutionRequest,
   serviceMs: number,
-): Promise<WorkDone | LockOwner> {
-  const release = await services.slots.take();
+): Promise<ExecutionResult | LockOwner> {
+  const release = await services.slots.acquire();
   try {
     if (serviceMs > 0) await sleep(serviceMs);
     await services.faults.running.wait();
@@ -78,20 +78,20 @@
   }
 }
 
-function runNow({ member, record }: Services, item: WorkItem): WorkDone {
+function runNow({ member, history: record }: Services, item: ExecutionRequest): ExecutionResult {
   const { statement, context, transaction, connection } = item;
   const { node, text } = statement;
   const tell = record.begin(text, connection);
   try {
     if (isWrite(node)) member.beginWrite(transaction);
-    return { result: transaction.attempt(() => runStatement(node, transaction, context)), tell };
+    return { result: transaction.attempt(() => runStatement(node, transaction, context)), setOutcome: tell };
   } catch (error) {
     tell(describeFailure(error));
     throw error;
   }
 }
 
-function describeFailure(error: unknown): StatementFate {
+function describeFailure(error: unknown): StatementOutcome {
   if (error instanceof LockedError) return { type: "waited" };
   return { type: "failed", state: error instanceof SqlError ? error.state : "XX000" };
 }
--- a/standin/target/faults.ts
+++ b/standin/target/faults.ts
@@ -45,7 +45,7 @@
 }
 
 /** How the answer to a commit is lost: the connection breaks, or stays open and says nothing. */
-export type LostAnswer = "break" | "silence";
+export type AnswerLossMode = "break" | "silence";
 
 /** The faults of one target that can be switched on and off while it runs. */
 export class Faults {
@@ -57,15 +57,15 @@
   readonly control = new Channel();
   /** Links on which records are copied from or to this target. */
   readonly replication = new Channel();
-  private readonly lost: LostAnswer[] = [];
+  private readonly lost: AnswerLossMode[] = [];
 
   /** Loses the answers to the next commits after they took effect. */
-  loseCommitAnswers(count: number, how: LostAnswer): void {
+  loseCommitAnswers(count: number, how: AnswerLossMode): void {
     this.lost.push(...Array.from({ length: count }, () => how));
   }
 
   /** Takes the fate of the answer to the commit that has just taken effect. */
-  takeLostAnswer(): LostAnswer | undefined {
+  takeAnswerLoss(): AnswerLossMode | undefined {
     return this.lost.shift();
   }
 
--- a/standin/target/index.ts
+++ b/standin/target/index.ts
@@ -1,5 +1,5 @@
-export { type ControlReply, type Following, Member } from "./member.js";
-export { Channel, Faults, Gate, type LostAnswer } from "./faults.js";
+export { type ControlReply, type FollowedPrimary, Member } from "./member.js";
+export { Channel, Faults, Gate, type AnswerLossMode } from "./faults.js";
 export { controlDatabase } from "./listener.js";
 export { StandinTarget, type StandinTargetOptions } from "./server.js";
-export { type RunStatement, type StatementFate, StatementRecord } from "./statement.js";
+export { type ExecutedStatement, type StatementOutcome, StatementHistory } from "./statement.js";
--- a/standin/target/listener.ts
+++ b/standin/target/listener.ts
@@ -3,9 +3,9 @@
 import { PostgresConnection } from "pg-gateway";
 import type { Address } from "../../src/model/index.js";
 import { FrameSplitter } from "../../src/target/index.js";
-import type { Services } from "./work.js";
+import type { Services } from "./execution.js";
 import type { Channel, Faults, Gate } from "./faults.js";
-import { replicationDatabase } from "./link.js";
+import { replicationDatabase } from "./replication-link.js";
 import { Output } from "./output.js";
 import { Session } from "./session.js";
 import {
@@ -58,7 +58,7 @@
   }
 
   /** How many ordinary connections are open. */
-  get count(): number {
+  get connectionCount(): number {
     return [...this.open].filter((c) => c.isOrdinary).length;
   }
 
@@ -88,7 +88,7 @@
   }
 
   /** Makes the open ordinary connections silent for good. */
-  setSilent(): void {
+  silenceConnections(): void {
     for (const { isOrdinary, output } of this.open) {
       if (isOrdinary && output !== undefined) output.isSilent = true;
     }
@@ -112,7 +112,7 @@
     const { faults } = this.services;
     const { socket } = connection;
     const id = this.nextId++;
-    const isFull = this.count >= this.limit;
+    const isFull = this.connectionCount >= this.limit;
     const channel = findChannel(faults, database);
     connection.isOrdinary = channel === faults.statements;
     const gates = [faults.running, channel.requests];
@@ -156,7 +156,7 @@
   const frames = new FrameSplitter();
   socket.on("data", (chunk: Buffer) => {
     try {
-      for (const message of frames.push(chunk)) session.take(message);
+      for (const message of frames.push(chunk)) session.enqueue(message);
     } catch {
       socket.destroy();
     }
--- a/standin/target/log.ts
+++ b/standin/target/log.ts
@@ -75,7 +75,7 @@
   }
 
   /** Cuts away the records after `offset`. */
-  dropAfter(offset: number): void {
+  truncateAfter(offset: number): void {
     this.records = this.records.slice(0, offset);
     this.branches = this.branches.filter((b) => b.start === 0 || b.start < offset);
     if (offset === 0) this.branches = [{ term: firstTerm, start: 0 }];
--- a/standin/target/member.ts
+++ b/standin/target/member.ts
@@ -19,7 +19,7 @@
   | { readonly type: "refused"; readonly fencedAt: Term };
 
 /** Whom a replica copies, in which term. */
-export interface Following {
+export interface FollowedPrimary {
   readonly name: string;
   readonly address: Address;
   readonly term: Term;
@@ -38,7 +38,7 @@
   private fencedAt: Term = firstTerm;
   /** The term in which it was last made primary; it may be superseded since. */
   private primaryTerm: Term | undefined = firstTerm;
-  private following: Following | undefined;
+  private following: FollowedPrimary | undefined;
   private epoch = 0;
   private readonly listeners = new Set<ChangeListener>();
 
@@ -61,7 +61,7 @@
     return this.primaryTerm === undefined;
   }
 
-  get followed(): Following | undefined {
+  get followedPrimary(): FollowedPrimary | undefined {
     return this.following;
   }
 
@@ -100,7 +100,7 @@
   }
 
   /** Makes it a replica in `term`. Its log is cut once the primary has told its lineage. */
-  follow(following: Following): ControlReply {
+  follow(following: FollowedPrimary): ControlReply {
     const { term } = following;
     if (compareTerms(term, this.fencedAt) < 0) return this.refuse();
     if (this.isPrimaryIn(term) && compareTerms(term, firstTerm) !== 0) return this.refuse();
@@ -145,23 +145,23 @@
    * the copying at once: otherwise a superseded primary's record could land on a replica that its
    * successor counts as fenced, and a write would seem replicated that the new term cuts away.
    */
-  canCopy(following: Following): boolean {
+  canCopy(following: FollowedPrimary): boolean {
     return this.following === following && compareTerms(following.term, this.fencedAt) === 0;
   }
 
   /** Cuts the log back to what it has in common with the primary's; the state is replayed. */
-  dropBeyond(primary: { readonly lineage: Lineage; readonly offset: number }): void {
+  truncateToCommonOffset(primary: { readonly lineage: Lineage; readonly offset: number }): void {
     const own = { lineage: this.log.lineage, offset: this.log.offset };
     const common = findCommonOffset(own, primary);
     if (common === own.offset) return;
-    this.log.dropAfter(common);
+    this.log.truncateAfter(common);
     this.database = new Database();
     for (const record of this.log.list(0)) this.database.apply(record);
     this.tellListeners();
   }
 
   /** Appends a record copied from the primary. */
-  copy(record: LogRecord): void {
+  appendCopied(record: LogRecord): void {
     this.write(record);
   }
 
--- a/standin/target/output.ts
+++ b/standin/target/output.ts
@@ -1,5 +1,5 @@
 import type { Socket } from "node:net";
-import type { Gate, LostAnswer } from "./faults.js";
+import type { Gate, AnswerLossMode } from "./faults.js";
 
 const chunkBytes = 64 * 1024;
 
@@ -36,7 +36,7 @@
   }
 
   /** Loses what was gathered and all that would follow. */
-  dropAll(how: LostAnswer): void {
+  discardAll(how: AnswerLossMode): void {
     this.parts = [];
     this.bytes = 0;
     this.isSilent = true;
--- a/standin/target/link.ts
+++ b/standin/target/replication-link.ts
@@ -3,7 +3,7 @@
 import { formatTerm, type Lineage } from "../../src/model/index.js";
 import type { Faults } from "./faults.js";
 import type { LogRecord } from "./log.js";
-import type { Following, Member } from "./member.js";
+import type { FollowedPrimary, Member } from "./member.js";
 
 /** The database name of the connections over which records are copied. */
 export const replicationDatabase = "standin_replication";
@@ -17,7 +17,7 @@
  * Copies records from one primary in one term. Records wait for the lag before they are appended;
  * what waits when the link ends is dropped, as on a network that loses it.
  */
-export class Link {
+export class ReplicationLink {
   private isStopped = false;
   private client: pg.Client | undefined;
   private readonly waiting: { readonly record: LogRecord; readonly receivedAt: number }[] = [];
@@ -25,7 +25,7 @@
 
   constructor(
     private readonly member: Member,
-    private readonly following: Following,
+    private readonly following: FollowedPrimary,
     private readonly faults: Faults,
     private readonly getLagMs: () => number,
   ) {
@@ -79,7 +79,7 @@
     const term = formatTerm(this.following.term);
     const [lineage] = await this.ask(client, "SELECT standin_lineage($1)", [term]);
     if (!this.isOpen()) return;
-    this.member.dropBeyond(lineage as { readonly lineage: Lineage; readonly offset: number });
+    this.member.truncateToCommonOffset(lineage as { readonly lineage: Lineage; readonly offset: number });
     let offset = this.member.log.offset;
     while (this.isOpen()) {
       const values = [term, offset, maxRecords, pollMs];
@@ -117,7 +117,7 @@
     for (let head = this.waiting[0]; head !== undefined; head = this.waiting[0]) {
       if (head.receivedAt > dueBefore || !this.isOpen()) return;
       this.waiting.shift();
-      this.member.copy(head.record);
+      this.member.appendCopied(head.record);
     }
   }
 
--- a/standin/target/server.ts
+++ b/standin/target/server.ts
@@ -1,14 +1,14 @@
 import type { Address, Target } from "../../src/model/index.js";
-import type { Services } from "./work.js";
-import { Control } from "./control.js";
+import type { Services } from "./execution.js";
+import { ControlFunctions } from "./control.js";
 import { Faults } from "./faults.js";
-import { Link } from "./link.js";
+import { ReplicationLink } from "./replication-link.js";
 import { Listener } from "./listener.js";
-import { Member, type Following } from "./member.js";
+import { Member, type FollowedPrimary } from "./member.js";
 import { Slots } from "./slots.js";
 import { loadParser } from "./sql/index.js";
-import { StatementRecord } from "./statement.js";
-import { applyFault } from "./switches.js";
+import { StatementHistory } from "./statement.js";
+import { applyFault } from "./fault-control.js";
 
 /** How one stand-in target behaves. */
 export interface StandinTargetOptions {
@@ -49,11 +49,11 @@
 export class StandinTarget {
   readonly member: Member;
   readonly faults = new Faults();
-  readonly statements = new StatementRecord();
+  readonly statements = new StatementHistory();
   readonly slots: Slots;
   private readonly options: Required<StandinTargetOptions>;
   private readonly listener: Listener;
-  private link: { readonly of: Following; readonly link: Link } | undefined;
+  private link: { readonly of: FollowedPrimary; readonly link: ReplicationLink } | undefined;
   private lag: number;
 
   constructor(options: StandinTargetOptions) {
@@ -83,7 +83,7 @@
 
   /** How many connections are open, control and replication not counted. */
   get connections(): number {
-    return this.listener.count;
+    return this.listener.connectionCount;
   }
 
   get lagMs(): number {
@@ -113,7 +113,7 @@
 
   /** Makes the open ordinary connections silent for good; new ones work. */
   silenceConnections(): void {
-    this.listener.setSilent();
+    this.listener.silenceConnections();
   }
 
   async dispose(): Promise<void> {
@@ -122,7 +122,7 @@
 
   private buildServices(): Services {
     const { member, slots, faults, statements: record } = this;
-    const control = new Control(member, record, {
+    const control = new ControlFunctions(member, record, {
       fault: ([name, value]) => applyFault(this, String(name), Number(value ?? 0)),
       load: () => ({
         busy: slots.busy,
@@ -130,16 +130,16 @@
         connections: this.connections,
       }),
     });
-    return { member, slots, faults, record, control, serviceMs: this.options.serviceMs };
+    return { member, slots, faults, history: record, control, serviceMs: this.options.serviceMs };
   }
 
   /** Keeps the one link that role and fence allow. */
   private updateLink(): void {
-    const wanted = this.listener.isListening ? this.member.followed : undefined;
+    const wanted = this.listener.isListening ? this.member.followedPrimary : undefined;
     if (this.link?.of !== wanted) this.dropLink();
     if (this.link !== undefined && !this.member.canCopy(this.link.of)) this.dropLink();
     if (this.link !== undefined || wanted === undefined || !this.member.canCopy(wanted)) return;
-    this.link = { of: wanted, link: new Link(this.member, wanted, this.faults, () => this.lag) };
+    this.link = { of: wanted, link: new ReplicationLink(this.member, wanted, this.faults, () => this.lag) };
   }
 
   private dropLink(): void {
--- a/standin/target/session.ts
+++ b/standin/target/session.ts
@@ -1,14 +1,14 @@
 import type { Socket } from "node:net";
-import { AnswerLost, Backend } from "./backend.js";
-import type { Services } from "./work.js";
+import { AnswerLostError, Backend } from "./backend.js";
+import type { Services } from "./execution.js";
 import { SqlError } from "./error.js";
 import type { Gate } from "./faults.js";
 import { decodeFrontend, type FrontendMessage } from "./frontend.js";
 import type { Output } from "./output.js";
 import { parseStatements, type Result } from "./sql/index.js";
-import type { Prepared } from "./statement.js";
+import type { PreparedStatement } from "./statement.js";
 import {
-  encodeBare,
+  encodeEmptyMessage,
   encodeComplete,
   encodeDataRow,
   encodeError,
@@ -18,7 +18,7 @@
 } from "./wire.js";
 
 interface Portal {
-  readonly prepared: Prepared;
+  readonly prepared: PreparedStatement;
   readonly parameters: readonly (string | null)[];
   /** Set by the first Execute, with the number of rows already sent. */
   progress?: { readonly result: Result; sent: number };
@@ -32,7 +32,7 @@
 export class Session {
   private readonly queue: Buffer[] = [];
   private readonly backend: Backend;
-  private readonly prepared = new Map<string, Prepared>();
+  private readonly prepared = new Map<string, PreparedStatement>();
   private readonly portals = new Map<string, Portal>();
   private isBusy = false;
   private skipsToSync = false;
@@ -49,12 +49,12 @@
   ) {
     this.backend = new Backend(services, id);
     socket.on("close", () => {
-      if (!this.isBusy) this.backend.cancel();
+      if (!this.isBusy) this.backend.rollBack();
     });
   }
 
   /** Takes one whole message; messages are worked on one after the other. */
-  take(data: Buffer): void {
+  enqueue(data: Buffer): void {
     this.queue.push(data);
     if (!this.isBusy) void this.runQueue();
   }
@@ -74,7 +74,7 @@
       if (!this.output.isSilent) await this.handle(data);
     }
     this.isBusy = false;
-    if (this.socket.destroyed) this.backend.cancel();
+    if (this.socket.destroyed) this.backend.rollBack();
   }
 
   private async handle(data: Buffer): Promise<void> {
@@ -105,12 +105,12 @@
         return this.handleExecute(message);
       case "close":
         (message.what === "statement" ? this.prepared : this.portals).delete(message.name);
-        this.output.push(encodeBare("closeComplete"));
+        this.output.push(encodeEmptyMessage("closeComplete"));
         return;
       case "sync":
         this.skipsToSync = false;
         this.portals.clear();
-        this.backend.finish();
+        this.backend.commitImplicit();
         return this.sendReady();
       case "flush":
         return this.output.send();
@@ -122,10 +122,10 @@
 
   private async runQuery(text: string): Promise<void> {
     const statements = parseStatements(text);
-    if (statements.length === 0) this.output.push(encodeBare("emptyQuery"));
+    if (statements.length === 0) this.output.push(encodeEmptyMessage("emptyQuery"));
     for (const [i, statement] of statements.entries()) {
       const result = await this.backend.run(statement, []);
-      if (i === statements.length - 1) this.backend.finish();
+      if (i === statements.length - 1) this.backend.commitImplicit();
       if (result.fields !== undefined) this.output.push(encodeRowDescription(result.fields));
       await this.sendRows(result, 0, result.rows.length);
       this.output.push(encodeComplete(result.tag));
@@ -139,7 +139,7 @@
       throw new SqlError("42601", "cannot insert multiple commands into a prepared statement");
     }
     this.prepared.set(name, { text, oids, node: statements[0]?.node });
-    this.output.push(encodeBare("parseComplete"));
+    this.output.push(encodeEmptyMessage("parseComplete"));
   }
 
   private handleBind({
@@ -148,7 +148,7 @@
     parameters,
   }: Extract<FrontendMessage, { type: "bind" }>): void {
     this.portals.set(portal, { prepared: this.findPrepared(name), parameters });
-    this.output.push(encodeBare("bindComplete"));
+    this.output.push(encodeEmptyMessage("bindComplete"));
   }
 
   private handleDescribe({ what, name }: Extract<FrontendMessage, { type: "describe" }>): void {
@@ -160,14 +160,14 @@
     const parameters = portal?.parameters ?? Array.from({ length: count }, () => null);
     const fields =
       prepared.node === undefined ? undefined : this.backend.describe(prepared.node, parameters);
-    this.output.push(fields === undefined ? encodeBare("noData") : encodeRowDescription(fields));
+    this.output.push(fields === undefined ? encodeEmptyMessage("noData") : encodeRowDescription(fields));
   }
 
   private async handleExecute({ portal, limit }: Extract<FrontendMessage, { type: "execute" }>) {
     const open = this.findPortal(portal);
     const { node, text } = open.prepared;
     if (node === undefined) {
-      this.output.push(encodeBare("emptyQuery"));
+      this.output.push(encodeEmptyMessage("emptyQuery"));
       return;
     }
     open.progress ??= {
@@ -181,7 +181,7 @@
     progress.sent += count;
     const isSuspended = limit > 0 && count < left;
     this.output.push(
-      isSuspended ? encodeBare("portalSuspended") : encodeComplete(progress.result.tag),
+      isSuspended ? encodeEmptyMessage("portalSuspended") : encodeComplete(progress.result.tag),
     );
   }
 
@@ -198,11 +198,11 @@
   }
 
   private async reportError(error: unknown, endsBatch: boolean): Promise<void> {
-    if (error instanceof AnswerLost) {
-      this.output.dropAll(error.how);
+    if (error instanceof AnswerLostError) {
+      this.output.discardAll(error.mode);
       return;
     }
-    this.backend.fail();
+    this.backend.markFailed();
     const state = error instanceof SqlError ? error.state : "XX000";
     const message = error instanceof Error ? error.message : String(error);
     this.output.push(encodeError("ERROR", state, message));
@@ -210,7 +210,7 @@
     await (endsBatch ? this.sendReady() : this.output.send());
   }
 
-  private findPrepared(name: string): Prepared {
+  private findPrepared(name: string): PreparedStatement {
     const prepared = this.prepared.get(name);
     if (prepared !== undefined) return prepared;
     throw new SqlError("26000", `prepared statement "${name}" does not exist`);
--- a/standin/target/slots.ts
+++ b/standin/target/slots.ts
@@ -14,7 +14,7 @@
   }
 
   /** Resolves with the function that gives the slot back. */
-  async take(): Promise<() => void> {
+  async acquire(): Promise<() => void> {
     if (this.busyCount < this.size) this.busyCount += 1;
     else await new Promise<void>((resolve) => this.queue.push(resolve));
     return () => this.release();
--- a/standin/target/sql/define.ts
+++ b/standin/target/sql/define.ts
@@ -1,5 +1,5 @@
 import type { ColumnDef, Constraint, CreateStmt, DropStmt, Node } from "libpg-query";
-import { makeUnsupported, SqlError } from "../error.js";
+import { createUnsupportedError, SqlError } from "../error.js";
 import type { Column, TableDefinition, UniqueKey } from "../table.js";
 import type { Transaction } from "../transaction.js";
 import { readName, readString, readType } from "./ast.js";
@@ -19,7 +19,7 @@
 
 /** Runs DROP TABLE. */
 export function runDrop(drop: DropStmt, transaction: Transaction): Result {
-  if (drop.removeType !== "OBJECT_TABLE") throw makeUnsupported("DROP of anything but tables");
+  if (drop.removeType !== "OBJECT_TABLE") throw createUnsupportedError("DROP of anything but tables");
   for (const object of drop.objects ?? []) {
     const name = "List" in object ? readName(object.List.items) : "";
     if (transaction.find(name) !== undefined) transaction.drop(name);
--- a/standin/target/sql/engine.ts
+++ b/standin/target/sql/engine.ts
@@ -1,5 +1,5 @@
 import type { FuncCall, Node } from "libpg-query";
-import { makeUnsupported } from "../error.js";
+import { createUnsupportedError } from "../error.js";
 import type { Transaction } from "../transaction.js";
 import { readName } from "./ast.js";
 import { runCreate, runDrop } from "./define.js";
@@ -22,7 +22,7 @@
   if ("DeleteStmt" in node) return runDelete(node.DeleteStmt, transaction, context);
   if ("CreateStmt" in node) return runCreate(node.CreateStmt, transaction);
   if ("DropStmt" in node) return runDrop(node.DropStmt, transaction);
-  throw makeUnsupported(`statements of type ${Object.keys(node).join()}`);
+  throw createUnsupportedError(`statements of type ${Object.keys(node).join()}`);
 }
 
 /** Whether a statement may change data: everything but a SELECT without a locking clause. */
--- a/standin/target/sql/expression.ts
+++ b/standin/target/sql/expression.ts
@@ -1,5 +1,5 @@
 import type { A_Const, A_Expr, BoolExpr, CaseExpr, FuncCall, Node, NullTest } from "libpg-query";
-import { makeUnsupported, SqlError } from "../error.js";
+import { createUnsupportedError, SqlError } from "../error.js";
 import { castValue, type Value } from "../value.js";
 import { readName, readString, readType } from "./ast.js";
 import { isAggregate, runAggregate, runFunction } from "./function.js";
@@ -29,7 +29,7 @@
   }
   if ("CaseExpr" in node) return resolveCase(node.CaseExpr, scope);
   if ("SQLValueFunction" in node) return scope.context.now;
-  throw makeUnsupported(`expressions of type ${Object.keys(node).join()}`);
+  throw createUnsupportedError(`expressions of type ${Object.keys(node).join()}`);
 }
 
 function resolveAll(nodes: readonly Node[] | undefined, scope: Scope): readonly Value[] {
@@ -64,7 +64,7 @@
   if (kind === "AEXPR_LIKE" || kind === "AEXPR_ILIKE") return isMatch(left, resolveRight(), name);
   if (kind === "AEXPR_DISTINCT") return left !== resolveRight();
   if (kind === "AEXPR_NOT_DISTINCT") return left === resolveRight();
-  throw makeUnsupported(`operators of kind ${kind ?? "unknown"}`);
+  throw createUnsupportedError(`operators of kind ${kind ?? "unknown"}`);
 }
 
 function resolveRange(left: Value, bounds: readonly Node[], scope: Scope): Value {
--- a/standin/target/sql/lookup.ts
+++ b/standin/target/sql/lookup.ts
@@ -8,7 +8,7 @@
 import type { Scope, StatementContext } from "./scope.js";
 
 /** A row that a statement found, with its id. */
-export type Found = readonly [id: number, row: Row];
+export type MatchedRow = readonly [id: number, row: Row];
 
 /** Lists the rows of a table for which a condition holds, through a unique index where one fits. */
 export function listMatches(
@@ -16,10 +16,10 @@
   condition: Node | undefined,
   context: StatementContext,
   alias: string,
-): readonly Found[] {
+): readonly MatchedRow[] {
   const scope: Scope = { context, columns: view.definition.columns, alias, row: [] };
   const candidates = findByKey(view, condition, scope) ?? view.list();
-  const found: Found[] = [];
+  const found: MatchedRow[] = [];
   for (const [id, row] of candidates) {
     if (condition === undefined || isTrue(resolveValue(condition, { ...scope, row }))) {
       found.push([id, row]);
@@ -32,7 +32,7 @@
   view: TableView,
   condition: Node | undefined,
   scope: Scope,
-): readonly Found[] | undefined {
+): readonly MatchedRow[] | undefined {
   if (condition === undefined) return undefined;
   const equals = new Map<string, Node>();
   collectEquals(condition, equals);
--- a/standin/target/sql/operator.ts
+++ b/standin/target/sql/operator.ts
@@ -1,4 +1,4 @@
-import { makeUnsupported, SqlError } from "../error.js";
+import { createUnsupportedError, SqlError } from "../error.js";
 import { compareValues, formatValue, toNumber, type Value } from "../value.js";
 
 type Known = Exclude<Value, null>;
@@ -29,7 +29,7 @@
 /** Applies a binary operator; with a null it gives null. */
 export function applyOperator(name: string, a: Value, b: Value): Value {
   const operator = operators[name];
-  if (operator === undefined) throw makeUnsupported(`operator ${name}`);
+  if (operator === undefined) throw createUnsupportedError(`operator ${name}`);
   return a === null || b === null ? null : operator(a, b);
 }
 
--- a/standin/target/sql/select.ts
+++ b/standin/target/sql/select.ts
@@ -1,5 +1,5 @@
 import type { FuncCall, Node, RangeFunction, SelectStmt, SortBy } from "libpg-query";
-import { makeUnsupported } from "../error.js";
+import { createUnsupportedError } from "../error.js";
 import type { Column } from "../table.js";
 import type { Transaction } from "../transaction.js";
 import { compareValues, findType, toNumber, type Row, type Value } from "../value.js";
@@ -54,10 +54,10 @@
 
 function checkSupported(select: SelectStmt): void {
   if (select.op !== undefined && select.op !== "SETOP_NONE")
-    throw makeUnsupported("set operations");
-  if (select.withClause !== undefined) throw makeUnsupported("WITH");
-  if (select.havingClause !== undefined) throw makeUnsupported("HAVING");
-  if (select.valuesLists !== undefined) throw makeUnsupported("VALUES as a query");
+    throw createUnsupportedError("set operations");
+  if (select.withClause !== undefined) throw createUnsupportedError("WITH");
+  if (select.havingClause !== undefined) throw createUnsupportedError("HAVING");
+  if (select.valuesLists !== undefined) throw createUnsupportedError("VALUES as a query");
 }
 
 function openSource(
@@ -66,10 +66,10 @@
   context: StatementContext,
 ): Source {
   const [from, ...others] = select.fromClause ?? [];
-  if (others.length > 0) throw makeUnsupported("joins");
+  if (others.length > 0) throw createUnsupportedError("joins");
   if (from === undefined) return { columns: [], alias: "", list: () => [[]] };
   if ("RangeFunction" in from) return openSeries(from.RangeFunction, context, select.whereClause);
-  if (!("RangeVar" in from)) throw makeUnsupported("joins and subqueries");
+  if (!("RangeVar" in from)) throw createUnsupportedError("joins and subqueries");
   const name = from.RangeVar.relname ?? "";
   const alias = from.RangeVar.alias?.aliasname ?? name;
   const view = transaction.get(name);
@@ -88,7 +88,7 @@
 ): Source {
   const [list] = range.functions ?? [];
   const [call] = list !== undefined && "List" in list ? (list.List.items ?? []) : [];
-  if (call === undefined || !("FuncCall" in call)) throw makeUnsupported("functions in FROM");
+  if (call === undefined || !("FuncCall" in call)) throw createUnsupportedError("functions in FROM");
   const alias = range.alias?.aliasname ?? readName(call.FuncCall.funcname);
   const named = readString(range.alias?.colnames?.[0]);
   const name = named === "" ? alias : named;
@@ -101,7 +101,7 @@
 }
 
 function buildSeries(call: FuncCall, scope: Scope): readonly Value[] {
-  if (readName(call.funcname) !== "generate_series") throw makeUnsupported("this function in FROM");
+  if (readName(call.funcname) !== "generate_series") throw createUnsupportedError("this function in FROM");
   const [from = 1, to = 0, step = 1] = (call.args ?? []).map((a) =>
     toNumber(resolveValue(a, scope) ?? 0),
   );
--- a/standin/target/transaction.ts
+++ b/standin/target/transaction.ts
@@ -3,7 +3,7 @@
 import { SqlError } from "./error.js";
 import { LockOwner, LockedError } from "./locks.js";
 import { Table, type TableDefinition } from "./table.js";
-import { makeConflict, TableView } from "./view.js";
+import { createConflictError, TableView } from "./view.js";
 
 /** A transaction's private changes until it commits. */
 export class Transaction {
@@ -81,10 +81,10 @@
   collect(): readonly Change[] {
     for (const [name, view] of this.views) {
       if (this.created.get(name) === view.table) continue;
-      if (this.database.find(name) !== view.table) throw makeConflict(name);
+      if (this.database.find(name) !== view.table) throw createConflictError(name);
     }
     for (const name of this.created.keys()) {
-      if (this.findCommitted(name) !== undefined) throw makeConflict(name);
+      if (this.findCommitted(name) !== undefined) throw createConflictError(name);
     }
     return [
       ...[...this.dropped].map((table): Change => ({ type: "dropTable", table })),
--- a/standin/target/view.ts
+++ b/standin/target/view.ts
@@ -11,7 +11,7 @@
 }
 
 /** What the views of one transaction share. */
-export interface ViewOwner {
+export interface ViewContext {
   readonly locks: Locks;
   readonly owner: LockOwner;
   /** Rows that were changed after this offset of the log must not be changed; none by default. */
@@ -25,7 +25,7 @@
 
   constructor(
     readonly table: Table,
-    private readonly shared: ViewOwner,
+    private readonly shared: ViewContext,
     copied?: TableView,
   ) {
     this.entries = new Map(copied?.entries);
@@ -63,7 +63,7 @@
   lockRow(id: number): void {
     const { locks, owner, snapshot = Infinity } = this.shared;
     locks.take(owner, `${this.definition.name} row ${id}`);
-    if (this.table.getChangedAt(id) > snapshot) throw makeConflict(this.definition.name);
+    if (this.table.getChangedAt(id) > snapshot) throw createConflictError(this.definition.name);
   }
 
   /** Locks a value of the unique constraint at `place`, so that nobody else puts it in. */
@@ -120,6 +120,6 @@
 }
 
 /** Builds the error for a change that another transaction has overtaken. */
-export function makeConflict(name: string): SqlError {
+export function createConflictError(name: string): SqlError {
   return new SqlError("40001", `relation "${name}" was changed by another transaction`);
 }
--- a/standin/target/wire.ts
+++ b/standin/target/wire.ts
@@ -74,6 +74,6 @@
 } as const;
 
 /** A message without a body. */
-export function encodeBare(name: keyof typeof bare): Buffer {
+export function encodeEmptyMessage(name: keyof typeof bare): Buffer {
   return writer.flush(bare[name]);
 }
--- a/test/standin/member.test.ts
+++ b/test/standin/member.test.ts
@@ -34,12 +34,12 @@
 
 /** What the link does in one go, without a network between. */
 function copyOne(replica: Member, members: readonly Member[]): void {
-  const { followed } = replica;
+  const { followedPrimary: followed } = replica;
   const primary = members.find((m) => m.name === followed?.name);
   if (followed === undefined || primary === undefined || !replica.canCopy(followed)) return;
   if (!primary.isPrimaryIn(followed.term)) return;
-  replica.dropBeyond({ lineage: primary.log.lineage, offset: primary.log.offset });
-  for (const record of primary.log.list(replica.log.offset, 1)) replica.copy(record);
+  replica.truncateToCommonOffset({ lineage: primary.log.lineage, offset: primary.log.offset });
+  for (const record of primary.log.list(replica.log.offset, 1)) replica.appendCopied(record);
 }
 
 function applyOp(op: Op, members: readonly Member[]): void {
