--- a/standin/target/backend.ts
+++ b/standin/target/backend.ts
@@ -14,10 +14,10 @@
 import type { Transaction } from "./transaction.js";
 import { executeInSlot, type Services } from "./execution.js";
 
-/** Thrown after a commit took effect whose answer must not reach the client. */
+/** Thrown after a commit has taken effect when a fault withholds its answer from the client. */
 export class AnswerLostError extends Error {
   constructor(readonly mode: AnswerLossMode) {
-    super("the answer to a commit was lost on purpose");
+    super("a fault drops the answer to a commit");
   }
 }
 
@@ -25,15 +25,15 @@
   readonly transaction: Transaction;
   isExplicit: boolean;
   hasFailed: boolean;
-  readonly fates: ((fate: StatementOutcome) => void)[];
+  readonly outcomes: ((outcome: StatementOutcome) => void)[];
 }
 
-/** Runs the statements of one connection and keeps its transaction. */
+/** Runs the statements of one connection and holds its open transaction. */
 export class Backend {
   private open: OpenTransaction | undefined;
   private readonly settings = new SessionSettings();
   private isKilled = false;
-  /** The mark of the connection's last commit that changed something. */
+  /** The mark of the connection's last commit that changed data; undefined before the first. */
   lastCommit: Mark | undefined;
 
   constructor(
@@ -46,7 +46,7 @@
     return this.open.hasFailed ? "E" : "T";
   }
 
-  /** Runs one statement; without BEGIN it stays in an implicit transaction up to `finish`. */
+  /** Runs one statement; without BEGIN its transaction stays open until `commitImplicit`. */
   async run(statement: Statement, parameters: readonly (string | null)[]): Promise<Result> {
     const { node } = statement;
     if ("TransactionStmt" in node) return this.runTransaction(node.TransactionStmt);
@@ -54,10 +54,10 @@
       throw new SqlError("25P02", "current transaction is aborted, commands are ignored");
     }
     const context = this.buildContext(parameters);
-    const done = this.settings.run(node, context);
-    if (done !== undefined) return done;
-    const answer = await this.services.control.run(node, context, this);
-    return answer ?? (await this.runData(statement, context));
+    const settingResult = this.settings.run(node, context);
+    if (settingResult !== undefined) return settingResult;
+    const controlResult = await this.services.control.run(node, context, this);
+    return controlResult ?? (await this.runData(statement, context));
   }
 
   /** Commits the implicit transaction, if one is open. */
@@ -65,21 +65,21 @@
     if (this.open?.isExplicit === false) this.commit();
   }
 
-  /** Notes that a statement failed: an implicit transaction is rolled back, an explicit one fails. */
+  /** Handles a failed statement: rolls back an implicit transaction, or marks an explicit one. */
   markFailed(): void {
     if (this.open?.isExplicit === true) this.open.hasFailed = true;
     else this.rollBack();
   }
 
-  /** Rolls back what is open. */
+  /** Rolls the open transaction back, if there is one. */
   rollBack(): void {
     const { open } = this;
     this.open = undefined;
     open?.transaction.end();
-    for (const tell of open?.fates ?? []) tell({ type: "rolledBack" });
+    for (const setOutcome of open?.outcomes ?? []) setOutcome({ type: "rolledBack" });
   }
 
-  /** Ends it with the target: what was under way must not commit after the crash. */
+  /** Simulates a crash: statements still running must not commit afterwards. */
   kill(): void {
     this.isKilled = true;
     this.rollBack();
@@ -100,15 +100,15 @@
   }
 
   private async runData(statement: Statement, context: StatementContext): Promise<Result> {
-    const { transaction, fates } = this.begin(false);
-    const { result, setOutcome: tell } = await executeInSlot(this.services, {
+    const { transaction, outcomes } = this.begin(false);
+    const { result, setOutcome } = await executeInSlot(this.services, {
       statement,
       context,
       transaction,
       connection: this.connection,
       checkAlive: () => this.checkAlive(),
     });
-    fates.push(tell);
+    outcomes.push(setOutcome);
     return result;
   }
 
@@ -121,7 +121,7 @@
       transaction: this.services.member.begin(),
       isExplicit: false,
       hasFailed: false,
-      fates: [],
+      outcomes: [],
     };
     if (isExplicit) this.open.isExplicit = true;
     return this.open;
@@ -134,7 +134,8 @@
       return { rows: [], tag: "BEGIN" };
     }
     if (kind === "TRANS_STMT_COMMIT") return this.runCommit();
-    if (kind !== "TRANS_STMT_ROLLBACK") throw createUnsupportedError("savepoints and two-phase commit");
+    if (kind !== "TRANS_STMT_ROLLBACK")
+      throw createUnsupportedError("savepoints and two-phase commit");
     this.rollBack();
     return { rows: [], tag: "ROLLBACK" };
   }
@@ -158,13 +159,13 @@
     this.checkAlive();
     const { open } = this;
     if (open === undefined) return;
-    const mark = this.commitOrCancel(open.transaction);
+    const mark = this.commitOrRollBack(open.transaction);
     this.open = undefined;
-    this.tellCommitted(open, mark);
-    if (mark !== undefined) this.dropAnswer();
+    this.reportCommitted(open, mark);
+    if (mark !== undefined) this.dropAnswerOnFault();
   }
 
-  private commitOrCancel(transaction: Transaction): Mark | undefined {
+  private commitOrRollBack(transaction: Transaction): Mark | undefined {
     try {
       return this.services.member.commit(transaction);
     } catch (error) {
@@ -173,16 +174,16 @@
     }
   }
 
-  private tellCommitted(open: OpenTransaction, mark: Mark | undefined): void {
+  private reportCommitted(open: OpenTransaction, mark: Mark | undefined): void {
     this.lastCommit = mark ?? this.lastCommit;
-    const fate: StatementOutcome =
+    const outcome: StatementOutcome =
       mark === undefined ? { type: "committed" } : { type: "committed", mark };
-    for (const tell of open.fates) tell(fate);
+    for (const setOutcome of open.outcomes) setOutcome(outcome);
   }
 
-  private dropAnswer(): void {
-    const how = this.services.faults.takeAnswerLoss();
-    if (how !== undefined) throw new AnswerLostError(how);
+  private dropAnswerOnFault(): void {
+    const mode = this.services.faults.takeAnswerLoss();
+    if (mode !== undefined) throw new AnswerLostError(mode);
   }
 }
 
--- a/standin/target/control.ts
+++ b/standin/target/control.ts
@@ -13,60 +13,64 @@
 import type { StatementHistory } from "./statement.js";
 import { findType, type Value } from "./value.js";
 
-/** What a control function may ask of the connection that calls it. */
+/** The state that a control function can read of the connection that calls it. */
 export interface CallingConnection {
   readonly lastCommit: Mark | undefined;
 }
 
-type Call = (args: readonly Value[], caller: CallingConnection) => unknown;
+type ControlFunction = (args: readonly Value[], caller: CallingConnection) => unknown;
 
-const prefix = "standin_";
+const functionPrefix = "standin_";
 const maxWaitMs = 60_000;
 
-/** The control functions of a target, `SELECT standin_…`. They take no slot. */
+/** The control functions of a target, called as `SELECT standin_…`. They take no slot. */
 export class ControlFunctions {
-  private readonly calls: Readonly<Record<string, Call>>;
+  private readonly functions: Readonly<Record<string, ControlFunction>>;
 
   constructor(
     private readonly member: Member,
-    record: StatementHistory,
-    extra: Readonly<Record<string, Call>>,
+    history: StatementHistory,
+    additionalFunctions: Readonly<Record<string, ControlFunction>>,
   ) {
-    this.calls = {
-      status: (args) => this.waitStatus(args),
+    this.functions = {
+      status: (args) => this.waitForStatus(args),
       fence: ([term]) => member.fence(readTerm(term)),
       promote: ([term]) => member.promote(readTerm(term)),
       follow: (args) => this.follow(args),
-      lineage: ([term]) => this.tellLineage(readTerm(term)),
+      lineage: ([term]) => this.getLineage(readTerm(term)),
       records: (args) => this.listRecords(args),
       mark: (_, caller) => (caller.lastCommit === undefined ? null : formatMark(caller.lastCommit)),
-      statements: ([part]) => record.list(String(part ?? "")),
-      ...extra,
+      statements: ([part]) => history.list(String(part ?? "")),
+      ...additionalFunctions,
     };
   }
 
-  /** Runs a control function; undefined when the statement is none. */
-  async run(node: Node, context: StatementContext, caller: CallingConnection): Promise<Result | undefined> {
+  /** Runs a control function; undefined when the statement doesn't call one. */
+  async run(
+    node: Node,
+    context: StatementContext,
+    caller: CallingConnection,
+  ): Promise<Result | undefined> {
     const call = findCall(node);
     const name = readName(call?.funcname);
-    if (!name.startsWith(prefix)) return undefined;
-    const run = this.calls[name.slice(prefix.length)];
+    if (!name.startsWith(functionPrefix)) return undefined;
+    const run = this.functions[name.slice(functionPrefix.length)];
     if (run === undefined) throw new SqlError("42883", `function ${name} does not exist`);
     const scope = { context, columns: [], alias: "", row: [] };
     const args = (call?.args ?? []).map((a) => resolveValue(a, scope));
     const answer = await run(args, caller);
-    const rows = (Array.isArray(answer) ? answer : [answer]).map((a) => [writeAnswer(a)]);
-    return { fields: makeFields(name), rows, tag: `SELECT ${rows.length}` };
+    const rows = (Array.isArray(answer) ? answer : [answer]).map((a) => [formatAnswer(a)]);
+    return { fields: buildFields(name), rows, tag: `SELECT ${rows.length}` };
   }
 
-  /** Describes a control function's answer; undefined when the statement is none. */
+  /** Describes a control function's result; undefined when the statement doesn't call one. */
   describe(node: Node): readonly Field[] | undefined {
     const name = readName(findCall(node)?.funcname);
-    return name.startsWith(prefix) ? makeFields(name) : undefined;
+    return name.startsWith(functionPrefix) ? buildFields(name) : undefined;
   }
 
-  /** `standin_status([mark, fenced_at, wait_ms])`: waits until one of them differs. */
-  private async waitStatus([mark, fencedAt, waitMs]: readonly Value[]): Promise<unknown> {
+  /** `standin_status([mark, fenced_at, wait_ms])`: waits until the mark or fence differs. */
+  private async waitForStatus([mark, fencedAt, waitMs]: readonly Value[]): Promise<unknown> {
     if (mark !== undefined) {
       await this.waitUntil(
         () => {
@@ -85,25 +89,25 @@
     return this.member.follow({ name: String(name), address, term: readTerm(term) });
   }
 
-  private tellLineage(term: Term): unknown {
+  private getLineage(term: Term): unknown {
     this.checkPrimary(term);
     const { lineage, offset } = this.member.log;
     return { lineage, offset };
   }
 
-  /** `standin_records(term, offset, limit, wait_ms)`: waits until there are records after it. */
+  /** `standin_records(term, offset, limit, wait_ms)`: waits for records after `offset`. */
   private async listRecords([text, after, limit, waitMs]: readonly Value[]): Promise<unknown> {
     const term = readTerm(text);
     const offset = Number(after);
-    const hasNews = () => !this.member.isPrimaryIn(term) || this.member.log.offset > offset;
-    await this.waitUntil(hasNews, Number(waitMs ?? 0));
+    const isReady = () => !this.member.isPrimaryIn(term) || this.member.log.offset > offset;
+    await this.waitUntil(isReady, Number(waitMs ?? 0));
     this.checkPrimary(term);
     return this.member.log.list(offset, Number(limit));
   }
 
   private checkPrimary(term: Term): void {
     if (this.member.isPrimaryIn(term)) return;
-    throw new SqlError("55000", `${this.member.name} is no primary in term ${formatTerm(term)}`);
+    throw new SqlError("55000", `${this.member.name} is not primary in term ${formatTerm(term)}`);
   }
 
   private async waitUntil(isMet: () => boolean, waitMs: number): Promise<void> {
@@ -124,14 +128,14 @@
 
 function readTerm(value: Value | undefined): Term {
   const term = typeof value === "string" ? parseTerm(value) : undefined;
-  if (term === undefined) throw new SqlError("22023", `not a term: ${String(value)}`);
+  if (term === undefined) throw new SqlError("22023", `invalid term: ${String(value)}`);
   return term;
 }
 
-function writeAnswer(answer: unknown): Value {
+function formatAnswer(answer: unknown): Value {
   return answer === null || typeof answer === "string" ? answer : JSON.stringify(answer);
 }
 
-function makeFields(name: string): readonly Field[] {
+function buildFields(name: string): readonly Field[] {
   return [{ name, type: findType("text") }];
 }
--- a/standin/target/database.ts
+++ b/standin/target/database.ts
@@ -3,7 +3,7 @@
 import { Locks } from "./locks.js";
 import { Table } from "./table.js";
 
-/** The committed state: what replaying the log from its beginning gives. */
+/** The committed state of a target, as replaying its log from the beginning produces it. */
 export class Database {
   readonly locks = new Locks();
   private readonly tables = new Map<string, Table>();
@@ -12,7 +12,7 @@
     return this.tables.get(name);
   }
 
-  /** Applies the changes of one record, all of them at once for every reader. */
+  /** Applies the changes of one record; readers see all of them or none. */
   apply({ changes, offset }: LogRecord): void {
     for (const change of changes) this.applyChange(change, offset);
   }
--- a/standin/target/error.ts
+++ b/standin/target/error.ts
@@ -1,4 +1,4 @@
-/** An error of the stand-in's SQL with its SQLSTATE. */
+/** An SQL error with its SQLSTATE in `state`. */
 export class SqlError extends Error {
   override readonly name = "SqlError";
 
@@ -10,7 +10,7 @@
   }
 }
 
-/** Builds the error for SQL that the stand-in does not carry out. */
-export function createUnsupportedError(what: string): SqlError {
-  return new SqlError("0A000", `the stand-in does not support ${what}`);
+/** Creates the error for SQL that the stand-in does not support. */
+export function createUnsupportedError(feature: string): SqlError {
+  return new SqlError("0A000", `the stand-in does not support ${feature}`);
 }
--- a/standin/target/execution.ts
+++ b/standin/target/execution.ts
@@ -16,7 +16,7 @@
 import type { StatementOutcome, StatementHistory } from "./statement.js";
 import type { Transaction } from "./transaction.js";
 
-/** What the connections of one target share. */
+/** The state that all connections of one target share. */
 export interface Services {
   readonly member: Member;
   readonly slots: Slots;
@@ -26,50 +26,56 @@
   readonly serviceMs: number;
 }
 
-/** One statement on data that is to be run. */
+/** One data statement to execute. */
 export interface ExecutionRequest {
   readonly statement: Statement;
   readonly context: StatementContext;
   readonly transaction: Transaction;
   readonly connection: number;
-  /** Throws when the target has crashed since the statement came. */
+  /** Throws if the target has crashed since the statement arrived. */
   readonly checkAlive: () => void;
 }
 
-/** A statement's result, and how to tell what became of it. */
+/** A statement's result; `setOutcome` records whether it is committed or rolled back later. */
 export interface ExecutionResult {
   readonly result: Result;
-  readonly setOutcome: (fate: StatementOutcome) => void;
+  readonly setOutcome: (outcome: StatementOutcome) => void;
 }
 
-/** Runs a statement in a slot for its service time, as often as it has to wait for a lock. */
-export async function executeInSlot(services: Services, item: ExecutionRequest): Promise<ExecutionResult> {
-  let serviceMs = findServiceMs(services, item);
+/** Runs a statement in a slot for its service time, and again after each wait for a lock. */
+export async function executeInSlot(
+  services: Services,
+  request: ExecutionRequest,
+): Promise<ExecutionResult> {
+  let serviceMs = findServiceMs(services, request);
   for (;;) {
-    const done = await tryWork(services, item, serviceMs);
-    if (!(done instanceof LockOwner)) return done;
-    // A statement that waits gives its slot back: the holder may need it to come to its end.
-    await item.transaction.wait(done);
+    const result = await tryExecute(services, request, serviceMs);
+    if (!(result instanceof LockOwner)) return result;
+    // A waiting statement releases its slot, since the lock's holder may need it to finish.
+    await request.transaction.wait(result);
     serviceMs = 0;
   }
 }
 
-function findServiceMs({ serviceMs, faults }: Services, { statement, context }: ExecutionRequest): number {
+function findServiceMs(
+  { serviceMs, faults }: Services,
+  { statement, context }: ExecutionRequest,
+): number {
   return serviceMs * faults.slowFactor + findSleep(statement.node, context);
 }
 
-/** Runs a statement in a slot, or tells for whose end it has to wait. */
-async function tryWork(
+/** Runs a statement in a slot; returns the lock's holder if it has to wait for one. */
+async function tryExecute(
   services: Services,
-  item: ExecutionRequest,
+  request: ExecutionRequest,
   serviceMs: number,
 ): Promise<ExecutionResult | LockOwner> {
   const release = await services.slots.acquire();
   try {
     if (serviceMs > 0) await sleep(serviceMs);
     await services.faults.running.wait();
-    item.checkAlive();
-    return runNow(services, item);
+    request.checkAlive();
+    return executeStatement(services, request);
   } catch (error) {
     if (error instanceof LockedError) return error.holder;
     throw error;
@@ -78,15 +84,21 @@
   }
 }
 
-function runNow({ member, history: record }: Services, item: ExecutionRequest): ExecutionResult {
-  const { statement, context, transaction, connection } = item;
+function executeStatement(
+  { member, history }: Services,
+  request: ExecutionRequest,
+): ExecutionResult {
+  const { statement, context, transaction, connection } = request;
   const { node, text } = statement;
-  const tell = record.begin(text, connection);
+  const setOutcome = history.begin(text, connection);
   try {
     if (isWrite(node)) member.beginWrite(transaction);
-    return { result: transaction.attempt(() => runStatement(node, transaction, context)), setOutcome: tell };
+    return {
+      result: transaction.attempt(() => runStatement(node, transaction, context)),
+      setOutcome,
+    };
   } catch (error) {
-    tell(describeFailure(error));
+    setOutcome(describeFailure(error));
     throw error;
   }
 }
--- a/standin/target/fault-control.ts
+++ b/standin/target/fault-control.ts
@@ -2,8 +2,8 @@
 import type { StandinTarget } from "./server.js";
 
 /**
- * The switches as a control function, `standin_fault(name, value)`. A fault that would cut off its
- * own end, such as a freeze, ends by itself after `value` milliseconds.
+ * Implements the control function `standin_fault(name, value)`. A fault that could block the call
+ * that ends it, such as a freeze, ends by itself after `value` milliseconds.
  */
 export function applyFault(target: StandinTarget, name: string, value: number): string {
   const { faults } = target;
@@ -45,7 +45,7 @@
   return "done";
 }
 
-function closeFor(way: Gate | Channel, ms: number): void {
-  way.close();
-  setTimeout(() => way.open(), ms);
+function closeFor(gate: Gate | Channel, ms: number): void {
+  gate.close();
+  setTimeout(() => gate.open(), ms);
 }
--- a/standin/target/faults.ts
+++ b/standin/target/faults.ts
@@ -1,4 +1,4 @@
-/** Holds work back while it is closed. What waits goes on when it is opened again. */
+/** Suspends callers of `wait` while it is closed, and resumes them when it is opened. */
 export class Gate {
   private closed: { readonly end: Promise<void>; readonly release: () => void } | undefined;
 
@@ -19,20 +19,20 @@
     closed?.release();
   }
 
-  /** Resolves at once, or when the gate is open again. */
+  /** Resolves at once while the gate is open, otherwise when it is opened. */
   async wait(): Promise<void> {
     while (this.closed !== undefined) await this.closed.end;
   }
 }
 
-/** The way between a target and one sort of its peers, which can be cut one way or both. */
+/** The simulated network between a target and one kind of peer; each direction can be cut. */
 export class Channel {
-  /** Closed while nothing arrives; what is sent arrives after the cut. */
+  /** Closed while requests are held up; they arrive once it is opened. */
   readonly requests = new Gate();
-  /** Closed while requests arrive and are carried out, but no answer goes out. */
+  /** Closed while answers are held up; requests still arrive and are executed. */
   readonly answers = new Gate();
 
-  /** Cuts both ways. */
+  /** Cuts both directions. */
   close(): void {
     this.requests.close();
     this.answers.close();
@@ -44,35 +44,35 @@
   }
 }
 
-/** How the answer to a commit is lost: the connection breaks, or stays open and says nothing. */
+/** How the answer to a commit is lost: the connection breaks, or stays open without an answer. */
 export type AnswerLossMode = "break" | "silence";
 
-/** The faults of one target that can be switched on and off while it runs. */
+/** The faults that can be injected into a running target. */
 export class Faults {
-  /** Multiplies every service time. */
+  /** Factor applied to every statement's service time. */
   slowFactor = 1;
-  /** Closed while the target is frozen: bytes are accepted, nothing is done or answered. */
+  /** Closed while the target is frozen: it accepts bytes, but executes and answers nothing. */
   readonly running = new Gate();
   readonly statements = new Channel();
   readonly control = new Channel();
-  /** Links on which records are copied from or to this target. */
+  /** The replication links from and to this target. */
   readonly replication = new Channel();
-  private readonly lost: AnswerLossMode[] = [];
+  private readonly pendingLosses: AnswerLossMode[] = [];
 
-  /** Loses the answers to the next commits after they took effect. */
-  loseCommitAnswers(count: number, how: AnswerLossMode): void {
-    this.lost.push(...Array.from({ length: count }, () => how));
+  /** Drops the answers to the next `count` commits that change data; the commits take effect. */
+  loseCommitAnswers(count: number, mode: AnswerLossMode): void {
+    this.pendingLosses.push(...Array.from({ length: count }, () => mode));
   }
 
-  /** Takes the fate of the answer to the commit that has just taken effect. */
+  /** Consumes the next pending answer loss; undefined when the commit's answer is to be sent. */
   takeAnswerLoss(): AnswerLossMode | undefined {
-    return this.lost.shift();
+    return this.pendingLosses.shift();
   }
 
-  /** Ends every fault that lasts. */
+  /** Ends every active fault and discards pending answer losses. */
   endAll(): void {
     this.slowFactor = 1;
-    this.lost.length = 0;
-    for (const way of [this.running, this.statements, this.control, this.replication]) way.open();
+    this.pendingLosses.length = 0;
+    for (const path of [this.running, this.statements, this.control, this.replication]) path.open();
   }
 }
--- a/standin/target/frontend.ts
+++ b/standin/target/frontend.ts
@@ -1,6 +1,6 @@
 import { SqlError } from "./error.js";
 
-/** A message from a client, as far as the stand-in knows them. */
+/** A client message that the stand-in supports. */
 export type FrontendMessage =
   | { readonly type: "query"; readonly text: string }
   | {
@@ -58,7 +58,7 @@
 
 const headerBytes = 5;
 
-/** Decodes one whole message, type byte and length included. */
+/** Decodes one complete message, including its type byte and length. */
 export function decodeFrontend(data: Buffer): FrontendMessage {
   const reader = new Reader(data, headerBytes);
   const code = String.fromCharCode(data[0] ?? 0);
@@ -86,7 +86,7 @@
     case "X":
       return { type: "terminate" };
     default:
-      throw new SqlError("08P01", `the stand-in does not know messages of type "${code}"`);
+      throw new SqlError("08P01", `the stand-in does not support messages of type "${code}"`);
   }
 }
 
@@ -100,7 +100,7 @@
   });
   const results = reader.readList(() => reader.readInt16());
   if ([...formats, ...results].includes(1)) {
-    throw new SqlError("0A000", "the stand-in knows only the text format");
+    throw new SqlError("0A000", "the stand-in supports only the text format");
   }
   return { type: "bind", portal, name, parameters };
 }
--- a/standin/target/listener.ts
+++ b/standin/target/listener.ts
@@ -16,7 +16,7 @@
   encodeReady,
 } from "./wire.js";
 
-/** The database name of control connections. They count against no limit and take no slot. */
+/** The database name of control connections, which count against no limit and take no slot. */
 export const controlDatabase = "standin_control";
 
 interface Connection {
@@ -26,7 +26,7 @@
   output?: Output;
 }
 
-const announced = {
+const startupParameters = {
   server_version: "17.0 (radishwalk stand-in)",
   server_encoding: "UTF8",
   client_encoding: "UTF8",
@@ -36,7 +36,7 @@
   standard_conforming_strings: "on",
 } as const;
 
-/** Accepts a target's connections, within their limit and with their set-up time. */
+/** Accepts a target's connections, enforcing the connection limit and the set-up time. */
 export class Listener {
   private readonly open = new Set<Connection>();
   private server: Server | undefined;
@@ -44,39 +44,39 @@
 
   constructor(
     private readonly services: Services,
-    private listening: Address,
-    private readonly limit: number,
+    private boundAddress: Address,
+    private readonly maxConnections: number,
     private readonly connectMs: number,
   ) {}
 
   get address(): Address {
-    return this.listening;
+    return this.boundAddress;
   }
 
   get isListening(): boolean {
     return this.server !== undefined;
   }
 
-  /** How many ordinary connections are open. */
+  /** Number of open ordinary connections: neither control nor replication. */
   get connectionCount(): number {
     return [...this.open].filter((c) => c.isOrdinary).length;
   }
 
-  /** Listens; a port that was chosen once is kept. */
+  /** Starts listening; a restart reuses the port that the first start was given. */
   async start(): Promise<void> {
-    const server = createServer({ noDelay: true }, (socket) => this.admit(socket));
+    const server = createServer({ noDelay: true }, (socket) => this.accept(socket));
     await new Promise<void>((resolve, reject) => {
       server.once("error", reject);
-      server.listen(this.listening.port, this.listening.host, resolve);
+      server.listen(this.boundAddress.port, this.boundAddress.host, resolve);
     });
     const bound = server.address();
     if (bound !== null && typeof bound === "object") {
-      this.listening = { host: this.listening.host, port: bound.port };
+      this.boundAddress = { host: this.boundAddress.host, port: bound.port };
     }
     this.server = server;
   }
 
-  /** Breaks all connections and refuses new ones. */
+  /** Destroys all connections and stops listening. */
   async stop(): Promise<void> {
     const { server } = this;
     this.server = undefined;
@@ -87,14 +87,14 @@
     if (server !== undefined) await new Promise((resolve) => server.close(resolve));
   }
 
-  /** Makes the open ordinary connections silent for good. */
+  /** Stops all output on the open ordinary connections permanently. */
   silenceConnections(): void {
     for (const { isOrdinary, output } of this.open) {
       if (isOrdinary && output !== undefined) output.isSilent = true;
     }
   }
 
-  private admit(socket: Socket): void {
+  private accept(socket: Socket): void {
     const connection: Connection = { socket, isOrdinary: false };
     this.open.add(connection);
     socket.on("error", () => undefined);
@@ -102,7 +102,7 @@
     const gateway = new PostgresConnection(socket, {
       onStartup: ({ clientInfo }) => {
         gateway.detach();
-        this.startSession(connection, readDatabase(clientInfo?.parameters));
+        this.startSession(connection, readDatabaseName(clientInfo?.parameters));
         return true;
       },
     });
@@ -112,18 +112,18 @@
     const { faults } = this.services;
     const { socket } = connection;
     const id = this.nextId++;
-    const isFull = this.connectionCount >= this.limit;
+    const isFull = this.connectionCount >= this.maxConnections;
     const channel = findChannel(faults, database);
     connection.isOrdinary = channel === faults.statements;
     const gates = [faults.running, channel.requests];
     const output = new Output(socket, [faults.running, channel.answers]);
-    const ready = this.replyStartUp(socket, output, id, connection.isOrdinary && isFull, gates);
+    const ready = this.answerStartup(socket, output, id, connection.isOrdinary && isFull, gates);
     connection.output = output;
     connection.session = new Session(socket, output, this.services, id, gates, ready);
     relayMessages(socket, connection.session);
   }
 
-  private async replyStartUp(
+  private async answerStartup(
     socket: Socket,
     output: Output,
     id: number,
@@ -139,7 +139,7 @@
       return;
     }
     output.push(encodeAuthenticationOk());
-    for (const [name, value] of Object.entries(announced)) {
+    for (const [name, value] of Object.entries(startupParameters)) {
       output.push(encodeParameterStatus(name, value));
     }
     output.push(encodeKeyData(id));
@@ -149,8 +149,9 @@
 }
 
 /**
- * Splits what a client sends after its start-up. `pg-gateway` 0.2.4 cuts every message but the
- * first of a chunk at a false place, so that pipelined ones come out empty; it only does start-ups.
+ * Splits the client's bytes into messages once the start-up is done. `pg-gateway` 0.2.4 is used for
+ * the start-up only: it splits every message but the first of a chunk at a wrong offset, so that
+ * pipelined messages come out empty.
  */
 function relayMessages(socket: Socket, session: Session): void {
   const frames = new FrameSplitter();
@@ -168,6 +169,6 @@
   return database === replicationDatabase ? faults.replication : faults.statements;
 }
 
-function readDatabase(parameters: Readonly<Record<string, string>> | undefined): string {
+function readDatabaseName(parameters: Readonly<Record<string, string>> | undefined): string {
   return parameters?.database ?? "";
 }
--- a/standin/target/locks.ts
+++ b/standin/target/locks.ts
@@ -1,17 +1,17 @@
 import { SqlError } from "./error.js";
 
-/** What holds locks: one open transaction. */
+/** The lock ownership of one open transaction. */
 export class LockOwner {
   readonly names = new Set<string>();
-  private finish: () => void = () => undefined;
-  readonly ended = new Promise<void>((resolve) => (this.finish = resolve));
+  private resolveEnded: () => void = () => undefined;
+  readonly ended = new Promise<void>((resolve) => (this.resolveEnded = resolve));
 
   end(): void {
-    this.finish();
+    this.resolveEnded();
   }
 }
 
-/** Thrown when a statement has to wait for another transaction and then begin anew. */
+/** Thrown when a statement must wait for another transaction to end and then be run again. */
 export class LockedError extends Error {
   override readonly name = "LockedError";
 
@@ -21,15 +21,15 @@
 }
 
 /**
- * The locks on rows and unique keys that open transactions hold up to their end. Without them two
- * transactions could both claim one key: the second would run on and fail on the first one's rows,
- * where PostgreSQL lets it wait and then see that the key is taken.
+ * The locks on rows and unique keys that transactions hold until they end. Without them two
+ * transactions could insert the same key: the second would continue and fail on the first one's
+ * rows, whereas PostgreSQL makes it wait and then see that the key exists.
  */
 export class Locks {
   private readonly holders = new Map<string, LockOwner>();
-  private readonly waits = new Map<LockOwner, LockOwner>();
+  private readonly waitsFor = new Map<LockOwner, LockOwner>();
 
-  /** Takes a lock, or throws `LockedError` while another transaction holds it. */
+  /** Acquires a lock; throws `LockedError` while another transaction holds it. */
   take(owner: LockOwner, name: string): void {
     const holder = this.holders.get(name);
     if (holder !== undefined && holder !== owner) throw new LockedError(holder);
@@ -37,20 +37,20 @@
     owner.names.add(name);
   }
 
-  /** Releases all that a transaction holds. */
+  /** Releases all locks of a transaction and resumes the transactions that wait for it. */
   release(owner: LockOwner): void {
     for (const name of owner.names) this.holders.delete(name);
     owner.names.clear();
     owner.end();
   }
 
-  /** Waits for a transaction's end; fails when that one waits for this one, directly or not. */
+  /** Waits until `holder` ends; fails with a deadlock if it waits for `owner`, even indirectly. */
   async wait(owner: LockOwner, holder: LockOwner): Promise<void> {
-    for (let other: LockOwner | undefined = holder; other; other = this.waits.get(other)) {
+    for (let other: LockOwner | undefined = holder; other; other = this.waitsFor.get(other)) {
       if (other === owner) throw new SqlError("40P01", "deadlock detected");
     }
-    this.waits.set(owner, holder);
+    this.waitsFor.set(owner, holder);
     await holder.ended;
-    this.waits.delete(owner);
+    this.waitsFor.delete(owner);
   }
 }
--- a/standin/target/log.ts
+++ b/standin/target/log.ts
@@ -16,19 +16,19 @@
   | { readonly type: "put"; readonly table: string; readonly id: number; readonly row: Row }
   | { readonly type: "remove"; readonly table: string; readonly id: number };
 
-/** One committed transaction, or the mark of an election when it has no changes. */
+/** One committed transaction, or the start of a term if it has no changes. */
 export interface LogRecord {
   readonly term: Term;
   readonly offset: number;
   readonly changes: readonly Change[];
 }
 
-/** Finds the branch to which the record at `offset` belongs. */
+/** Finds the branch of the lineage that contains the record at `offset`. */
 function findBranch(lineage: Lineage, offset: number): Branch {
   return lineage.findLast((b) => b.start < offset) ?? { term: firstTerm, start: 0 };
 }
 
-/** Finds the offset of the last record that two logs have in common. */
+/** Finds the offset of the last record that two logs share; 0 when they share none. */
 export function findCommonOffset(
   a: { readonly lineage: Lineage; readonly offset: number },
   b: { readonly lineage: Lineage; readonly offset: number },
@@ -60,9 +60,10 @@
     return { term: findBranch(this.branches, this.offset).term, offset: this.offset };
   }
 
-  /** Appends a record that follows the last one. */
+  /** Appends a record; fails unless its offset is the next one. */
   push(record: LogRecord): void {
-    if (record.offset !== this.offset + 1) throw new Error(`record ${record.offset} out of order`);
+    if (record.offset !== this.offset + 1)
+      throw new Error(`record ${record.offset} is out of order: expected ${this.offset + 1}`);
     if (compareTerms(record.term, this.mark.term) !== 0) {
       this.branches = [...this.branches, { term: record.term, start: this.offset }];
     }
@@ -74,7 +75,7 @@
     return this.records.slice(offset, offset + limit);
   }
 
-  /** Cuts away the records after `offset`. */
+  /** Removes the records after `offset`. */
   truncateAfter(offset: number): void {
     this.records = this.records.slice(0, offset);
     this.branches = this.branches.filter((b) => b.start === 0 || b.start < offset);
--- a/standin/target/member.ts
+++ b/standin/target/member.ts
@@ -13,30 +13,30 @@
 import { CommitLog, findCommonOffset, type LogRecord } from "./log.js";
 import { Transaction } from "./transaction.js";
 
-/** What a control function answers; `refused` carries the term that stood in the way. */
+/** The answer of a control function; a refusal carries the term that the target is fenced at. */
 export type ControlReply =
   | { readonly type: "accepted"; readonly status: TargetStatus }
   | { readonly type: "refused"; readonly fencedAt: Term };
 
-/** Whom a replica copies, in which term. */
+/** The primary that a replica copies, and the term in which it does. */
 export interface FollowedPrimary {
   readonly name: string;
   readonly address: Address;
   readonly term: Term;
 }
 
-/** Hears of each change of mark, fence or role. */
+/** Called after each change of mark, fence or role. */
 export type ChangeListener = () => void;
 
 /**
- * One target's part in its group: log, data, role and fence. Every method takes effect at once, so
- * that no commit can fall between a fence and its answer.
+ * One target's replication state: log, data, role and fence. Every method is synchronous, so that
+ * no commit can take effect between a fence and its answer.
  */
 export class Member {
   readonly log = new CommitLog();
   private database = new Database();
   private fencedAt: Term = firstTerm;
-  /** The term in which it was last made primary; it may be superseded since. */
+  /** The term in which it was last promoted, perhaps superseded; undefined on a replica. */
   private primaryTerm: Term | undefined = firstTerm;
   private following: FollowedPrimary | undefined;
   private epoch = 0;
@@ -46,14 +46,14 @@
 
   get status(): TargetStatus {
     const { following } = this;
-    const copies = following !== undefined && this.canCopy(following);
+    const isCopying = following !== undefined && this.canCopy(following);
     return {
       target: this.name,
       role: this.primaryTerm === undefined ? "replica" : "primary",
       mark: this.log.mark,
       lineage: this.log.lineage,
       fencedAt: this.fencedAt,
-      ...(copies ? { follows: following.name } : {}),
+      ...(isCopying ? { follows: following.name } : {}),
     };
   }
 
@@ -65,7 +65,7 @@
     return this.following;
   }
 
-  /** Calls `listener` after each change, until the function that it hands back is called. */
+  /** Calls `listener` after each change; the returned function unsubscribes it. */
   subscribe(listener: ChangeListener): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
@@ -75,31 +75,31 @@
     return new Transaction(this.database, this.log.offset);
   }
 
-  /** From now on it commits, copies and is promoted in no term older than `term`. */
+  /** Prevents commits, replication and promotion in terms older than `term`. */
   fence(term: Term): ControlReply {
     if (compareTerms(term, this.fencedAt) < 0) return this.refuse();
     this.fencedAt = term;
-    return this.grant();
+    return this.accept();
   }
 
   /**
-   * Makes it primary in `term`. A target that was told to follow in that very term has a primary
-   * there already: a late promotion would make a second one, so it is refused as well.
+   * Makes the target primary in `term`, which must equal its fence. A target that already follows a
+   * primary in that term refuses too: a delayed promotion would create a second primary.
    */
   promote(term: Term): ControlReply {
     if (compareTerms(term, this.fencedAt) !== 0) return this.refuse();
     if (this.following !== undefined && compareTerms(this.following.term, term) === 0) {
       return this.refuse();
     }
-    if (this.isPrimaryIn(term)) return this.grant();
+    if (this.isPrimaryIn(term)) return this.accept();
     this.following = undefined;
     this.primaryTerm = term;
     this.epoch += 1;
     this.log.push({ term, offset: this.log.offset + 1, changes: [] });
-    return this.grant();
+    return this.accept();
   }
 
-  /** Makes it a replica in `term`. Its log is cut once the primary has told its lineage. */
+  /** Makes the target a replica. Its log is truncated once the primary's lineage is known. */
   follow(following: FollowedPrimary): ControlReply {
     const { term } = following;
     if (compareTerms(term, this.fencedAt) < 0) return this.refuse();
@@ -108,14 +108,14 @@
     this.primaryTerm = undefined;
     this.following = following;
     this.epoch += 1;
-    return this.grant();
+    return this.accept();
   }
 
   isPrimaryIn(term: Term): boolean {
     return this.primaryTerm !== undefined && compareTerms(this.primaryTerm, term) === 0;
   }
 
-  /** Fails unless it may write: a replica and a superseded primary may not. */
+  /** Throws on a replica and on a superseded primary, which may not write. */
   checkWritable(): void {
     if (this.primaryTerm === undefined) {
       throw new SqlError("25006", "cannot write on a replica: read-only transaction");
@@ -125,31 +125,31 @@
     }
   }
 
-  /** Notes that a transaction is about to write. */
+  /** Ties a transaction to the current role period before its first write. */
   beginWrite(transaction: Transaction): void {
     this.checkWritable();
     transaction.epoch ??= this.epoch;
   }
 
-  /** Commits a transaction as one record, or fails and leaves everything as it was. */
+  /** Commits a transaction as one record; undefined without changes. A failure changes nothing. */
   commit(transaction: Transaction): Mark | undefined {
     try {
-      return transaction.hasChanges ? this.writeChanges(transaction) : undefined;
+      return transaction.hasChanges ? this.commitChanges(transaction) : undefined;
     } finally {
       transaction.end();
     }
   }
 
   /**
-   * Whether records may still be copied in the term of `following`. A fence at a later term stops
-   * the copying at once: otherwise a superseded primary's record could land on a replica that its
-   * successor counts as fenced, and a write would seem replicated that the new term cuts away.
+   * Whether records may still be copied from `primary` in its term. A fence at a later term stops
+   * replication at once. Otherwise a record of the superseded primary could reach a replica that
+   * its successor counts as fenced: the write would seem replicated, but the new term discards it.
    */
-  canCopy(following: FollowedPrimary): boolean {
-    return this.following === following && compareTerms(following.term, this.fencedAt) === 0;
+  canCopy(primary: FollowedPrimary): boolean {
+    return this.following === primary && compareTerms(primary.term, this.fencedAt) === 0;
   }
 
-  /** Cuts the log back to what it has in common with the primary's; the state is replayed. */
+  /** Truncates the log to the part shared with the primary's and rebuilds the data from it. */
   truncateToCommonOffset(primary: { readonly lineage: Lineage; readonly offset: number }): void {
     const own = { lineage: this.log.lineage, offset: this.log.offset };
     const common = findCommonOffset(own, primary);
@@ -157,15 +157,15 @@
     this.log.truncateAfter(common);
     this.database = new Database();
     for (const record of this.log.list(0)) this.database.apply(record);
-    this.tellListeners();
+    this.notifyListeners();
   }
 
-  /** Appends a record copied from the primary. */
+  /** Appends and applies a record copied from the primary. */
   appendCopied(record: LogRecord): void {
-    this.write(record);
+    this.append(record);
   }
 
-  private writeChanges(transaction: Transaction): Mark | undefined {
+  private commitChanges(transaction: Transaction): Mark | undefined {
     this.checkWritable();
     if (transaction.epoch !== this.epoch) {
       throw new SqlError("25006", "superseded: the transaction began in an older term");
@@ -173,18 +173,18 @@
     const changes = transaction.collect();
     if (changes.length === 0) return undefined;
     const term = this.primaryTerm ?? firstTerm;
-    this.write({ term, offset: this.log.offset + 1, changes });
+    this.append({ term, offset: this.log.offset + 1, changes });
     return this.log.mark;
   }
 
-  private write(record: LogRecord): void {
+  private append(record: LogRecord): void {
     this.log.push(record);
     this.database.apply(record);
-    this.tellListeners();
+    this.notifyListeners();
   }
 
-  private grant(): ControlReply {
-    this.tellListeners();
+  private accept(): ControlReply {
+    this.notifyListeners();
     return { type: "accepted", status: this.status };
   }
 
@@ -192,7 +192,7 @@
     return { type: "refused", fencedAt: this.fencedAt };
   }
 
-  private tellListeners(): void {
+  private notifyListeners(): void {
     for (const listener of [...this.listeners]) listener();
   }
 }
--- a/standin/target/output.ts
+++ b/standin/target/output.ts
@@ -1,50 +1,50 @@
 import type { Socket } from "node:net";
 import type { Gate, AnswerLossMode } from "./faults.js";
 
-const chunkBytes = 64 * 1024;
+const flushThresholdBytes = 64 * 1024;
 
-/** The way back to one client: gathers messages and waits for a client that reads slowly. */
+/** Buffers messages to one client and applies back-pressure when it reads slowly. */
 export class Output {
-  private parts: Buffer[] = [];
-  private bytes = 0;
-  /** A silent connection stays open, but nothing more comes out of it. */
+  private pending: Buffer[] = [];
+  private pendingBytes = 0;
+  /** While true, the connection stays open but sends nothing. */
   isSilent = false;
 
   constructor(
     private readonly socket: Socket,
-    /** What must be open before anything goes out. */
+    /** Gates that must be open before data is sent. */
     private readonly gates: readonly Gate[],
   ) {}
 
   get isFull(): boolean {
-    return this.bytes >= chunkBytes;
+    return this.pendingBytes >= flushThresholdBytes;
   }
 
   push(message: Buffer): void {
-    this.parts.push(message);
-    this.bytes += message.length;
+    this.pending.push(message);
+    this.pendingBytes += message.length;
   }
 
-  /** Sends what was gathered; resolves when the socket takes more. */
+  /** Sends the buffered messages; resolves when the socket accepts more. */
   async send(): Promise<void> {
-    const data = Buffer.concat(this.parts);
-    this.parts = [];
-    this.bytes = 0;
+    const data = Buffer.concat(this.pending);
+    this.pending = [];
+    this.pendingBytes = 0;
     for (const gate of this.gates) await gate.wait();
     if (this.isSilent || this.socket.destroyed || data.length === 0) return;
-    if (!this.socket.write(data)) await waitDrain(this.socket);
+    if (!this.socket.write(data)) await waitForDrain(this.socket);
   }
 
-  /** Loses what was gathered and all that would follow. */
-  discardAll(how: AnswerLossMode): void {
-    this.parts = [];
-    this.bytes = 0;
+  /** Discards the buffered messages and all later ones. */
+  discardAll(mode: AnswerLossMode): void {
+    this.pending = [];
+    this.pendingBytes = 0;
     this.isSilent = true;
-    if (how === "break") this.socket.destroy();
+    if (mode === "break") this.socket.destroy();
   }
 }
 
-function waitDrain(socket: Socket): Promise<void> {
+function waitForDrain(socket: Socket): Promise<void> {
   return new Promise((resolve) => {
     const end = () => {
       socket.off("drain", end);
--- a/standin/target/replication-link.ts
+++ b/standin/target/replication-link.ts
@@ -5,32 +5,33 @@
 import type { LogRecord } from "./log.js";
 import type { FollowedPrimary, Member } from "./member.js";
 
-/** The database name of the connections over which records are copied. */
+/** The database name that replication connections use. */
 export const replicationDatabase = "standin_replication";
 
 const pollMs = 5_000;
-const answerMs = pollMs + 2_000;
+const answerTimeoutMs = pollMs + 2_000;
 const reconnectMs = 50;
-const maxRecords = 500;
+const maxRecordsPerPoll = 500;
 
 /**
- * Copies records from one primary in one term. Records wait for the lag before they are appended;
- * what waits when the link ends is dropped, as on a network that loses it.
+ * Replicates records from one primary in one term. Received records are delayed by the lag before
+ * they are appended; those still delayed when the connection ends are dropped, as if the network
+ * had lost them.
  */
 export class ReplicationLink {
   private isStopped = false;
   private client: pg.Client | undefined;
-  private readonly waiting: { readonly record: LogRecord; readonly receivedAt: number }[] = [];
+  private readonly delayed: { readonly record: LogRecord; readonly receivedAt: number }[] = [];
   private wake: (() => void) | undefined;
 
   constructor(
     private readonly member: Member,
-    private readonly following: FollowedPrimary,
+    private readonly primary: FollowedPrimary,
     private readonly faults: Faults,
     private readonly getLagMs: () => number,
   ) {
-    void this.run();
-    void this.runWriting();
+    void this.runReceiving();
+    void this.runAppending();
   }
 
   stop(): void {
@@ -39,23 +40,23 @@
     this.wake?.();
   }
 
-  /** Looks at the lag and the queue again. */
+  /** Applies a changed lag to the records that are still delayed. */
   update(): void {
     this.wake?.();
   }
 
   private isOpen(): boolean {
-    return !this.isStopped && this.member.canCopy(this.following);
+    return !this.isStopped && this.member.canCopy(this.primary);
   }
 
-  private async run(): Promise<void> {
+  private async runReceiving(): Promise<void> {
     while (this.isOpen()) {
       try {
         await this.copyFrom(await this.connect());
       } catch {
-        // The primary is away or not yet promoted: the link asks again until it is told otherwise.
+        // The primary is unreachable or not promoted yet: retry until the link is stopped.
       }
-      this.waiting.length = 0;
+      this.delayed.length = 0;
       this.closeClient();
       await sleep(reconnectMs);
     }
@@ -63,11 +64,11 @@
 
   private async connect(): Promise<pg.Client> {
     const client = new pg.Client({
-      ...this.following.address,
+      ...this.primary.address,
       user: this.member.name,
       database: replicationDatabase,
-      connectionTimeoutMillis: answerMs,
-      query_timeout: answerMs,
+      connectionTimeoutMillis: answerTimeoutMs,
+      query_timeout: answerTimeoutMs,
     });
     client.on("error", () => undefined);
     this.client = client;
@@ -76,22 +77,28 @@
   }
 
   private async copyFrom(client: pg.Client): Promise<void> {
-    const term = formatTerm(this.following.term);
-    const [lineage] = await this.ask(client, "SELECT standin_lineage($1)", [term]);
+    const term = formatTerm(this.primary.term);
+    const [lineage] = await this.queryPrimary(client, "SELECT standin_lineage($1)", [term]);
     if (!this.isOpen()) return;
-    this.member.truncateToCommonOffset(lineage as { readonly lineage: Lineage; readonly offset: number });
+    this.member.truncateToCommonOffset(
+      lineage as { readonly lineage: Lineage; readonly offset: number },
+    );
     let offset = this.member.log.offset;
     while (this.isOpen()) {
-      const values = [term, offset, maxRecords, pollMs];
-      const records = await this.ask(client, "SELECT standin_records($1,$2,$3,$4)", values);
+      const values = [term, offset, maxRecordsPerPoll, pollMs];
+      const records = await this.queryPrimary(
+        client,
+        "SELECT standin_records($1,$2,$3,$4)",
+        values,
+      );
       const receivedAt = performance.now();
-      for (const record of records) this.waiting.push({ record: record as LogRecord, receivedAt });
+      for (const record of records) this.delayed.push({ record: record as LogRecord, receivedAt });
       offset += records.length;
       this.wake?.();
     }
   }
 
-  private async ask(
+  private async queryPrimary(
     client: pg.Client,
     text: string,
     values: readonly (string | number)[],
@@ -104,25 +111,25 @@
     return rows.map(([json]) => JSON.parse(json) as unknown);
   }
 
-  private async runWriting(): Promise<void> {
+  private async runAppending(): Promise<void> {
     while (this.isOpen()) {
       await this.faults.running.wait();
-      this.writeDue();
-      await this.waitForWork();
+      this.appendDue();
+      await this.waitForDueRecord();
     }
   }
 
-  private writeDue(): void {
+  private appendDue(): void {
     const dueBefore = performance.now() - this.getLagMs();
-    for (let head = this.waiting[0]; head !== undefined; head = this.waiting[0]) {
+    for (let head = this.delayed[0]; head !== undefined; head = this.delayed[0]) {
       if (head.receivedAt > dueBefore || !this.isOpen()) return;
-      this.waiting.shift();
+      this.delayed.shift();
       this.member.appendCopied(head.record);
     }
   }
 
-  private async waitForWork(): Promise<void> {
-    const [head] = this.waiting;
+  private async waitForDueRecord(): Promise<void> {
+    const [head] = this.delayed;
     const ms = head && head.receivedAt + this.getLagMs() - performance.now();
     await new Promise<void>((resolve) => {
       const timer = ms === undefined ? undefined : setTimeout(resolve, Math.max(1, ms));
--- a/standin/target/server.ts
+++ b/standin/target/server.ts
@@ -10,21 +10,21 @@
 import { StatementHistory } from "./statement.js";
 import { applyFault } from "./fault-control.js";
 
-/** How one stand-in target behaves. */
+/** Options of one stand-in target. */
 export interface StandinTargetOptions {
   readonly name: string;
   readonly dataCentre?: string;
   /** Default 127.0.0.1. */
   readonly host?: string;
-  /** Default 0: any free port, the same one after a restart. */
+  /** Default 0: a free port, which is kept after a restart. */
   readonly port?: number;
-  /** Statements worked on at once. Default 5. */
+  /** Maximum number of statements executed at once. Default 5. */
   readonly slots?: number;
-  /** Ordinary connections at once. Default 55. */
+  /** Maximum number of ordinary connections. Default 55. */
   readonly connections?: number;
   /** Time to set up a connection, in milliseconds. Default 12. */
   readonly connectMs?: number;
-  /** Time a statement holds its slot, in milliseconds. Default 1. */
+  /** Time that a statement holds its slot, in milliseconds. Default 1. */
   readonly serviceMs?: number;
   /** Replication lag while it is a replica, in milliseconds. Default 0. */
   readonly lagMs?: number;
@@ -42,9 +42,9 @@
 } as const;
 
 /**
- * A database group's target in this process: the PostgreSQL protocol, terms, a log with
- * replication, slots, limited connections and switches for faults. It starts as primary of the
- * first term; `member.follow` makes it a replica.
+ * An in-process target of a database group: it speaks the PostgreSQL protocol and has terms, a
+ * replicated log, slots, a connection limit and fault injection. It starts as primary of the first
+ * term; `member.follow` makes it a replica.
  */
 export class StandinTarget {
   readonly member: Member;
@@ -53,7 +53,7 @@
   readonly slots: Slots;
   private readonly options: Required<StandinTargetOptions>;
   private readonly listener: Listener;
-  private link: { readonly of: FollowedPrimary; readonly link: ReplicationLink } | undefined;
+  private link: { readonly primary: FollowedPrimary; readonly link: ReplicationLink } | undefined;
   private lag: number;
 
   constructor(options: StandinTargetOptions) {
@@ -70,18 +70,18 @@
     return this.options.name;
   }
 
-  /** Where it listens; the port is known once it has started. */
+  /** The address it listens on; the port is known once it has started. */
   get address(): Address {
     return this.listener.address;
   }
 
-  /** What the platform says of it. */
+  /** The target's description as the platform lists it. */
   get target(): Target {
     const { name, dataCentre, slots, connections } = this.options;
     return { name, dataCentre, address: this.address, slots, connections };
   }
 
-  /** How many connections are open, control and replication not counted. */
+  /** Number of open connections, without control and replication connections. */
   get connections(): number {
     return this.listener.connectionCount;
   }
@@ -90,20 +90,20 @@
     return this.lag;
   }
 
-  /** Sets the lag of what it copies, in milliseconds, for records on their way as well. */
+  /** Sets the replication lag in milliseconds, also for records that are already delayed. */
   setLag(ms: number): void {
     this.lag = ms;
     this.link?.link.update();
   }
 
-  /** Starts to listen, at first and after `kill`. Log, role and fence are what they were. */
+  /** Starts listening, also again after `kill`; log, role and fence are kept. */
   async start(): Promise<void> {
     await loadParser();
     await this.listener.start();
     this.updateLink();
   }
 
-  /** Drops all connections and refuses new ones, as a crash does. The log is kept. */
+  /** Simulates a crash: drops all connections, refuses new ones, ends faults. The log is kept. */
   async kill(): Promise<void> {
     const stopped = this.listener.stop();
     this.dropLink();
@@ -111,7 +111,7 @@
     await stopped;
   }
 
-  /** Makes the open ordinary connections silent for good; new ones work. */
+  /** Stops all output on the open ordinary connections permanently; new ones work. */
   silenceConnections(): void {
     this.listener.silenceConnections();
   }
@@ -121,8 +121,8 @@
   }
 
   private buildServices(): Services {
-    const { member, slots, faults, statements: record } = this;
-    const control = new ControlFunctions(member, record, {
+    const { member, slots, faults, statements: history } = this;
+    const control = new ControlFunctions(member, history, {
       fault: ([name, value]) => applyFault(this, String(name), Number(value ?? 0)),
       load: () => ({
         busy: slots.busy,
@@ -130,16 +130,19 @@
         connections: this.connections,
       }),
     });
-    return { member, slots, faults, history: record, control, serviceMs: this.options.serviceMs };
+    return { member, slots, faults, history, control, serviceMs: this.options.serviceMs };
   }
 
-  /** Keeps the one link that role and fence allow. */
+  /** Opens or closes the replication link as role and fence require. */
   private updateLink(): void {
     const wanted = this.listener.isListening ? this.member.followedPrimary : undefined;
-    if (this.link?.of !== wanted) this.dropLink();
-    if (this.link !== undefined && !this.member.canCopy(this.link.of)) this.dropLink();
+    if (this.link?.primary !== wanted) this.dropLink();
+    if (this.link !== undefined && !this.member.canCopy(this.link.primary)) this.dropLink();
     if (this.link !== undefined || wanted === undefined || !this.member.canCopy(wanted)) return;
-    this.link = { of: wanted, link: new ReplicationLink(this.member, wanted, this.faults, () => this.lag) };
+    this.link = {
+      primary: wanted,
+      link: new ReplicationLink(this.member, wanted, this.faults, () => this.lag),
+    };
   }
 
   private dropLink(): void {
--- a/standin/target/session.ts
+++ b/standin/target/session.ts
@@ -20,7 +20,7 @@
 interface Portal {
   readonly prepared: PreparedStatement;
   readonly parameters: readonly (string | null)[];
-  /** Set by the first Execute, with the number of rows already sent. */
+  /** The result and the number of rows already sent; set by the first Execute. */
   progress?: { readonly result: Result; sent: number };
 }
 
@@ -28,23 +28,23 @@
 const queryCode = 0x51;
 const syncCode = 0x53;
 
-/** The protocol of one connection after its start-up. */
+/** Handles the protocol of one connection after its start-up. */
 export class Session {
   private readonly queue: Buffer[] = [];
   private readonly backend: Backend;
   private readonly prepared = new Map<string, PreparedStatement>();
   private readonly portals = new Map<string, Portal>();
   private isBusy = false;
-  private skipsToSync = false;
+  private isSkippingToSync = false;
 
   constructor(
     private readonly socket: Socket,
     private readonly output: Output,
     services: Services,
     id: number,
-    /** What must be open before a message is worked on. */
+    /** Gates that must be open before a message is handled. */
     private readonly gates: readonly Gate[],
-    /** Resolves when the client has been greeted. */
+    /** Resolves when the start-up has been answered. */
     private readonly ready: Promise<void>,
   ) {
     this.backend = new Backend(services, id);
@@ -53,13 +53,13 @@
     });
   }
 
-  /** Takes one whole message; messages are worked on one after the other. */
+  /** Queues one complete message; messages are handled in order, one at a time. */
   enqueue(data: Buffer): void {
     this.queue.push(data);
     if (!this.isBusy) void this.runQueue();
   }
 
-  /** Ends it with the target. */
+  /** Simulates a crash: discards queued messages and destroys the connection. */
   kill(): void {
     this.queue.length = 0;
     this.backend.kill();
@@ -81,7 +81,7 @@
     const endsBatch = data[0] === queryCode || data[0] === syncCode;
     try {
       const message = decodeFrontend(data);
-      if (this.skipsToSync && message.type !== "sync" && message.type !== "terminate") return;
+      if (this.isSkippingToSync && message.type !== "sync" && message.type !== "terminate") return;
       await this.handleMessage(message);
     } catch (error) {
       await this.reportError(error, endsBatch);
@@ -108,7 +108,7 @@
         this.output.push(encodeEmptyMessage("closeComplete"));
         return;
       case "sync":
-        this.skipsToSync = false;
+        this.isSkippingToSync = false;
         this.portals.clear();
         this.backend.commitImplicit();
         return this.sendReady();
@@ -160,7 +160,9 @@
     const parameters = portal?.parameters ?? Array.from({ length: count }, () => null);
     const fields =
       prepared.node === undefined ? undefined : this.backend.describe(prepared.node, parameters);
-    this.output.push(fields === undefined ? encodeEmptyMessage("noData") : encodeRowDescription(fields));
+    this.output.push(
+      fields === undefined ? encodeEmptyMessage("noData") : encodeRowDescription(fields),
+    );
   }
 
   private async handleExecute({ portal, limit }: Extract<FrontendMessage, { type: "execute" }>) {
@@ -175,11 +177,11 @@
       sent: 0,
     };
     const { progress } = open;
-    const left = progress.result.rows.length - progress.sent;
-    const count = limit > 0 ? Math.min(limit, left) : left;
+    const remaining = progress.result.rows.length - progress.sent;
+    const count = limit > 0 ? Math.min(limit, remaining) : remaining;
     await this.sendRows(progress.result, progress.sent, count);
     progress.sent += count;
-    const isSuspended = limit > 0 && count < left;
+    const isSuspended = limit > 0 && count < remaining;
     this.output.push(
       isSuspended ? encodeEmptyMessage("portalSuspended") : encodeComplete(progress.result.tag),
     );
@@ -206,7 +208,7 @@
     const state = error instanceof SqlError ? error.state : "XX000";
     const message = error instanceof Error ? error.message : String(error);
     this.output.push(encodeError("ERROR", state, message));
-    this.skipsToSync = !endsBatch;
+    this.isSkippingToSync = !endsBatch;
     await (endsBatch ? this.sendReady() : this.output.send());
   }
 
@@ -227,7 +229,7 @@
   return [...text.matchAll(/\$(\d+)/g)].reduce((n, [, digits]) => Math.max(n, Number(digits)), 0);
 }
 
-/** Types that the client left open are described as text. */
+/** Resolves parameter types; one that the client left unspecified becomes text. */
 function resolveOids(given: readonly number[], count: number): readonly number[] {
   const length = Math.max(given.length, count);
   return Array.from({ length }, (_, i) => (given[i] ?? 0) || textOid);
--- a/standin/target/settings.ts
+++ b/standin/target/settings.ts
@@ -2,18 +2,18 @@
 import { resolveValue, type Result, type StatementContext } from "./sql/index.js";
 import { findType, formatValue } from "./value.js";
 
-const known: Readonly<Record<string, string>> = {
+const initialValues: Readonly<Record<string, string>> = {
   server_version: "17.0",
   transaction_isolation: "read committed",
   client_encoding: "UTF8",
   standard_conforming_strings: "on",
 };
 
-/** One connection's settings. Any may be set; none changes what the stand-in does. */
+/** The settings of one connection. Any name can be set; none affects the stand-in's behaviour. */
 export class SessionSettings {
-  private readonly values = new Map(Object.entries(known));
+  private readonly values = new Map(Object.entries(initialValues));
 
-  /** Carries out SET, RESET, SHOW and DISCARD; undefined when the statement is another one. */
+  /** Executes SET, RESET, SHOW and DISCARD; undefined for any other statement. */
   run(node: Node, context: StatementContext): Result | undefined {
     if ("VariableShowStmt" in node) return this.read(node.VariableShowStmt.name ?? "");
     if ("DiscardStmt" in node) return { rows: [], tag: "DISCARD ALL" };
--- a/standin/target/slots.ts
+++ b/standin/target/slots.ts
@@ -1,4 +1,4 @@
-/** Lets a number of statements work at once; the others wait in the order they came. */
+/** Limits the number of statements executed at once; the others wait in order of arrival. */
 export class Slots {
   private busyCount = 0;
   private readonly queue: (() => void)[] = [];
@@ -13,7 +13,7 @@
     return this.queue.length;
   }
 
-  /** Resolves with the function that gives the slot back. */
+  /** Waits for a free slot; resolves with the function that releases it. */
   async acquire(): Promise<() => void> {
     if (this.busyCount < this.size) this.busyCount += 1;
     else await new Promise<void>((resolve) => this.queue.push(resolve));
--- a/standin/target/sql/ast.ts
+++ b/standin/target/sql/ast.ts
@@ -2,7 +2,7 @@
 import { SqlError } from "../error.js";
 import { findType, type DataType } from "../value.js";
 
-/** One statement of a query string, with its own text. */
+/** One statement of a query string, with the part of the text that it spans. */
 export interface Statement {
   readonly node: Node;
   readonly text: string;
@@ -11,7 +11,7 @@
 const maxCachedTexts = 2000;
 const cache = new Map<string, readonly Statement[]>();
 
-/** Loads PostgreSQL's parser; must be done once before the first statement. */
+/** Loads PostgreSQL's parser; must complete before the first statement is parsed. */
 export const loadParser: () => Promise<void> = loadModule;
 
 /** Parses a query string, which may hold several statements. */
--- a/standin/target/sql/define.ts
+++ b/standin/target/sql/define.ts
@@ -19,7 +19,8 @@
 
 /** Runs DROP TABLE. */
 export function runDrop(drop: DropStmt, transaction: Transaction): Result {
-  if (drop.removeType !== "OBJECT_TABLE") throw createUnsupportedError("DROP of anything but tables");
+  if (drop.removeType !== "OBJECT_TABLE")
+    throw createUnsupportedError("DROP of anything but tables");
   for (const object of drop.objects ?? []) {
     const name = "List" in object ? readName(object.List.items) : "";
     if (transaction.find(name) !== undefined) transaction.drop(name);
@@ -33,8 +34,8 @@
 function buildDefinition(name: string, elements: readonly Node[]): TableDefinition {
   const defs = elements.flatMap((e) => ("ColumnDef" in e ? [e.ColumnDef] : []));
   const columns = defs.map(buildColumn);
-  const ofColumns = defs.flatMap((def, place) =>
-    listConstraints(def.constraints).flatMap((c) => buildUnique(name, c, columns, [place])),
+  const ofColumns = defs.flatMap((def, position) =>
+    listConstraints(def.constraints).flatMap((c) => buildUnique(name, c, columns, [position])),
   );
   const ofTable = listConstraints(elements).flatMap((c) => buildUnique(name, c, columns, []));
   const uniques = [...ofColumns, ...ofTable];
@@ -64,8 +65,8 @@
   const isPrimary = constraint.contype === "CONSTR_PRIMARY";
   if (!isPrimary && constraint.contype !== "CONSTR_UNIQUE") return [];
   const named = (constraint.keys ?? []).map((k) => findColumn(columns, readString(k)));
-  const places = named.length > 0 ? named : own;
-  const parts = places.map((p) => columns[p]?.name ?? "").join("_");
-  const usual = isPrimary ? `${table}_pkey` : `${table}_${parts}_key`;
-  return [{ name: constraint.conname ?? usual, columns: places, isPrimary }];
+  const positions = named.length > 0 ? named : own;
+  const parts = positions.map((p) => columns[p]?.name ?? "").join("_");
+  const defaultName = isPrimary ? `${table}_pkey` : `${table}_${parts}_key`;
+  return [{ name: constraint.conname ?? defaultName, columns: positions, isPrimary }];
 }
--- a/standin/target/sql/engine.ts
+++ b/standin/target/sql/engine.ts
@@ -10,7 +10,7 @@
 import type { StatementContext } from "./scope.js";
 import { describeSelect, runSelect } from "./select.js";
 
-/** Runs one statement on data within a transaction. */
+/** Runs one data statement within a transaction. */
 export function runStatement(
   node: Node,
   transaction: Transaction,
@@ -30,7 +30,7 @@
   return !("SelectStmt" in node) || node.SelectStmt.lockingClause !== undefined;
 }
 
-/** Describes a statement's answer without running it; undefined when it answers no rows. */
+/** Describes a statement's result without running it; undefined if it returns no rows. */
 export function describeStatement(
   node: Node,
   transaction: Transaction,
@@ -64,7 +64,7 @@
   return value !== undefined && "FuncCall" in value ? value.FuncCall : undefined;
 }
 
-/** Finds how long a statement sleeps: the seconds of its `pg_sleep`, in milliseconds. */
+/** Returns how long a statement's `pg_sleep` takes, in milliseconds; 0 without one. */
 export function findSleep(node: Node, context: StatementContext): number {
   const call = findCall(node);
   if (call === undefined || readName(call.funcname) !== "pg_sleep") return 0;
--- a/standin/target/sql/expression.ts
+++ b/standin/target/sql/expression.ts
@@ -88,7 +88,7 @@
   return results.includes(null) ? null : !isWanted;
 }
 
-/** `= ANY($1)` with an array in text format, as client libraries write it. */
+/** Evaluates `= ANY($1)` over an array in text format, as client libraries send it. */
 function resolveAny(left: Value, array: Value, name: string): Value {
   if (array === null) return null;
   const body = String(array).replace(/^\{|\}$/g, "");
@@ -102,12 +102,12 @@
     const value = resolveValue(args[0], scope);
     return value === null ? null : !isTrue(value);
   }
-  const decisive = expression.boolop === "OR_EXPR";
-  let result: Value = !decisive;
+  const decidingValue = expression.boolop === "OR_EXPR";
+  let result: Value = !decidingValue;
   for (const arg of args) {
     const value = resolveValue(arg, scope);
     if (value === null) result = null;
-    else if (isTrue(value) === decisive) return decisive;
+    else if (isTrue(value) === decidingValue) return decidingValue;
   }
   return result;
 }
@@ -119,11 +119,11 @@
 
 function resolveCase(expression: CaseExpr, scope: Scope): Value {
   const subject = expression.arg === undefined ? undefined : resolveValue(expression.arg, scope);
-  for (const arm of expression.args ?? []) {
-    if (!("CaseWhen" in arm)) continue;
-    const test = resolveValue(arm.CaseWhen.expr, scope);
+  for (const branch of expression.args ?? []) {
+    if (!("CaseWhen" in branch)) continue;
+    const test = resolveValue(branch.CaseWhen.expr, scope);
     const isMet = subject === undefined ? isTrue(test) : applyOperator("=", subject, test) === true;
-    if (isMet) return resolveValue(arm.CaseWhen.result, scope);
+    if (isMet) return resolveValue(branch.CaseWhen.result, scope);
   }
   return resolveValue(expression.defresult, scope);
 }
--- a/standin/target/sql/function.ts
+++ b/standin/target/sql/function.ts
@@ -3,10 +3,10 @@
 import { compareValues, formatValue, toNumber, type Value } from "../value.js";
 import type { StatementContext } from "./scope.js";
 
-type Known = Exclude<Value, null>;
+type NonNullValue = Exclude<Value, null>;
 
-/** Functions of arguments that are not null; with a null they give null. */
-const strict: Readonly<Record<string, (...args: Known[]) => Value>> = {
+/** Functions that return null when an argument is null. */
+const strictFunctions: Readonly<Record<string, (...args: NonNullValue[]) => Value>> = {
   lower: (a = "") => formatValue(a).toLowerCase(),
   upper: (a = "") => formatValue(a).toUpperCase(),
   length: (a = "") => formatValue(a).length,
@@ -19,7 +19,7 @@
   set_config: (...args) => args[1] ?? "",
 };
 
-const plain: Readonly<Record<string, (context: StatementContext) => Value>> = {
+const contextFunctions: Readonly<Record<string, (context: StatementContext) => Value>> = {
   now: (context) => context.now,
   clock_timestamp: () => new Date().toISOString(),
   random: () => Math.random(),
@@ -36,41 +36,41 @@
   context: StatementContext,
 ): Value {
   if (name === "concat") return args.map((a) => (a === null ? "" : formatValue(a))).join("");
-  const free = plain[name];
-  if (free !== undefined) return free(context);
-  const call = strict[name];
+  const contextFunction = contextFunctions[name];
+  if (contextFunction !== undefined) return contextFunction(context);
+  const call = strictFunctions[name];
   if (call === undefined) throw new SqlError("42883", `function ${name} does not exist`);
-  const known = args.filter((a) => a !== null);
-  return known.length < args.length ? null : call(...known);
+  const nonNull = args.filter((a) => a !== null);
+  return nonNull.length < args.length ? null : call(...nonNull);
 }
 
-/** The aggregate functions, over the values of a group that are not null. */
-const aggregates: Readonly<Record<string, (values: readonly Known[]) => Value>> = {
+/** Aggregate functions over the non-null values of a group. */
+const aggregates: Readonly<Record<string, (values: readonly NonNullValue[]) => Value>> = {
   count: (values) => values.length,
-  sum: (values) => (values.length === 0 ? null : addUp(values)),
-  avg: (values) => (values.length === 0 ? null : addUp(values) / values.length),
-  min: (values) => pickExtreme(values, -1),
-  max: (values) => pickExtreme(values, 1),
+  sum: (values) => (values.length === 0 ? null : sumValues(values)),
+  avg: (values) => (values.length === 0 ? null : sumValues(values) / values.length),
+  min: (values) => findExtreme(values, -1),
+  max: (values) => findExtreme(values, 1),
 };
 
-function addUp(values: readonly Known[]): number {
+function sumValues(values: readonly NonNullValue[]): number {
   return values.reduce((total: number, v) => total + toNumber(v), 0);
 }
 
-function pickExtreme(values: readonly Known[], sign: number): Value {
+function findExtreme(values: readonly NonNullValue[], sign: number): Value {
   const [first, ...rest] = values;
   return first === undefined
     ? null
     : rest.reduce((a, b) => (compareValues(b, a) * sign > 0 ? b : a), first);
 }
 
-/** Whether a function's name is an aggregate's. */
+/** Whether `name` is an aggregate function. */
 export function isAggregate(name: string): boolean {
   return Object.hasOwn(aggregates, name);
 }
 
 /** Computes an aggregate over the values of a group. */
 export function runAggregate(name: string, values: readonly Value[]): Value {
-  const known = values.filter((v) => v !== null);
-  return aggregates[name]?.(known) ?? null;
+  const nonNull = values.filter((v) => v !== null);
+  return aggregates[name]?.(nonNull) ?? null;
 }
--- a/standin/target/sql/lookup.ts
+++ b/standin/target/sql/lookup.ts
@@ -7,10 +7,10 @@
 import { isTrue } from "./operator.js";
 import type { Scope, StatementContext } from "./scope.js";
 
-/** A row that a statement found, with its id. */
+/** A row that matches a condition, with its id. */
 export type MatchedRow = readonly [id: number, row: Row];
 
-/** Lists the rows of a table for which a condition holds, through a unique index where one fits. */
+/** Lists the rows that meet a condition, using a unique index where the condition allows it. */
 export function listMatches(
   view: TableView,
   condition: Node | undefined,
@@ -37,10 +37,10 @@
   const equals = new Map<string, Node>();
   collectEquals(condition, equals);
   const { columns, uniques } = view.definition;
-  const place = uniques.findIndex((u) =>
+  const position = uniques.findIndex((u) =>
     u.columns.every((c) => equals.has(columns[c]?.name ?? "")),
   );
-  const unique = uniques[place];
+  const unique = uniques[position];
   if (unique === undefined) return undefined;
   const values = unique.columns.map((c): Value => {
     const column = columns[c];
@@ -48,7 +48,7 @@
     return castValue(resolveValue(equals.get(column.name), scope), column.type);
   });
   if (values.includes(null)) return [];
-  const id = view.findId(place, encodeKey(values));
+  const id = view.findId(position, encodeKey(values));
   const row = id === undefined ? undefined : view.get(id);
   return id === undefined || row === undefined ? [] : [[id, row]];
 }
--- a/standin/target/sql/modify.ts
+++ b/standin/target/sql/modify.ts
@@ -26,8 +26,14 @@
 ): Result {
   const view = transaction.get(insert.relation?.relname ?? "");
   const rows = buildRows(insert, view.definition, transaction, context);
-  const done = rows.flatMap((row) => addRow(view, row, insert.onConflictClause, context));
-  return reply(`INSERT 0 ${done.length}`, insert.returningClause?.exprs, view, done, context);
+  const changedRows = rows.flatMap((row) => addRow(view, row, insert.onConflictClause, context));
+  return buildResult(
+    `INSERT 0 ${changedRows.length}`,
+    insert.returningClause?.exprs,
+    view,
+    changedRows,
+    context,
+  );
 }
 
 /** Runs UPDATE of one table. */
@@ -39,11 +45,17 @@
   const view = transaction.get(update.relation?.relname ?? "");
   const alias = update.relation?.alias?.aliasname ?? view.definition.name;
   const found = listMatches(view, update.whereClause, context, alias);
-  const done = found.map(([id, row]) => {
+  const changedRows = found.map(([id, row]) => {
     const scope: Scope = { context, columns: view.definition.columns, alias, row };
     return updateRow(view, id, update.targetList, scope);
   });
-  return reply(`UPDATE ${done.length}`, update.returningClause?.exprs, view, done, context);
+  return buildResult(
+    `UPDATE ${changedRows.length}`,
+    update.returningClause?.exprs,
+    view,
+    changedRows,
+    context,
+  );
 }
 
 /** Runs DELETE from one table. */
@@ -57,7 +69,7 @@
   const found = listMatches(view, remove.whereClause, context, alias);
   for (const [id] of found) view.put(id, undefined);
   const rows = found.map(([, row]) => row);
-  return reply(`DELETE ${rows.length}`, remove.returningClause?.exprs, view, rows, context);
+  return buildResult(`DELETE ${rows.length}`, remove.returningClause?.exprs, view, rows, context);
 }
 
 function buildRows(
@@ -70,20 +82,20 @@
   const named = (insert.cols ?? []).map((c) =>
     findColumn(columns, "ResTarget" in c ? (c.ResTarget.name ?? "") : ""),
   );
-  const places = named.length > 0 ? named : columns.map((_, i) => i);
+  const positions = named.length > 0 ? named : columns.map((_, i) => i);
   const source = insert.selectStmt;
   if (source === undefined || !("SelectStmt" in source)) {
     return [buildRow(columns, [], [], context)];
   }
   return listSourceRows(source.SelectStmt, transaction, context).map((values) => {
-    if (values.length > places.length) {
+    if (values.length > positions.length) {
       throw new SqlError("42601", "INSERT has more expressions than target columns");
     }
-    return buildRow(columns, places, values, context);
+    return buildRow(columns, positions, values, context);
   });
 }
 
-/** `undefined` stands for DEFAULT. */
+/** Lists the rows to insert; an undefined value stands for DEFAULT. */
 function listSourceRows(
   select: SelectStmt,
   transaction: Transaction,
@@ -99,13 +111,13 @@
 
 function buildRow(
   columns: readonly Column[],
-  places: readonly number[],
+  positions: readonly number[],
   values: readonly (Value | undefined)[],
   context: StatementContext,
 ): Row {
   const scope: Scope = { context, columns: [], alias: "", row: [] };
-  return columns.map((column, place) => {
-    const at = places.indexOf(place);
+  return columns.map((column, position) => {
+    const at = positions.indexOf(position);
     const given = at < 0 ? undefined : values[at];
     return checkValue(column, given === undefined ? resolveValue(column.fallback, scope) : given);
   });
@@ -128,37 +140,38 @@
   conflict: OnConflictClause | undefined,
   context: StatementContext,
 ): readonly Row[] {
-  const clash = findClash(view, row, undefined);
-  if (clash === undefined) {
+  const violation = findUniqueViolation(view, row, undefined);
+  if (violation === undefined) {
     view.put(view.table.takeId(), row);
     return [row];
   }
-  if (conflict === undefined || !isCovered(view, clash.place, conflict)) throw clash.error;
+  if (conflict === undefined || !isHandledConflict(view, violation.position, conflict))
+    throw violation.error;
   if (conflict.action !== "ONCONFLICT_UPDATE") return [];
   const { columns, name } = view.definition;
-  const old = view.get(clash.id) ?? [];
+  const old = view.get(violation.id) ?? [];
   const scope: Scope = { context, columns, alias: name, row: old, excluded: row };
-  return [updateRow(view, clash.id, conflict.targetList, scope)];
+  return [updateRow(view, violation.id, conflict.targetList, scope)];
 }
 
-/** Whether ON CONFLICT names the columns of the unique constraint that clashed, or none. */
-function isCovered(view: TableView, place: number, conflict: OnConflictClause): boolean {
+/** Whether ON CONFLICT names the columns of the violated unique constraint, or names none. */
+function isHandledConflict(view: TableView, position: number, conflict: OnConflictClause): boolean {
   const named = conflict.infer?.indexElems?.map((e) => ("IndexElem" in e ? e.IndexElem.name : ""));
   if (named === undefined) return true;
-  const unique = view.definition.uniques[place];
+  const unique = view.definition.uniques[position];
   const names = unique?.columns.map((c) => view.definition.columns[c]?.name) ?? [];
   return names.length === named.length && names.every((n) => named.includes(n));
 }
 
-function findClash(view: TableView, row: Row, own: number | undefined) {
-  for (const [place, unique] of view.definition.uniques.entries()) {
+function findUniqueViolation(view: TableView, row: Row, own: number | undefined) {
+  for (const [position, unique] of view.definition.uniques.entries()) {
     const key = buildKey(unique.columns, row);
     if (key === undefined) continue;
-    view.lockKey(place, key);
-    const id = view.findId(place, key);
+    view.lockKey(position, key);
+    const id = view.findId(position, key);
     if (id === undefined || id === own) continue;
     const text = `duplicate key value violates unique constraint "${unique.name}"`;
-    return { place, id, error: new SqlError("23505", text) };
+    return { position, id, error: new SqlError("23505", text) };
   }
   return undefined;
 }
@@ -172,18 +185,18 @@
   const next = [...scope.row];
   for (const target of targets ?? []) {
     if (!("ResTarget" in target)) continue;
-    const place = findColumn(scope.columns, target.ResTarget.name ?? "");
-    const column = scope.columns[place];
+    const position = findColumn(scope.columns, target.ResTarget.name ?? "");
+    const column = scope.columns[position];
     if (column === undefined) continue;
-    next[place] = checkValue(column, resolveValue(target.ResTarget.val, scope));
+    next[position] = checkValue(column, resolveValue(target.ResTarget.val, scope));
   }
-  const clash = findClash(view, next, id);
-  if (clash !== undefined) throw clash.error;
+  const violation = findUniqueViolation(view, next, id);
+  if (violation !== undefined) throw violation.error;
   view.put(id, next);
   return next;
 }
 
-function reply(
+function buildResult(
   tag: string,
   returning: readonly Node[] | undefined,
   view: TableView,
--- a/standin/target/sql/projection.ts
+++ b/standin/target/sql/projection.ts
@@ -6,13 +6,13 @@
 import { isAggregate } from "./function.js";
 import { findColumn, type Scope } from "./scope.js";
 
-/** One column of an answer. */
+/** One column of a result. */
 export interface Field {
   readonly name: string;
   readonly type: DataType;
 }
 
-/** What a target list gives: the fields of the answer, and the expression of each. */
+/** The fields that a target list yields, and the expression of each. */
 export interface Projection {
   readonly fields: readonly Field[];
   readonly expressions: readonly Node[];
@@ -71,7 +71,7 @@
   pg_is_in_recovery: "bool",
 };
 
-/** Infers the type of an expression's values; text where nothing says otherwise. */
+/** Infers the type of an expression's values; text where it is unknown. */
 export function resolveType(node: Node | undefined, columns: readonly Column[]): DataType {
   if (node === undefined) return findType("text");
   if ("ColumnRef" in node) {
@@ -104,7 +104,7 @@
   return "boolval" in constant ? "bool" : "text";
 }
 
-/** Computes one row of the answer. */
+/** Computes one row of the result. */
 export function resolveRow(projection: Projection, scope: Scope): Row {
   return projection.expressions.map((e) => resolveValue(e, scope));
 }
--- a/standin/target/sql/result.ts
+++ b/standin/target/sql/result.ts
@@ -1,7 +1,7 @@
 import type { Row } from "../value.js";
 import type { Field } from "./projection.js";
 
-/** What a statement answers: rows where it has fields, and its command tag. */
+/** A statement's result: its command tag, and rows if it has `fields`. */
 export interface Result {
   readonly fields?: readonly Field[];
   readonly rows: readonly Row[];
--- a/standin/target/sql/select.ts
+++ b/standin/target/sql/select.ts
@@ -17,7 +17,7 @@
   list(): readonly Row[];
 }
 
-/** Describes the fields that a SELECT would answer with. */
+/** Describes the fields that a SELECT returns. */
 export function describeSelect(
   select: SelectStmt,
   transaction: Transaction,
@@ -44,9 +44,9 @@
     listSeries === undefined
       ? ordered.map((scope) => resolveRow(projection, scope))
       : buildSeries(listSeries, base).map((value): Row => [value]);
-  const page = takePage(
+  const page = applyLimit(
     select,
-    select.distinctClause === undefined ? rows : dropRepeats(rows),
+    select.distinctClause === undefined ? rows : removeDuplicates(rows),
     base,
   );
   return { fields: projection.fields, rows: page, tag: `SELECT ${page.length}` };
@@ -88,7 +88,8 @@
 ): Source {
   const [list] = range.functions ?? [];
   const [call] = list !== undefined && "List" in list ? (list.List.items ?? []) : [];
-  if (call === undefined || !("FuncCall" in call)) throw createUnsupportedError("functions in FROM");
+  if (call === undefined || !("FuncCall" in call))
+    throw createUnsupportedError("functions in FROM");
   const alias = range.alias?.aliasname ?? readName(call.FuncCall.funcname);
   const named = readString(range.alias?.colnames?.[0]);
   const name = named === "" ? alias : named;
@@ -101,7 +102,8 @@
 }
 
 function buildSeries(call: FuncCall, scope: Scope): readonly Value[] {
-  if (readName(call.funcname) !== "generate_series") throw createUnsupportedError("this function in FROM");
+  if (readName(call.funcname) !== "generate_series")
+    throw createUnsupportedError("this function in FROM");
   const [from = 1, to = 0, step = 1] = (call.args ?? []).map((a) =>
     toNumber(resolveValue(a, scope) ?? 0),
   );
@@ -149,14 +151,14 @@
   return keyed.map((k) => k.scope);
 }
 
-/** A sort key may be an expression, the number of an answer's column, or its name. */
+/** Resolves a sort key, which may be an expression, or a result column's number or name. */
 function findSortKey(node: Node | undefined, projection: Projection): Node | undefined {
   if (node !== undefined && "A_Const" in node) {
     return projection.expressions[(node.A_Const.ival?.ival ?? 0) - 1];
   }
   if (node !== undefined && "ColumnRef" in node && node.ColumnRef.fields?.length === 1) {
-    const place = projection.fields.findIndex((f) => f.name === readName(node.ColumnRef.fields));
-    return projection.expressions[place] ?? node;
+    const position = projection.fields.findIndex((f) => f.name === readName(node.ColumnRef.fields));
+    return projection.expressions[position] ?? node;
   }
   return node;
 }
@@ -174,12 +176,12 @@
   return compareValues(a, b);
 }
 
-function dropRepeats(rows: readonly Row[]): readonly Row[] {
+function removeDuplicates(rows: readonly Row[]): readonly Row[] {
   return [...new Map(rows.map((row) => [JSON.stringify(row), row])).values()];
 }
 
-function takePage(select: SelectStmt, rows: readonly Row[], scope: Scope): readonly Row[] {
-  const skip = toNumber(resolveValue(select.limitOffset, scope) ?? 0);
+function applyLimit(select: SelectStmt, rows: readonly Row[], scope: Scope): readonly Row[] {
+  const offset = toNumber(resolveValue(select.limitOffset, scope) ?? 0);
   const limit = resolveValue(select.limitCount, scope);
-  return rows.slice(skip, limit === null ? undefined : skip + toNumber(limit));
+  return rows.slice(offset, limit === null ? undefined : offset + toNumber(limit));
 }
--- a/standin/target/statement.ts
+++ b/standin/target/statement.ts
@@ -1,44 +1,44 @@
 import type { Node } from "libpg-query";
 import type { Mark } from "../../src/model/index.js";
 
-/** What became of a statement that was run. */
+/** The outcome of an executed statement. */
 export type StatementOutcome =
   | { readonly type: "open" }
   | { readonly type: "failed"; readonly state: string }
   | { readonly type: "rolledBack" }
-  /** It had to wait for another transaction; its next try has an entry of its own. */
+  /** It had to wait for another transaction; the retry has its own entry. */
   | { readonly type: "waited" }
-  /** Committed; without a mark when nothing was changed. */
+  /** Committed; without a mark if it changed nothing. */
   | { readonly type: "committed"; readonly mark?: Mark };
 
-/** One statement that was run, for tests that check that "not run" is true. */
+/** One executed statement. Tests use it to check that a statement reported as not run never ran. */
 export interface ExecutedStatement {
   readonly text: string;
   readonly connection: number;
   readonly fate: StatementOutcome;
 }
 
-const maxKept = 50_000;
+const maxEntries = 50_000;
 
-/** Keeps the statements that were run, the newest ones. */
+/** Keeps the most recent executed statements. */
 export class StatementHistory {
-  private readonly kept: { text: string; connection: number; fate: StatementOutcome }[] = [];
+  private readonly entries: { text: string; connection: number; fate: StatementOutcome }[] = [];
 
-  /** Records the beginning of a statement; the function that it hands back sets its fate. */
-  begin(text: string, connection: number): (fate: StatementOutcome) => void {
+  /** Records the start of a statement; the returned function sets its outcome. */
+  begin(text: string, connection: number): (outcome: StatementOutcome) => void {
     const entry = { text, connection, fate: { type: "open" } as StatementOutcome };
-    this.kept.push(entry);
-    if (this.kept.length > maxKept) this.kept.shift();
-    return (fate) => (entry.fate = fate);
+    this.entries.push(entry);
+    if (this.entries.length > maxEntries) this.entries.shift();
+    return (outcome) => (entry.fate = outcome);
   }
 
   /** Lists the statements whose text contains `part`, such as a tag. */
   list(part = ""): readonly ExecutedStatement[] {
-    return this.kept.filter((entry) => entry.text.includes(part));
+    return this.entries.filter((entry) => entry.text.includes(part));
   }
 }
 
-/** A prepared statement of the extended protocol; no node for an empty one. */
+/** A prepared statement of the extended protocol; an empty one has no node. */
 export interface PreparedStatement {
   readonly text: string;
   readonly node: Node | undefined;
--- a/standin/target/table.ts
+++ b/standin/target/table.ts
@@ -10,21 +10,21 @@
   readonly fallback?: Node;
 }
 
-/** A unique constraint over columns, by their places. */
+/** A unique constraint over columns, given by their indexes in the table. */
 export interface UniqueKey {
   readonly name: string;
   readonly columns: readonly number[];
   readonly isPrimary: boolean;
 }
 
-/** What CREATE TABLE said. */
+/** The definition of a table from CREATE TABLE. */
 export interface TableDefinition {
   readonly name: string;
   readonly columns: readonly Column[];
   readonly uniques: readonly UniqueKey[];
 }
 
-/** Builds the text under which a row stands in a unique index; none when a value is null. */
+/** Builds a row's key in a unique index; undefined when one of its values is null. */
 export function buildKey(columns: readonly number[], row: Row): string | undefined {
   const values = columns.map((c) => row[c] ?? null);
   return values.includes(null) ? undefined : encodeKey(values);
@@ -35,7 +35,7 @@
   return JSON.stringify(values);
 }
 
-/** The committed rows of one table, each under an id that the primary gave it. */
+/** The committed rows of one table, keyed by the row id that the primary assigned. */
 export class Table {
   readonly rows = new Map<number, Row>();
   private readonly indexes: readonly Map<string, number>[];
@@ -46,22 +46,22 @@
     this.indexes = definition.uniques.map(() => new Map<string, number>());
   }
 
-  /** Takes an id for a new row. Ids of transactions that are rolled back stay unused. */
+  /** Allocates an id for a new row. Ids of rolled-back transactions are not reused. */
   takeId(): number {
     return this.nextId++;
   }
 
-  /** Finds the id of the committed row with a key of the unique constraint at `place`. */
-  findId(place: number, key: string): number | undefined {
-    return this.indexes[place]?.get(key);
+  /** Finds the id of the committed row with `key` in the unique constraint at `position`. */
+  findId(position: number, key: string): number | undefined {
+    return this.indexes[position]?.get(key);
   }
 
-  /** The offset of the record that changed a row last; 0 for one that never was. */
+  /** The offset of the record that last changed a row; 0 if there is none. */
   getChangedAt(id: number): number {
     return this.changedAt.get(id) ?? 0;
   }
 
-  /** Puts a row in, or takes it out when `row` is undefined. */
+  /** Inserts or replaces a row, or removes it when `row` is undefined. */
   put(id: number, row: Row | undefined, offset: number): void {
     this.removeKeys(id);
     this.changedAt.set(id, offset);
@@ -71,18 +71,19 @@
     }
     this.rows.set(id, row);
     this.nextId = Math.max(this.nextId, id + 1);
-    this.definition.uniques.forEach((unique, place) => {
+    this.definition.uniques.forEach((unique, position) => {
       const key = buildKey(unique.columns, row);
-      if (key !== undefined) this.indexes[place]?.set(key, id);
+      if (key !== undefined) this.indexes[position]?.set(key, id);
     });
   }
 
   private removeKeys(id: number): void {
     const before = this.rows.get(id);
     if (before === undefined) return;
-    this.definition.uniques.forEach((unique, place) => {
+    this.definition.uniques.forEach((unique, position) => {
       const key = buildKey(unique.columns, before);
-      if (key !== undefined && this.findId(place, key) === id) this.indexes[place]?.delete(key);
+      if (key !== undefined && this.findId(position, key) === id)
+        this.indexes[position]?.delete(key);
     });
   }
 }
--- a/standin/target/transaction.ts
+++ b/standin/target/transaction.ts
@@ -5,15 +5,15 @@
 import { Table, type TableDefinition } from "./table.js";
 import { createConflictError, TableView } from "./view.js";
 
-/** A transaction's private changes until it commits. */
+/** An open transaction and its uncommitted changes. */
 export class Transaction {
   readonly owner = new LockOwner();
   private views = new Map<string, TableView>();
   private created = new Map<string, Table>();
   private dropped = new Set<string>();
-  /** Tells apart the times in which the target was primary; set by the first write. */
+  /** Identifies the target's role period in which the first write ran; undefined before it. */
   epoch: number | undefined;
-  /** Set for the isolation levels above read committed: where the log ended at the beginning. */
+  /** The log's offset at the start, for isolation levels above read committed. */
   snapshot: number | undefined;
 
   constructor(
@@ -21,7 +21,7 @@
     readonly startOffset: number,
   ) {}
 
-  /** Runs a statement. When it has to wait for another transaction, its changes are undone. */
+  /** Runs a statement; its changes are undone if it has to wait for another transaction. */
   attempt<T>(run: () => T): T {
     const { views, created, dropped } = this;
     this.views = new Map([...views].map(([name, view]) => [name, view.copy()]));
@@ -35,12 +35,12 @@
     }
   }
 
-  /** Waits for the end of the transaction that holds a lock. */
+  /** Waits for the transaction that holds a lock to end; fails on a deadlock. */
   wait(holder: LockOwner): Promise<void> {
     return this.database.locks.wait(this.owner, holder);
   }
 
-  /** Releases its locks, after commit and rollback alike. */
+  /** Releases the transaction's locks, after both commit and rollback. */
   end(): void {
     this.database.locks.release(this.owner);
   }
@@ -52,8 +52,8 @@
   find(name: string): TableView | undefined {
     const table = this.created.get(name) ?? this.findCommitted(name);
     if (table === undefined) return undefined;
-    const known = this.views.get(name);
-    if (known?.table === table) return known;
+    const existing = this.views.get(name);
+    if (existing?.table === table) return existing;
     const { owner, snapshot } = this;
     const view = new TableView(table, { locks: this.database.locks, owner, snapshot });
     this.views.set(name, view);
@@ -77,7 +77,7 @@
     this.views.delete(name);
   }
 
-  /** Collects all changes for one log record, or fails on a conflict. */
+  /** Collects all changes for one log record; fails on a conflict. */
   collect(): readonly Change[] {
     for (const [name, view] of this.views) {
       if (this.created.get(name) === view.table) continue;
--- a/standin/target/value.ts
+++ b/standin/target/value.ts
@@ -1,12 +1,12 @@
 import { SqlError } from "./error.js";
 
-/** A value of the stand-in's SQL. JSON can carry it, so that log records can be sent as JSON. */
+/** An SQL value, limited to JSON types because log records are sent as JSON. */
 export type Value = null | boolean | number | string;
 
 /** The values of one row, in the order of the table's columns. */
 export type Row = readonly Value[];
 
-/** A data type: its name in the catalogue and its object id. */
+/** A data type with its catalogue name and object id. */
 export interface DataType {
   readonly name: string;
   readonly oid: number;
@@ -36,7 +36,7 @@
 const integers: ReadonlySet<string> = new Set(["int2", "int4", "int8"]);
 const numbers: ReadonlySet<string> = new Set([...integers, "float4", "float8", "numeric"]);
 
-/** Finds a data type by its name in the catalogue, such as `int4`. */
+/** Finds a data type by its catalogue name, such as `int4`. */
 export function findType(name: string): DataType {
   const oid = oids[name];
   if (oid === undefined) throw new SqlError("42704", `type "${name}" does not exist`);
@@ -72,13 +72,13 @@
   return integers.has(type.name) ? Math.round(number) : number;
 }
 
-/** Writes a value in the protocol's text format. `null` has none. */
+/** Formats a value in the protocol's text format, which has none for `null`. */
 export function formatValue(value: Exclude<Value, null>): string {
   if (typeof value === "boolean") return value ? "t" : "f";
   return String(value);
 }
 
-/** Orders two values that are not null; text beside a number counts as a number. */
+/** Compares two non-null values; text is converted when the other is a number. */
 export function compareValues(a: Exclude<Value, null>, b: Exclude<Value, null>): number {
   if (typeof a === "string" && typeof b === "string") return a < b ? -1 : a > b ? 1 : 0;
   if (typeof a === "boolean" || typeof b === "boolean") {
@@ -87,7 +87,7 @@
   return toNumber(a) - toNumber(b);
 }
 
-/** Reads a value as a number for arithmetic. */
+/** Converts a value to a number for arithmetic. */
 export function toNumber(value: Exclude<Value, null>): number {
   return castNumber(value, { name: "numeric", oid: 1700 });
 }
--- a/standin/target/view.ts
+++ b/standin/target/view.ts
@@ -5,20 +5,20 @@
 import type { Row } from "./value.js";
 
 interface Entry {
-  /** The committed row when the transaction first changed it. */
+  /** The committed row at the time of the transaction's first change to it. */
   readonly base: Row | undefined;
   readonly row: Row | undefined;
 }
 
-/** What the views of one transaction share. */
+/** The state that all table views of one transaction share. */
 export interface ViewContext {
   readonly locks: Locks;
   readonly owner: LockOwner;
-  /** Rows that were changed after this offset of the log must not be changed; none by default. */
+  /** Rows changed after this log offset must not be changed; undefined for no such limit. */
   readonly snapshot: number | undefined;
 }
 
-/** What one transaction sees of one table: the committed rows under its own changes. */
+/** One transaction's view of a table: its own changes on top of the committed rows. */
 export class TableView {
   private readonly entries: Map<number, Entry>;
   private readonly keys: readonly Map<string, number>[];
@@ -41,17 +41,17 @@
     return entry === undefined ? this.table.rows.get(id) : entry.row;
   }
 
-  /** Lists every row that the transaction sees, with its id. */
+  /** Lists every visible row with its id. */
   *list(): Iterable<readonly [number, Row]> {
     for (const [id, row] of this.table.rows) if (!this.entries.has(id)) yield [id, row];
     for (const [id, entry] of this.entries) if (entry.row !== undefined) yield [id, entry.row];
   }
 
-  /** Finds the row with a key of the unique constraint at `place`. */
-  findId(place: number, key: string): number | undefined {
-    const own = this.keys[place]?.get(key);
+  /** Finds the id of the visible row with `key` in the unique constraint at `position`. */
+  findId(position: number, key: string): number | undefined {
+    const own = this.keys[position]?.get(key);
     if (own !== undefined) return own;
-    const committed = this.table.findId(place, key);
+    const committed = this.table.findId(position, key);
     return committed === undefined || this.entries.has(committed) ? undefined : committed;
   }
 
@@ -59,17 +59,17 @@
     return new TableView(this.table, this.shared, this);
   }
 
-  /** Locks a row up to the transaction's end. */
+  /** Locks a row until the transaction ends. */
   lockRow(id: number): void {
     const { locks, owner, snapshot = Infinity } = this.shared;
     locks.take(owner, `${this.definition.name} row ${id}`);
     if (this.table.getChangedAt(id) > snapshot) throw createConflictError(this.definition.name);
   }
 
-  /** Locks a value of the unique constraint at `place`, so that nobody else puts it in. */
-  lockKey(place: number, key: string): void {
+  /** Locks `key` in the unique constraint at `position` against inserts by other transactions. */
+  lockKey(position: number, key: string): void {
     const { locks, owner } = this.shared;
-    locks.take(owner, `${this.definition.name} key ${place} ${key}`);
+    locks.take(owner, `${this.definition.name} key ${position} ${key}`);
   }
 
   /** Changes a row, or removes it when `row` is undefined. */
@@ -81,7 +81,7 @@
     this.entries.set(id, { base, row });
   }
 
-  /** Collects the changes, or fails when another transaction has changed the same rows since. */
+  /** Collects the changes; fails if another transaction has changed the same rows meanwhile. */
   collect(): readonly Change[] {
     const table = this.definition.name;
     return [...this.entries].flatMap(([id, entry]): Change[] => {
@@ -93,33 +93,33 @@
 
   private checkEntry(id: number, entry: Entry): void {
     const { row } = entry;
-    const isClash =
+    const violatesUnique =
       row !== undefined &&
-      this.definition.uniques.some((unique, place) => {
+      this.definition.uniques.some((unique, position) => {
         const key = buildKey(unique.columns, row);
-        const committed = key === undefined ? undefined : this.table.findId(place, key);
+        const committed = key === undefined ? undefined : this.table.findId(position, key);
         return committed !== undefined && committed !== id && !this.entries.has(committed);
       });
-    if (isClash || this.table.rows.get(id) !== entry.base) {
+    if (violatesUnique || this.table.rows.get(id) !== entry.base) {
       throw new SqlError("40001", "could not serialize access due to concurrent update");
     }
   }
 
   private putKeys(id: number, before: Row | undefined, after: Row | undefined): void {
-    this.definition.uniques.forEach((unique, place) => {
-      const keys = this.keys[place];
+    this.definition.uniques.forEach((unique, position) => {
+      const keys = this.keys[position];
       const old = before === undefined ? undefined : buildKey(unique.columns, before);
-      if (old !== undefined) this.lockKey(place, old);
+      if (old !== undefined) this.lockKey(position, old);
       if (old !== undefined && keys?.get(old) === id) keys.delete(old);
       const key = after === undefined ? undefined : buildKey(unique.columns, after);
       if (key === undefined) return;
-      this.lockKey(place, key);
+      this.lockKey(position, key);
       keys?.set(key, id);
     });
   }
 }
 
-/** Builds the error for a change that another transaction has overtaken. */
+/** Creates the error for a change that conflicts with another transaction's commit. */
 export function createConflictError(name: string): SqlError {
   return new SqlError("40001", `relation "${name}" was changed by another transaction`);
 }
--- a/standin/target/wire.ts
+++ b/standin/target/wire.ts
@@ -64,7 +64,7 @@
   return writer.addCString("").flush(0x45);
 }
 
-const bare = {
+const emptyMessageCodes = {
   parseComplete: 0x31,
   bindComplete: 0x32,
   closeComplete: 0x33,
@@ -74,6 +74,6 @@
 } as const;
 
 /** A message without a body. */
-export function encodeEmptyMessage(name: keyof typeof bare): Buffer {
-  return writer.flush(bare[name]);
+export function encodeEmptyMessage(name: keyof typeof emptyMessageCodes): Buffer {
+  return writer.flush(emptyMessageCodes[name]);
 }
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -42,7 +42,7 @@
   }
 }
 
-/** The SQLSTATE with which a query fails, or its command. */
+/** Returns the SQLSTATE with which a query fails, or its command when it succeeds. */
 export async function findState(query: Promise<pg.QueryResult>): Promise<string | undefined> {
   try {
     return (await query).command;
--- a/test/standin/member.test.ts
+++ b/test/standin/member.test.ts
@@ -5,7 +5,7 @@
 import { findCommonOffset } from "../../standin/target/log.js";
 import { term } from "./build.js";
 
-interface Op {
+interface Operation {
   readonly type: "fence" | "promote" | "follow" | "commit" | "copy";
   readonly who: number;
   readonly other: number;
@@ -18,7 +18,7 @@
   uniques: [],
 };
 
-function commitOne(member: Member): boolean {
+function commitOneRow(member: Member): boolean {
   const transaction = member.begin();
   try {
     member.beginWrite(transaction);
@@ -32,33 +32,34 @@
   }
 }
 
-/** What the link does in one go, without a network between. */
-function copyOne(replica: Member, members: readonly Member[]): void {
-  const { followedPrimary: followed } = replica;
-  const primary = members.find((m) => m.name === followed?.name);
-  if (followed === undefined || primary === undefined || !replica.canCopy(followed)) return;
-  if (!primary.isPrimaryIn(followed.term)) return;
+/** Does one step of the replication link's work directly, without a network. */
+function copyOneRecord(replica: Member, members: readonly Member[]): void {
+  const { followedPrimary } = replica;
+  const primary = members.find((m) => m.name === followedPrimary?.name);
+  if (followedPrimary === undefined || primary === undefined || !replica.canCopy(followedPrimary))
+    return;
+  if (!primary.isPrimaryIn(followedPrimary.term)) return;
   replica.truncateToCommonOffset({ lineage: primary.log.lineage, offset: primary.log.offset });
   for (const record of primary.log.list(replica.log.offset, 1)) replica.appendCopied(record);
 }
 
-function applyOp(op: Op, members: readonly Member[]): void {
+function applyOperation(op: Operation, members: readonly Member[]): void {
   const member = members[op.who];
   const other = members[op.other];
-  // One VM opens each term and asks only one target to lead in it.
-  const at = term(op.round, `vm-${op.who}`);
+  // A term belongs to one VM, which promotes only one target in it.
+  const opTerm = term(op.round, `vm-${op.who}`);
   if (member === undefined || other === undefined) return;
-  if (op.type === "fence") other.fence(at);
-  if (op.type === "promote") member.promote(at);
-  if (op.type === "copy") copyOne(member, members);
+  if (op.type === "fence") other.fence(opTerm);
+  if (op.type === "promote") member.promote(opTerm);
+  if (op.type === "copy") copyOneRecord(member, members);
   if (op.type === "follow" && member !== other) {
     const of = term(op.round, `vm-${op.other}`);
     member.follow({ name: other.name, address: { host: "", port: 0 }, term: of });
   }
   if (op.type === "commit") {
     const { mark, fencedAt, role } = member.status;
-    const mayCommit = role === "primary" && compareTerms(fencedAt, mark.term) === 0;
-    expect(commitOne(member)).toBe(mayCommit);
+    const canCommit = role === "primary" && compareTerms(fencedAt, mark.term) === 0;
+    expect(commitOneRow(member)).toBe(canCommit);
   }
 }
 
@@ -68,11 +69,12 @@
     .map((r) => `${r.offset}@${formatTerm(r.term)} ${JSON.stringify(r.changes)}`);
 }
 
-// Fences, promotions, followings, commits and copies come in any order, as from rival promoters.
-// If two logs differ before the last record they share, a mark would be taken as held by a target
-// that holds another record there; if a fenced target commits, an acknowledged write can be lost.
-test("logs agree up to their common record, and only an unfenced primary commits", () => {
-  const op = fc.record<Op>({
+// Fence, promote, follow, commit and copy operations come in any order, as from competing VMs. If
+// two logs differed before their last common record, a target could be counted as holding a mark
+// although it has another record there. If a fenced target could commit, an acknowledged write
+// could be lost.
+test("logs are equal up to their common offset, and only an unfenced primary commits", () => {
+  const op = fc.record<Operation>({
     type: fc.constantFrom("fence", "promote", "follow", "commit", "copy"),
     who: fc.nat(2),
     other: fc.nat(2),
@@ -85,7 +87,7 @@
       for (const m of others) {
         m.follow({ name: a?.name ?? "", address: { host: "", port: 0 }, term: term(0, "") });
       }
-      for (const o of ops) applyOp(o, members);
+      for (const o of ops) applyOperation(o, members);
       for (const m of members) {
         for (const n of members) {
           const common = findCommonOffset(
--- a/test/standin/sql.test.ts
+++ b/test/standin/sql.test.ts
@@ -46,7 +46,7 @@
   ["SELECT generate_series(1, 3)", [[1], [2], [3]]],
   ["SELECT kept, NULL IS NULL FROM loan WHERE family LIKE 'G_ll%'", [[true, true]]],
 ])("%s", async (text, rows) => {
-  // Dates come as the text that was sent, so that no time zone of this machine matters.
+  // Dates stay the text that was sent, so that the machine's time zone doesn't matter.
   const types = { getTypeParser: (oid: number) => (value: string) => readValue(oid, value) };
   const result = await client.query({ text, rowMode: "array", types });
   expect(result.rows).toEqual(rows);
@@ -72,7 +72,7 @@
   expect(await findState(client.query(text))).toBe(state);
 });
 
-test("an upsert sees the row that it proposed", async () => {
+test("ON CONFLICT DO UPDATE reads the proposed row as excluded", async () => {
   const text =
     "INSERT INTO loan (id, family, fee) VALUES (1, 'Rossi', 3), (5, 'Riva', 4) " +
     "ON CONFLICT (id) DO UPDATE SET fee = loan.fee + excluded.fee RETURNING id, fee";
--- a/test/standin/target.test.ts
+++ b/test/standin/target.test.ts
@@ -24,7 +24,7 @@
 
 const create = "CREATE TABLE seat (id int PRIMARY KEY, holder text NOT NULL, n int DEFAULT 0)";
 
-test("simple and extended queries answer what was written", async () => {
+test("simple and extended queries return the rows that were written", async () => {
   const [target] = await start();
   const client = await connect(target);
   await client.query(create);
@@ -74,29 +74,29 @@
   expect(target.member.status.mark.offset).toBe(offset + 1);
 });
 
-async function waitLocked(target: StandinTarget, part: string) {
+async function waitUntilBlocked(target: StandinTarget, part: string) {
   while (!target.statements.list(part).some((s) => s.fate.type === "waited")) {
     await new Promise((resolve) => setImmediate(resolve));
   }
 }
 
-// Two callers change one row at once. The second waits for the first one's commit and adds to what
-// it finds then; were it to go on at once, its commit would undo the first one's change.
-test("of two transactions that change one row the second waits and loses nothing", async () => {
+// Two transactions update one row concurrently. The second must wait for the first to commit and
+// then update the new value; if it ran at once, its commit would overwrite the first one's update.
+test("a concurrent update of a locked row waits, and neither update is lost", async () => {
   const [target] = await start({ slots: 1 });
   const [a, b] = [await connect(target), await connect(target)];
   await a.query(`${create}; INSERT INTO seat VALUES (1, 'ana')`);
   for (const client of [a, b]) await client.query("BEGIN");
   await a.query("UPDATE seat SET n = n + 1 WHERE id = 1");
   const second = b.query("UPDATE seat SET n = n + 1 WHERE id = 1 /* second */");
-  await waitLocked(target, "second");
+  await waitUntilBlocked(target, "second");
   await a.query("COMMIT");
   expect((await second).rowCount).toBe(1);
   await b.query("COMMIT");
   expect((await a.query("SELECT n FROM seat")).rows).toEqual([{ n: 2 }]);
 });
 
-test("a serializable transaction fails on a row that was changed since it began", async () => {
+test("a serializable transaction fails to update a row changed since it began", async () => {
   const [target] = await start();
   const [a, b] = [await connect(target), await connect(target)];
   await a.query(`${create}; INSERT INTO seat VALUES (1, 'ana')`);
@@ -107,30 +107,31 @@
   expect((await a.query("SELECT n FROM seat")).rows).toEqual([{ n: 5 }]);
 });
 
-// Two proxies claim one key at once. The second must not go on before the first has ended: it would
-// run the write as well and fail on the first one's rows instead of finding its recorded answer.
+// Two proxies insert the same key concurrently. If the second continued before the first ended, it
+// would run the write as well and fail on the first one's rows, instead of finding its recorded
+// answer.
 test.each([
   ["COMMIT", 0],
   ["ROLLBACK", 1],
-])("a claim on a key waits for the one before it, ended by %s", async (end, rows) => {
+])("an insert of a key waits for an earlier insert of it, ended by %s", async (end, rows) => {
   const [target] = await start();
   const [a, b] = [await connect(target), await connect(target)];
   await a.query(create);
   await a.query("BEGIN; INSERT INTO seat VALUES (1, 'ana')");
   const claim = b.query("INSERT INTO seat VALUES (1, 'ion') ON CONFLICT DO NOTHING /* claim */");
-  await waitLocked(target, "claim");
+  await waitUntilBlocked(target, "claim");
   await a.query(end);
   expect((await claim).rowCount).toBe(rows);
 });
 
-test("of two transactions that wait for each other one fails", async () => {
+test("a deadlock between two transactions fails one of them", async () => {
   const [target] = await start();
   const [a, b] = [await connect(target), await connect(target)];
   await a.query(`${create}; INSERT INTO seat VALUES (1, 'ana'), (2, 'ion')`);
   await a.query("BEGIN; UPDATE seat SET n = 1 WHERE id = 1");
   await b.query("BEGIN; UPDATE seat SET n = 2 WHERE id = 2");
   const first = a.query("UPDATE seat SET n = 1 WHERE id = 2 /* first */");
-  await waitLocked(target, "first");
+  await waitUntilBlocked(target, "first");
   expect(await findState(b.query("UPDATE seat SET n = 2 WHERE id = 1"))).toBe("40P01");
   await b.query("ROLLBACK");
   expect((await first).rowCount).toBe(1);
@@ -138,7 +139,7 @@
   expect((await b.query("SELECT n FROM seat")).rows).toEqual([{ n: 1 }, { n: 1 }]);
 });
 
-test("a replica copies after its lag, answers reads and refuses writes", async () => {
+test("a replica applies records after its lag, serves reads and rejects writes", async () => {
   const [primary, replica] = await start({}, 2);
   replica.setLag(3_600_000);
   const [a, b] = [await connect(primary), await connect(replica)];
@@ -150,8 +151,8 @@
   expect((await b.query("SELECT * FROM seat")).rowCount).toBe(0);
 });
 
-// The caller's COMMIT fails: its transaction began on a primary that a promoter has fenced since.
-// Were it to succeed, the write would be acknowledged by a superseded primary and cut off later.
+// A transaction is open when its primary is fenced. If its COMMIT succeeded, a superseded primary
+// would acknowledge a write that is later truncated from its log.
 test("an open transaction can't commit on a fenced primary", async () => {
   const [target] = await start();
   const client = await connect(target);
@@ -163,9 +164,10 @@
   expect(target.member.promote(term(2)).type).toBe("refused");
 });
 
-// A primary commits a record that no replica got; it is fenced off and another is promoted.
-// When it comes back as a replica, its own record must go: the new term branched off before it.
-test("a superseded primary cuts off its own end when it follows its successor", async () => {
+// Both replicas are fenced, so that a commit of the primary reaches neither, and one of them is
+// promoted. When the old primary becomes a replica, it must drop its record: the new term's branch
+// starts before it.
+test("a superseded primary drops its diverged records when it follows its successor", async () => {
   const [a, b, c] = await start({}, 3);
   const client = await connect(a);
   await client.query(create);
@@ -197,7 +199,7 @@
   expect(order).toEqual(["slow", "fast"]);
 });
 
-test("a large answer comes whole", async () => {
+test("a large result arrives completely", async () => {
   const [target] = await start();
   const client = await connect(target);
   const { rows } = await client.query(
@@ -207,9 +209,9 @@
   expect(rows[19_999]).toEqual({ i: 20_000, x: "x".repeat(50) });
 });
 
-// The caller sees its connection break at COMMIT and can't tell what happened. The commit took
-// effect before the answer was lost, so a repeat without a key would write twice.
-test("a lost answer leaves the commit in force", async () => {
+// The connection breaks at COMMIT and the caller can't tell whether it took effect. It did before
+// the answer was lost, so that a retry without a key would write twice.
+test("a commit whose answer is lost still takes effect", async () => {
   const [target] = await start();
   const client = await connect(target);
   await client.query(create);
@@ -218,9 +220,9 @@
   expect((await (await connect(target)).query("SELECT * FROM seat")).rowCount).toBe(1);
 });
 
-// The target crashes while a statement holds a slot and another waits for one. Neither may commit
-// after the restart: its callers were told that the connection broke, and have read since.
-test("after a kill the log is what it was, and nothing under way commits later", async () => {
+// The target crashes while one statement holds a slot and another waits for one. Neither may commit
+// after the restart: their callers saw the connection break and may have read the data since.
+test("a kill keeps the log, and statements running at the time never commit", async () => {
   const [target] = await start({ slots: 1 });
   const [a, b] = [await connect(target), await connect(target)];
   await a.query(create);
@@ -236,7 +238,7 @@
   expect((await (await connect(target)).query("SELECT * FROM seat")).rowCount).toBe(0);
 });
 
-test("a replica finds its primary again after a cut and after a restart", async () => {
+test("a replica reconnects to its primary after a network cut and after a restart", async () => {
   const [primary, replica] = await start({}, 2);
   replica.faults.replication.close();
   await (await connect(primary)).query(create);
@@ -248,7 +250,7 @@
   await waitStatus(replica, (s) => s.mark.offset === 2);
 });
 
-test("a frozen target answers once it goes on; a silenced connection never does", async () => {
+test("a frozen target answers once it resumes; a silenced connection never does", async () => {
   const [target] = await start();
   const client = await connect(target);
   target.faults.running.close();
@@ -266,9 +268,9 @@
   expect(target.statements.list("never")).toEqual([]);
 });
 
-// A replica is fenced while a superseded primary's record is on its way. Were it copied, the write
-// would seem replicated, though the new term's log is counted without it.
-test("a fenced replica takes no record of an older term", async () => {
+// A replica is fenced while a superseded primary's record is delayed. If it were copied, the write
+// would seem replicated, although the new term's log is determined without it.
+test("a fenced replica rejects records of an older term", async () => {
   const [a, b, c] = await start({}, 3);
   const client = await connect(a);
   b.setLag(3_600_000);
@@ -281,9 +283,9 @@
   expect(b.member.status.mark.offset).toBe(0);
 });
 
-// The target is fenced and promoted again while a caller's transaction is open. In between another
-// target may have led and committed; what the transaction read then no longer holds.
-test("a transaction does not outlive the term it began in", async () => {
+// The target is fenced and promoted again while a transaction is open. Another target may have been
+// primary and committed in between, so that the transaction's reads may be outdated.
+test("a transaction can't commit in a later term than it began in", async () => {
   const [target] = await start();
   const client = await connect(target);
   await client.query(`${create}; INSERT INTO seat VALUES (1, 'ana')`);
@@ -293,9 +295,9 @@
   expect(await findState(client.query("COMMIT"))).toBe("25006");
 });
 
-// Only the way back is cut: the statement arrives and commits, and its answer waits for the cut's
-// end. A caller that gave up meanwhile must not be told that its write did not run.
-test("a cut of the answers lets the statement land", async () => {
+// Only the answers are cut: the statement arrives and commits, and its answer is held up until the
+// cut ends. A caller that times out meanwhile must not be told that its write did not run.
+test("a statement takes effect while answers are cut", async () => {
   const [target] = await start();
   const client = await connect(target);
   await client.query(create);
