--- a/standin/target/backend.ts
+++ b/standin/target/backend.ts
@@ -65,7 +65,7 @@
     if (this.open?.isExplicit === false) this.commit();
   }
 
-  /** Handles a failed statement: rolls back an implicit transaction, or marks an explicit one. */
+  /** After a failed statement: rolls back an implicit transaction, marks an explicit one failed. */
   markFailed(): void {
     if (this.open?.isExplicit === true) this.open.hasFailed = true;
     else this.rollBack();
@@ -143,7 +143,7 @@
   private runBegin({ options = [] }: TransactionStmt): void {
     const { transaction } = this.begin(true);
     const isStrict = options.some((o) => "DefElem" in o && isAboveReadCommitted(o.DefElem));
-    if (isStrict) transaction.snapshot = transaction.startOffset;
+    if (isStrict) transaction.snapshotOffset = transaction.startOffset;
   }
 
   private runCommit(): Result {
--- a/standin/target/execution.ts
+++ b/standin/target/execution.ts
@@ -6,7 +6,7 @@
 import type { Member } from "./member.js";
 import type { Slots } from "./slots.js";
 import {
-  findSleep,
+  getSleepMs,
   isWrite,
   runStatement,
   type Result,
@@ -61,7 +61,7 @@
   { serviceMs, faults }: Services,
   { statement, context }: ExecutionRequest,
 ): number {
-  return serviceMs * faults.slowFactor + findSleep(statement.node, context);
+  return serviceMs * faults.slowFactor + getSleepMs(statement.node, context);
 }
 
 /** Runs a statement in a slot; returns the lock's holder if it has to wait for one. */
--- a/standin/target/locks.ts
+++ b/standin/target/locks.ts
@@ -30,7 +30,7 @@
   private readonly waitsFor = new Map<LockOwner, LockOwner>();
 
   /** Acquires a lock; throws `LockedError` while another transaction holds it. */
-  take(owner: LockOwner, name: string): void {
+  acquire(owner: LockOwner, name: string): void {
     const holder = this.holders.get(name);
     if (holder !== undefined && holder !== owner) throw new LockedError(holder);
     this.holders.set(name, owner);
--- a/standin/target/member.ts
+++ b/standin/target/member.ts
@@ -46,7 +46,7 @@
 
   get status(): TargetStatus {
     const { following } = this;
-    const isCopying = following !== undefined && this.canCopy(following);
+    const isCopying = following !== undefined && this.canCopyFrom(following);
     return {
       target: this.name,
       role: this.primaryTerm === undefined ? "replica" : "primary",
@@ -145,7 +145,7 @@
    * replication at once. Otherwise a record of the superseded primary could reach a replica that
    * its successor counts as fenced: the write would seem replicated, but the new term discards it.
    */
-  canCopy(primary: FollowedPrimary): boolean {
+  canCopyFrom(primary: FollowedPrimary): boolean {
     return this.following === primary && compareTerms(primary.term, this.fencedAt) === 0;
   }
 
--- a/standin/target/replication-link.ts
+++ b/standin/target/replication-link.ts
@@ -46,7 +46,7 @@
   }
 
   private isOpen(): boolean {
-    return !this.isStopped && this.member.canCopy(this.primary);
+    return !this.isStopped && this.member.canCopyFrom(this.primary);
   }
 
   private async runReceiving(): Promise<void> {
--- a/standin/target/server.ts
+++ b/standin/target/server.ts
@@ -137,8 +137,8 @@
   private updateLink(): void {
     const wanted = this.listener.isListening ? this.member.followedPrimary : undefined;
     if (this.link?.primary !== wanted) this.dropLink();
-    if (this.link !== undefined && !this.member.canCopy(this.link.primary)) this.dropLink();
-    if (this.link !== undefined || wanted === undefined || !this.member.canCopy(wanted)) return;
+    if (this.link !== undefined && !this.member.canCopyFrom(this.link.primary)) this.dropLink();
+    if (this.link !== undefined || wanted === undefined || !this.member.canCopyFrom(wanted)) return;
     this.link = {
       primary: wanted,
       link: new ReplicationLink(this.member, wanted, this.faults, () => this.lag),
--- a/standin/target/sql/engine.ts
+++ b/standin/target/sql/engine.ts
@@ -65,7 +65,7 @@
 }
 
 /** Returns how long a statement's `pg_sleep` takes, in milliseconds; 0 without one. */
-export function findSleep(node: Node, context: StatementContext): number {
+export function getSleepMs(node: Node, context: StatementContext): number {
   const call = findCall(node);
   if (call === undefined || readName(call.funcname) !== "pg_sleep") return 0;
   const seconds = resolveValue(call.args?.[0], { context, columns: [], alias: "", row: [] });
--- a/standin/target/sql/index.ts
+++ b/standin/target/sql/index.ts
@@ -1,5 +1,5 @@
 export { loadParser, parseStatements, readName, type Statement } from "./ast.js";
-export { describeStatement, findCall, findSleep, isWrite, runStatement } from "./engine.js";
+export { describeStatement, findCall, getSleepMs, isWrite, runStatement } from "./engine.js";
 export { resolveValue } from "./expression.js";
 export { type Field } from "./projection.js";
 export { type Result } from "./result.js";
--- a/standin/target/sql/modify.ts
+++ b/standin/target/sql/modify.ts
@@ -142,7 +142,7 @@
 ): readonly Row[] {
   const violation = findUniqueViolation(view, row, undefined);
   if (violation === undefined) {
-    view.put(view.table.takeId(), row);
+    view.put(view.table.allocateId(), row);
     return [row];
   }
   if (conflict === undefined || !isHandledConflict(view, violation.position, conflict))
--- a/standin/target/table.ts
+++ b/standin/target/table.ts
@@ -47,7 +47,7 @@
   }
 
   /** Allocates an id for a new row. Ids of rolled-back transactions are not reused. */
-  takeId(): number {
+  allocateId(): number {
     return this.nextId++;
   }
 
--- a/standin/target/transaction.ts
+++ b/standin/target/transaction.ts
@@ -14,7 +14,7 @@
   /** Identifies the target's role period in which the first write ran; undefined before it. */
   epoch: number | undefined;
   /** The log's offset at the start, for isolation levels above read committed. */
-  snapshot: number | undefined;
+  snapshotOffset: number | undefined;
 
   constructor(
     private readonly database: Database,
@@ -54,8 +54,8 @@
     if (table === undefined) return undefined;
     const existing = this.views.get(name);
     if (existing?.table === table) return existing;
-    const { owner, snapshot } = this;
-    const view = new TableView(table, { locks: this.database.locks, owner, snapshot });
+    const { owner, snapshotOffset } = this;
+    const view = new TableView(table, { locks: this.database.locks, owner, snapshotOffset });
     this.views.set(name, view);
     return view;
   }
@@ -67,12 +67,12 @@
   }
 
   create(definition: TableDefinition): void {
-    this.database.locks.take(this.owner, `table ${definition.name}`);
+    this.database.locks.acquire(this.owner, `table ${definition.name}`);
     this.created.set(definition.name, new Table(definition));
   }
 
   drop(name: string): void {
-    this.database.locks.take(this.owner, `table ${name}`);
+    this.database.locks.acquire(this.owner, `table ${name}`);
     if (!this.created.delete(name)) this.dropped.add(name);
     this.views.delete(name);
   }
--- a/standin/target/view.ts
+++ b/standin/target/view.ts
@@ -15,7 +15,7 @@
   readonly locks: Locks;
   readonly owner: LockOwner;
   /** Rows changed after this log offset must not be changed; undefined for no such limit. */
-  readonly snapshot: number | undefined;
+  readonly snapshotOffset: number | undefined;
 }
 
 /** One transaction's view of a table: its own changes on top of the committed rows. */
@@ -61,15 +61,16 @@
 
   /** Locks a row until the transaction ends. */
   lockRow(id: number): void {
-    const { locks, owner, snapshot = Infinity } = this.shared;
-    locks.take(owner, `${this.definition.name} row ${id}`);
-    if (this.table.getChangedAt(id) > snapshot) throw createConflictError(this.definition.name);
+    const { locks, owner, snapshotOffset = Infinity } = this.shared;
+    locks.acquire(owner, `${this.definition.name} row ${id}`);
+    if (this.table.getChangedAt(id) > snapshotOffset)
+      throw createConflictError(this.definition.name);
   }
 
   /** Locks `key` in the unique constraint at `position` against inserts by other transactions. */
   lockKey(position: number, key: string): void {
     const { locks, owner } = this.shared;
-    locks.take(owner, `${this.definition.name} key ${position} ${key}`);
+    locks.acquire(owner, `${this.definition.name} key ${position} ${key}`);
   }
 
   /** Changes a row, or removes it when `row` is undefined. */
--- a/test/standin/build.ts
+++ b/test/standin/build.ts
@@ -16,7 +16,7 @@
   return group.targets;
 }
 
-export function followIn(replica: StandinTarget, primary: StandinTarget | undefined, of: Term) {
+export function followInTerm(replica: StandinTarget, primary: StandinTarget | undefined, of: Term) {
   if (primary === undefined) throw new Error("no primary");
   return replica.member.follow({ name: primary.name, address: primary.address, term: of });
 }
@@ -28,7 +28,7 @@
   return client;
 }
 
-export async function waitStatus(
+export async function waitForStatus(
   target: StandinTarget,
   isMet: (status: TargetStatus) => boolean,
 ): Promise<void> {
@@ -43,7 +43,7 @@
 }
 
 /** Returns the SQLSTATE with which a query fails, or its command when it succeeds. */
-export async function findState(query: Promise<pg.QueryResult>): Promise<string | undefined> {
+export async function findSqlState(query: Promise<pg.QueryResult>): Promise<string | undefined> {
   try {
     return (await query).command;
   } catch (error) {
--- a/test/standin/cluster.test.ts
+++ b/test/standin/cluster.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "@jest/globals";
 import { HttpObjectStore } from "../../src/platform/index.js";
 import { buildGroups, sizes, startCluster } from "../../standin/index.js";
-import { connectTo, findState, waitStatus } from "./build.js";
+import { connectTo, findSqlState, waitForStatus } from "./build.js";
 
 test("a cluster's platform lists the groups whose targets answer", async () => {
   const groups = buildGroups(sizes.ferrante, 2, { lagMs: 5 });
@@ -13,8 +13,8 @@
   const [primary, replica] = second?.targets ?? [];
   if (primary === undefined || replica === undefined) throw new Error("no targets");
   const client = await connectTo(primary);
-  expect(await findState(client.query("CREATE TABLE seat (id int)"))).toBe("CREATE");
-  await waitStatus(replica, (s) => s.mark.offset === 1);
+  expect(await findSqlState(client.query("CREATE TABLE seat (id int)"))).toBe("CREATE");
+  await waitForStatus(replica, (s) => s.mark.offset === 1);
   expect(replica.target).toMatchObject({ dataCentre: "barracas", slots: 2, connections: 16 });
   await client.end();
   store.dispose();
--- a/test/standin/member.test.ts
+++ b/test/standin/member.test.ts
@@ -24,7 +24,7 @@
     member.beginWrite(transaction);
     const view = transaction.find("t");
     if (view === undefined) transaction.create(definition);
-    else view.put(view.table.takeId(), [member.log.offset]);
+    else view.put(view.table.allocateId(), [member.log.offset]);
     member.commit(transaction);
     return true;
   } catch {
@@ -36,7 +36,11 @@
 function copyOneRecord(replica: Member, members: readonly Member[]): void {
   const { followedPrimary } = replica;
   const primary = members.find((m) => m.name === followedPrimary?.name);
-  if (followedPrimary === undefined || primary === undefined || !replica.canCopy(followedPrimary))
+  if (
+    followedPrimary === undefined ||
+    primary === undefined ||
+    !replica.canCopyFrom(followedPrimary)
+  )
     return;
   if (!primary.isPrimaryIn(followedPrimary.term)) return;
   replica.truncateToCommonOffset({ lineage: primary.log.lineage, offset: primary.log.offset });
--- a/test/standin/sql.test.ts
+++ b/test/standin/sql.test.ts
@@ -1,7 +1,7 @@
 import { afterAll, beforeAll, expect, test } from "@jest/globals";
 import type pg from "pg";
 import { DisposableStore } from "../../src/model/index.js";
-import { connectTo, findState, startTargets } from "./build.js";
+import { connectTo, findSqlState, startTargets } from "./build.js";
 
 const store = new DisposableStore();
 let client: pg.Client;
@@ -69,7 +69,7 @@
   ["WITH x AS (SELECT 1) SELECT * FROM x", "0A000"],
   ["SAVEPOINT a", "0A000"],
 ])("%s fails with %s", async (text, state) => {
-  expect(await findState(client.query(text))).toBe(state);
+  expect(await findSqlState(client.query(text))).toBe(state);
 });
 
 test("ON CONFLICT DO UPDATE reads the proposed row as excluded", async () => {
--- a/test/standin/target.test.ts
+++ b/test/standin/target.test.ts
@@ -2,7 +2,14 @@
 import { DisposableStore } from "../../src/model/index.js";
 import { PgTargetConnector } from "../../src/target/index.js";
 import type { StandinTarget, StandinTargetOptions } from "../../standin/target/index.js";
-import { connectTo, findState, followIn, startTargets, term, waitStatus } from "./build.js";
+import {
+  connectTo,
+  findSqlState,
+  followInTerm,
+  startTargets,
+  term,
+  waitForStatus,
+} from "./build.js";
 
 let store = new DisposableStore();
 
@@ -51,11 +58,11 @@
   const client = await connect(target);
   await client.query(create);
   await client.query("INSERT INTO seat VALUES (1, 'ana')");
-  expect(await findState(client.query("INSERT INTO seat VALUES (1, 'ion')"))).toBe("23505");
-  expect(await findState(client.query("INSERT INTO seat VALUES ($1)", [3]))).toBe("23502");
-  expect(await findState(client.query("SELECT * FROM seats"))).toBe("42P01");
-  expect(await findState(client.query("SELEC 1"))).toBe("42601");
-  expect(await findState(client.query("SELECT 1 FROM seat JOIN seat b ON true"))).toBe("0A000");
+  expect(await findSqlState(client.query("INSERT INTO seat VALUES (1, 'ion')"))).toBe("23505");
+  expect(await findSqlState(client.query("INSERT INTO seat VALUES ($1)", [3]))).toBe("23502");
+  expect(await findSqlState(client.query("SELECT * FROM seats"))).toBe("42P01");
+  expect(await findSqlState(client.query("SELEC 1"))).toBe("42601");
+  expect(await findSqlState(client.query("SELECT 1 FROM seat JOIN seat b ON true"))).toBe("0A000");
   const again = "INSERT INTO seat VALUES (1, 'ion') ON CONFLICT (id) DO NOTHING";
   expect((await client.query(again)).rowCount).toBe(0);
 });
@@ -102,8 +109,8 @@
   await a.query(`${create}; INSERT INTO seat VALUES (1, 'ana')`);
   await b.query("BEGIN ISOLATION LEVEL SERIALIZABLE");
   await a.query("UPDATE seat SET n = 5 WHERE id = 1");
-  expect(await findState(b.query("UPDATE seat SET n = 1 WHERE id = 1"))).toBe("40001");
-  expect(await findState(b.query("COMMIT"))).toBe("ROLLBACK");
+  expect(await findSqlState(b.query("UPDATE seat SET n = 1 WHERE id = 1"))).toBe("40001");
+  expect(await findSqlState(b.query("COMMIT"))).toBe("ROLLBACK");
   expect((await a.query("SELECT n FROM seat")).rows).toEqual([{ n: 5 }]);
 });
 
@@ -132,7 +139,7 @@
   await b.query("BEGIN; UPDATE seat SET n = 2 WHERE id = 2");
   const first = a.query("UPDATE seat SET n = 1 WHERE id = 2 /* first */");
   await waitUntilBlocked(target, "first");
-  expect(await findState(b.query("UPDATE seat SET n = 2 WHERE id = 1"))).toBe("40P01");
+  expect(await findSqlState(b.query("UPDATE seat SET n = 2 WHERE id = 1"))).toBe("40P01");
   await b.query("ROLLBACK");
   expect((await first).rowCount).toBe(1);
   await a.query("COMMIT");
@@ -146,8 +153,8 @@
   await a.query(create);
   expect(replica.member.status.mark.offset).toBe(0);
   replica.setLag(0);
-  await waitStatus(replica, (s) => s.mark.offset === 1);
-  expect(await findState(b.query("INSERT INTO seat VALUES (1, 'ana')"))).toBe("25006");
+  await waitForStatus(replica, (s) => s.mark.offset === 1);
+  expect(await findSqlState(b.query("INSERT INTO seat VALUES (1, 'ana')"))).toBe("25006");
   expect((await b.query("SELECT * FROM seat")).rowCount).toBe(0);
 });
 
@@ -159,7 +166,7 @@
   await client.query(create);
   await client.query("BEGIN; INSERT INTO seat VALUES (1, 'ana') /* tag */");
   expect(target.member.fence(term(1)).type).toBe("accepted");
-  expect(await findState(client.query("COMMIT"))).toBe("25006");
+  expect(await findSqlState(client.query("COMMIT"))).toBe("25006");
   expect(target.statements.list("tag").map((s) => s.fate.type)).toEqual(["rolledBack"]);
   expect(target.member.promote(term(2)).type).toBe("refused");
 });
@@ -171,7 +178,7 @@
   const [a, b, c] = await start({}, 3);
   const client = await connect(a);
   await client.query(create);
-  for (const t of [b, c]) await waitStatus(t, (s) => s.mark.offset === 1);
+  for (const t of [b, c]) await waitForStatus(t, (s) => s.mark.offset === 1);
   for (const t of [b, c]) t.member.fence(term(1));
   await client.query("INSERT INTO seat VALUES (1, 'lost')");
   expect(b.member.promote(term(1))).toMatchObject({
@@ -179,9 +186,9 @@
     status: { mark: { term: term(1), offset: 2 }, role: "primary" },
   });
   await (await connect(b)).query("INSERT INTO seat VALUES (2, 'kept')");
-  for (const t of [a, c]) expect(followIn(t, b, term(1)).type).toBe("accepted");
+  for (const t of [a, c]) expect(followInTerm(t, b, term(1)).type).toBe("accepted");
   for (const t of [a, c]) {
-    await waitStatus(t, (s) => s.mark.offset === 3 && s.mark.term.round === 1);
+    await waitForStatus(t, (s) => s.mark.offset === 3 && s.mark.term.round === 1);
     expect(t.member.status.lineage).toEqual(b.member.status.lineage);
     const { rows } = await (await connect(t)).query("SELECT holder FROM seat");
     expect(rows).toEqual([{ holder: "kept" }]);
@@ -243,11 +250,11 @@
   replica.faults.replication.close();
   await (await connect(primary)).query(create);
   replica.faults.replication.open();
-  await waitStatus(replica, (s) => s.mark.offset === 1);
+  await waitForStatus(replica, (s) => s.mark.offset === 1);
   await primary.kill();
   await primary.start();
   await (await connect(primary)).query("INSERT INTO seat VALUES (1, 'ana')");
-  await waitStatus(replica, (s) => s.mark.offset === 2);
+  await waitForStatus(replica, (s) => s.mark.offset === 2);
 });
 
 test("a frozen target answers once it resumes; a silenced connection never does", async () => {
@@ -275,11 +282,11 @@
   const client = await connect(a);
   b.setLag(3_600_000);
   await client.query(create);
-  await waitStatus(c, (s) => s.mark.offset === 1);
+  await waitForStatus(c, (s) => s.mark.offset === 1);
   b.member.fence(term(1));
   b.setLag(0);
   await client.query("INSERT INTO seat VALUES (1, 'ana')");
-  await waitStatus(c, (s) => s.mark.offset === 2);
+  await waitForStatus(c, (s) => s.mark.offset === 2);
   expect(b.member.status.mark.offset).toBe(0);
 });
 
@@ -292,7 +299,7 @@
   await client.query("BEGIN; UPDATE seat SET n = 1 WHERE id = 1");
   target.member.fence(term(1));
   target.member.promote(term(1));
-  expect(await findState(client.query("COMMIT"))).toBe("25006");
+  expect(await findSqlState(client.query("COMMIT"))).toBe("25006");
 });
 
 // Only the answers are cut: the statement arrives and commits, and its answer is held up until the
@@ -303,7 +310,7 @@
   await client.query(create);
   target.faults.statements.answers.close();
   const answer = client.query("INSERT INTO seat VALUES (1, 'ana')");
-  await waitStatus(target, (s) => s.mark.offset === 2);
+  await waitForStatus(target, (s) => s.mark.offset === 2);
   target.faults.statements.answers.open();
   expect((await answer).rowCount).toBe(1);
 });
