--- a/standin/target/wire.ts
+++ b/standin/target/wire.ts
@@ -4,27 +4,27 @@
 
 const writer = new Writer();
 
-/** `AuthenticationOk`. */
+/** Encodes `AuthenticationOk`. */
 export function encodeAuthenticationOk(): Buffer {
   return writer.addInt32(0).flush(0x52);
 }
 
-/** `ParameterStatus`. */
+/** Encodes `ParameterStatus`. */
 export function encodeParameterStatus(name: string, value: string): Buffer {
   return writer.addCString(name).addCString(value).flush(0x53);
 }
 
-/** `BackendKeyData`. */
+/** Encodes `BackendKeyData`. */
 export function encodeKeyData(processId: number): Buffer {
   return writer.addInt32(processId).addInt32(0).flush(0x4b);
 }
 
-/** `ReadyForQuery` with the transaction's status. */
+/** Encodes `ReadyForQuery` with the transaction's status. */
 export function encodeReady(status: "I" | "T" | "E"): Buffer {
   return writer.addString(status).flush(0x5a);
 }
 
-/** `RowDescription`; every field is in text format. */
+/** Encodes `RowDescription`; every field is in text format. */
 export function encodeRowDescription(fields: readonly Field[]): Buffer {
   writer.addInt16(fields.length);
   for (const { name, type } of fields) {
@@ -34,7 +34,7 @@
   return writer.flush(0x54);
 }
 
-/** `DataRow` in text format. */
+/** Encodes `DataRow` in text format. */
 export function encodeDataRow(row: Row): Buffer {
   writer.addInt16(row.length);
   for (const value of row) {
@@ -44,19 +44,19 @@
   return writer.flush(0x44);
 }
 
-/** `CommandComplete`. */
+/** Encodes `CommandComplete`. */
 export function encodeComplete(tag: string): Buffer {
   return writer.addCString(tag).flush(0x43);
 }
 
-/** `ParameterDescription`. */
+/** Encodes `ParameterDescription`. */
 export function encodeParameters(oids: readonly number[]): Buffer {
   writer.addInt16(oids.length);
   for (const oid of oids) writer.addInt32(oid);
   return writer.flush(0x74);
 }
 
-/** `ErrorResponse`. */
+/** Encodes `ErrorResponse`. */
 export function encodeError(severity: "ERROR" | "FATAL", state: string, message: string): Buffer {
   for (const [code, text] of Object.entries({ S: severity, V: severity, C: state, M: message })) {
     writer.addString(code).addCString(text);
@@ -73,7 +73,7 @@
   portalSuspended: 0x73,
 } as const;
 
-/** A message without a body. */
+/** Encodes a message without a body. */
 export function encodeEmptyMessage(name: keyof typeof emptyMessageCodes): Buffer {
   return writer.flush(emptyMessageCodes[name]);
 }
