--- a/standin/target/sql/engine.ts
+++ b/standin/target/sql/engine.ts
@@ -1,5 +1,5 @@
 import type { FuncCall, Node } from "libpg-query";
-import { makeUnsupported } from "../error.js";
+import { createUnsupportedError } from "../error.js";
 import type { Transaction } from "../transaction.js";
 import { readName } from "./ast.js";
 import { runCreate, runDrop } from "./define.js";
@@ -10,7 +10,7 @@
 import type { StatementContext } from "./scope.js";
 import { describeSelect, runSelect } from "./select.js";
 
-/** Runs one statement on data within a transaction. */
+/** Runs one data statement within a transaction. */
 export function runStatement(
   node: Node,
   transaction: Transaction,
@@ -22,7 +22,7 @@
   if ("DeleteStmt" in node) return runDelete(node.DeleteStmt, transaction, context);
   if ("CreateStmt" in node) return runCreate(node.CreateStmt, transaction);
   if ("DropStmt" in node) return runDrop(node.DropStmt, transaction);
-  throw makeUnsupported(`statements of type ${Object.keys(node).join()}`);
+  throw createUnsupportedError(`statements of type ${Object.keys(node).join()}`);
 }
 
 /** Whether a statement may change data: everything but a SELECT without a locking clause. */
@@ -30,7 +30,7 @@
   return !("SelectStmt" in node) || node.SelectStmt.lockingClause !== undefined;
 }
 
-/** Describes a statement's answer without running it; undefined when it answers no rows. */
+/** Describes a statement's result without running it; undefined if it returns no rows. */
 export function describeStatement(
   node: Node,
   transaction: Transaction,
@@ -64,8 +64,8 @@
   return value !== undefined && "FuncCall" in value ? value.FuncCall : undefined;
 }
 
-/** Finds how long a statement sleeps: the seconds of its `pg_sleep`, in milliseconds. */
-export function findSleep(node: Node, context: StatementContext): number {
+/** Returns how long a statement's `pg_sleep` takes, in milliseconds; 0 without one. */
+export function getSleepMs(node: Node, context: StatementContext): number {
   const call = findCall(node);
   if (call === undefined || readName(call.funcname) !== "pg_sleep") return 0;
   const seconds = resolveValue(call.args?.[0], { context, columns: [], alias: "", row: [] });
--- a/standin/target/sql/expression.ts
+++ b/standin/target/sql/expression.ts
@@ -1,5 +1,5 @@
 import type { A_Const, A_Expr, BoolExpr, CaseExpr, FuncCall, Node, NullTest } from "libpg-query";
-import { makeUnsupported, SqlError } from "../error.js";
+import { createUnsupportedError, SqlError } from "../error.js";
 import { castValue, type Value } from "../value.js";
 import { readName, readString, readType } from "./ast.js";
 import { isAggregate, runAggregate, runFunction } from "./function.js";
@@ -29,7 +29,7 @@
   }
   if ("CaseExpr" in node) return resolveCase(node.CaseExpr, scope);
   if ("SQLValueFunction" in node) return scope.context.now;
-  throw makeUnsupported(`expressions of type ${Object.keys(node).join()}`);
+  throw createUnsupportedError(`expressions of type ${Object.keys(node).join()}`);
 }
 
 function resolveAll(nodes: readonly Node[] | undefined, scope: Scope): readonly Value[] {
@@ -64,7 +64,7 @@
   if (kind === "AEXPR_LIKE" || kind === "AEXPR_ILIKE") return isMatch(left, resolveRight(), name);
   if (kind === "AEXPR_DISTINCT") return left !== resolveRight();
   if (kind === "AEXPR_NOT_DISTINCT") return left === resolveRight();
-  throw makeUnsupported(`operators of kind ${kind ?? "unknown"}`);
+  throw createUnsupportedError(`operators of kind ${kind ?? "unknown"}`);
 }
 
 function resolveRange(left: Value, bounds: readonly Node[], scope: Scope): Value {
@@ -88,7 +88,7 @@
   return results.includes(null) ? null : !isWanted;
 }
 
-/** `= ANY($1)` with an array in text format, as client libraries write it. */
+/** Evaluates `= ANY($1)` over an array in text format, as client libraries send it. */
 function resolveAny(left: Value, array: Value, name: string): Value {
   if (array === null) return null;
   const body = String(array).replace(/^\{|\}$/g, "");
@@ -102,12 +102,12 @@
     const value = resolveValue(args[0], scope);
     return value === null ? null : !isTrue(value);
   }
-  const decisive = expression.boolop === "OR_EXPR";
-  let result: Value = !decisive;
+  const decidingValue = expression.boolop === "OR_EXPR";
+  let result: Value = !decidingValue;
   for (const arg of args) {
     const value = resolveValue(arg, scope);
     if (value === null) result = null;
-    else if (isTrue(value) === decisive) return decisive;
+    else if (isTrue(value) === decidingValue) return decidingValue;
   }
   return result;
 }
@@ -119,11 +119,11 @@
 
 function resolveCase(expression: CaseExpr, scope: Scope): Value {
   const subject = expression.arg === undefined ? undefined : resolveValue(expression.arg, scope);
-  for (const arm of expression.args ?? []) {
-    if (!("CaseWhen" in arm)) continue;
-    const test = resolveValue(arm.CaseWhen.expr, scope);
+  for (const branch of expression.args ?? []) {
+    if (!("CaseWhen" in branch)) continue;
+    const test = resolveValue(branch.CaseWhen.expr, scope);
     const isMet = subject === undefined ? isTrue(test) : applyOperator("=", subject, test) === true;
-    if (isMet) return resolveValue(arm.CaseWhen.result, scope);
+    if (isMet) return resolveValue(branch.CaseWhen.result, scope);
   }
   return resolveValue(expression.defresult, scope);
 }
--- a/standin/target/sql/lookup.ts
+++ b/standin/target/sql/lookup.ts
@@ -7,19 +7,19 @@
 import { isTrue } from "./operator.js";
 import type { Scope, StatementContext } from "./scope.js";
 
-/** A row that a statement found, with its id. */
-export type Found = readonly [id: number, row: Row];
+/** A row that matches a condition, with its id. */
+export type MatchedRow = readonly [id: number, row: Row];
 
-/** Lists the rows of a table for which a condition holds, through a unique index where one fits. */
+/** Lists the rows that meet a condition, using a unique index where the condition allows it. */
 export function listMatches(
   view: TableView,
   condition: Node | undefined,
   context: StatementContext,
   alias: string,
-): readonly Found[] {
+): readonly MatchedRow[] {
   const scope: Scope = { context, columns: view.definition.columns, alias, row: [] };
   const candidates = findByKey(view, condition, scope) ?? view.list();
-  const found: Found[] = [];
+  const found: MatchedRow[] = [];
   for (const [id, row] of candidates) {
     if (condition === undefined || isTrue(resolveValue(condition, { ...scope, row }))) {
       found.push([id, row]);
@@ -32,15 +32,15 @@
   view: TableView,
   condition: Node | undefined,
   scope: Scope,
-): readonly Found[] | undefined {
+): readonly MatchedRow[] | undefined {
   if (condition === undefined) return undefined;
   const equals = new Map<string, Node>();
   collectEquals(condition, equals);
   const { columns, uniques } = view.definition;
-  const place = uniques.findIndex((u) =>
+  const position = uniques.findIndex((u) =>
     u.columns.every((c) => equals.has(columns[c]?.name ?? "")),
   );
-  const unique = uniques[place];
+  const unique = uniques[position];
   if (unique === undefined) return undefined;
   const values = unique.columns.map((c): Value => {
     const column = columns[c];
@@ -48,7 +48,7 @@
     return castValue(resolveValue(equals.get(column.name), scope), column.type);
   });
   if (values.includes(null)) return [];
-  const id = view.findId(place, encodeKey(values));
+  const id = view.findId(position, encodeKey(values));
   const row = id === undefined ? undefined : view.get(id);
   return id === undefined || row === undefined ? [] : [[id, row]];
 }
--- a/standin/target/transaction.ts
+++ b/standin/target/transaction.ts
@@ -3,25 +3,25 @@
 import { SqlError } from "./error.js";
 import { LockOwner, LockedError } from "./locks.js";
 import { Table, type TableDefinition } from "./table.js";
-import { makeConflict, TableView } from "./view.js";
+import { createConflictError, TableView } from "./view.js";
 
-/** A transaction's private changes until it commits. */
+/** An open transaction and its uncommitted changes. */
 export class Transaction {
   readonly owner = new LockOwner();
   private views = new Map<string, TableView>();
   private created = new Map<string, Table>();
   private dropped = new Set<string>();
-  /** Tells apart the times in which the target was primary; set by the first write. */
+  /** Identifies the target's role period in which the first write ran; undefined before it. */
   epoch: number | undefined;
-  /** Set for the isolation levels above read committed: where the log ended at the beginning. */
-  snapshot: number | undefined;
+  /** The log's offset at the start, for isolation levels above read committed. */
+  snapshotOffset: number | undefined;
 
   constructor(
     private readonly database: Database,
     readonly startOffset: number,
   ) {}
 
-  /** Runs a statement. When it has to wait for another transaction, its changes are undone. */
+  /** Runs a statement; its changes are undone if it has to wait for another transaction. */
   attempt<T>(run: () => T): T {
     const { views, created, dropped } = this;
     this.views = new Map([...views].map(([name, view]) => [name, view.copy()]));
@@ -35,12 +35,12 @@
     }
   }
 
-  /** Waits for the end of the transaction that holds a lock. */
+  /** Waits for the transaction that holds a lock to end; fails on a deadlock. */
   wait(holder: LockOwner): Promise<void> {
     return this.database.locks.wait(this.owner, holder);
   }
 
-  /** Releases its locks, after commit and rollback alike. */
+  /** Releases the transaction's locks, after both commit and rollback. */
   end(): void {
     this.database.locks.release(this.owner);
   }
@@ -52,10 +52,10 @@
   find(name: string): TableView | undefined {
     const table = this.created.get(name) ?? this.findCommitted(name);
     if (table === undefined) return undefined;
-    const known = this.views.get(name);
-    if (known?.table === table) return known;
-    const { owner, snapshot } = this;
-    const view = new TableView(table, { locks: this.database.locks, owner, snapshot });
+    const existing = this.views.get(name);
+    if (existing?.table === table) return existing;
+    const { owner, snapshotOffset } = this;
+    const view = new TableView(table, { locks: this.database.locks, owner, snapshotOffset });
     this.views.set(name, view);
     return view;
   }
@@ -67,24 +67,24 @@
   }
 
   create(definition: TableDefinition): void {
-    this.database.locks.take(this.owner, `table ${definition.name}`);
+    this.database.locks.acquire(this.owner, `table ${definition.name}`);
     this.created.set(definition.name, new Table(definition));
   }
 
   drop(name: string): void {
-    this.database.locks.take(this.owner, `table ${name}`);
+    this.database.locks.acquire(this.owner, `table ${name}`);
     if (!this.created.delete(name)) this.dropped.add(name);
     this.views.delete(name);
   }
 
-  /** Collects all changes for one log record, or fails on a conflict. */
+  /** Collects all changes for one log record; fails on a conflict. */
   collect(): readonly Change[] {
     for (const [name, view] of this.views) {
       if (this.created.get(name) === view.table) continue;
-      if (this.database.find(name) !== view.table) throw makeConflict(name);
+      if (this.database.find(name) !== view.table) throw createConflictError(name);
     }
     for (const name of this.created.keys()) {
-      if (this.findCommitted(name) !== undefined) throw makeConflict(name);
+      if (this.findCommitted(name) !== undefined) throw createConflictError(name);
     }
     return [
       ...[...this.dropped].map((table): Change => ({ type: "dropTable", table })),
--- a/test/soak/checks.test.ts
+++ b/test/soak/checks.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "@jest/globals";
-import { checkOwnRead, checkStored, Ledger, type Fate } from "../../standin/soak/ledger.js";
+import { checkOwnRead, checkStored, Ledger, type WriteOutcome } from "../../standin/soak/ledger.js";
 import { describeFault, planRound } from "../../standin/soak/plan.js";
 import { Trace } from "../../standin/soak/trace.js";
 
-function makeBooking(fate: Fate, counts: { confirmed?: number; unsure?: number } = {}) {
+function makeBooking(fate: WriteOutcome, counts: { confirmed?: number; unsure?: number } = {}) {
   const base = { id: "b1", session: "s1", group: "g", table: "t", unit: "b1" };
   return { ...base, fate, confirmed: 0, unsure: 0, ...counts };
 }
@@ -59,11 +59,11 @@
 
 test("a trace lists faults, and statements about an id with what the caller heard", () => {
   const trace = new Trace();
-  trace.note("s1", "asks: INSERT b1");
-  trace.note("s2", "asks: SELECT");
-  trace.note("fault", "begins");
-  trace.note("s1", "hears INSERT");
-  expect(trace.list(["b1"]).map(({ what }) => what)).toEqual([
+  trace.record("s1", "asks: INSERT b1");
+  trace.record("s2", "asks: SELECT");
+  trace.record("fault", "begins");
+  trace.record("s1", "hears INSERT");
+  expect(trace.list(["b1"]).map(({ text: what }) => what)).toEqual([
     "asks: INSERT b1",
     "begins",
     "hears INSERT",
@@ -72,8 +72,9 @@
 
 test("a ledger counts fates and finds rows by id", () => {
   const ledger = new Ledger();
-  ledger.add({ id: "b1", session: "s1", group: "g", table: "t", unit: "b1" }).fate = "landed";
+  ledger.add({ id: "b1", session: "s1", group: "g", table: "t", transactionId: "b1" }).outcome =
+    "landed";
   expect(ledger.count()).toEqual({ landed: 1, absent: 0, unknown: 0 });
-  expect(ledger.find("b1")?.fate).toBe("landed");
+  expect(ledger.find("b1")?.outcome).toBe("landed");
   expect(ledger.list("g", "t")).toHaveLength(1);
 });
