--- a/standin/direct/group.ts
+++ b/standin/direct/group.ts
@@ -76,7 +76,7 @@
 }
 
 /** The position of a member's log. */
-export function formatEnd(member: StandinMember): string {
+export function formatLogPosition(member: StandinMember): string {
   const last = member.log.at(-1);
   return `${last?.term ?? member.term}.${last?.number ?? 0}`;
 }
--- a/standin/direct/target.ts
+++ b/standin/direct/target.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server, type Socket } from "node:net";
 import type { Address, Disposable } from "../../src/model/index.js";
-import { formatEnd, type StandinLog, type StandinMember } from "./group.js";
+import { formatLogPosition, type StandinLog, type StandinMember } from "./group.js";
 
 /** A statement that a target ran. */
 export interface StandinRun {
@@ -160,7 +160,7 @@
 
   private formatReady(line: Line): string {
     const state = line.transaction === undefined ? "I" : line.hasFailed ? "E" : "T";
-    return `READY ${state} ${formatEnd(this.member)}`;
+    return `READY ${state} ${formatLogPosition(this.member)}`;
   }
 
   private async runQuery(line: Line, query: string): Promise<Answer | undefined> {
@@ -282,7 +282,7 @@
 
   private describe(): string {
     const { role, term, heldTerm } = this.member;
-    return `${role} ${term} ${formatEnd(this.member)} ${heldTerm} 0 ${this.running} ${this.sockets.size}`;
+    return `${role} ${term} ${formatLogPosition(this.member)} ${heldTerm} 0 ${this.running} ${this.sockets.size}`;
   }
 
   private complete(line: Line, signature: string, ...rows: readonly string[]): Answer {
--- a/standin/link.ts
+++ b/standin/link.ts
@@ -60,7 +60,7 @@
   }
 
   /** Lets every connection of now go silent for good; new ones work. */
-  forgetAll(): void {
+  stallAll(): void {
     for (const pair of this.pairs) {
       pair.isForgotten = true;
       this.updatePair(pair);
--- a/standin/platform/faults.ts
+++ b/standin/platform/faults.ts
@@ -14,7 +14,7 @@
   }
 
   /** Takes the fate of the answer to the write that has just taken effect. */
-  takeLostAnswer(): boolean {
+  consumeLostAnswer(): boolean {
     if (this.lostAnswers === 0) return false;
     this.lostAnswers -= 1;
     return true;
--- a/standin/platform/index.ts
+++ b/standin/platform/index.ts
@@ -1,3 +1,3 @@
 export { PlatformFaults } from "./faults.js";
-export { Objects, type Update } from "./objects.js";
+export { VersionedObjects, type UpdateResult } from "./objects.js";
 export { type CallCounts, StandinPlatform, type StandinPlatformOptions } from "./server.js";
--- a/standin/platform/objects.ts
+++ b/standin/platform/objects.ts
@@ -1,7 +1,7 @@
 import type { Json, StoredObject, StoreChange } from "../../src/model/index.js";
 
 /** The outcome of a conditional update. */
-export type Update =
+export type UpdateResult =
   { readonly type: "written"; readonly object: StoredObject } | { readonly type: "conflict" };
 
 interface Entry {
@@ -11,7 +11,7 @@
 }
 
 /** The objects of the stand-in platform, each change under the next version of all. */
-export class Objects {
+export class VersionedObjects {
   private readonly entries = new Map<string, Entry>();
   private readonly listeners = new Set<() => void>();
   private latest = 0;
@@ -32,11 +32,11 @@
   }
 
   /** Writes if the object still has `version`; 0 means that it must not exist. */
-  put(kind: string, name: string, value: Json, version: number): Update {
+  put(kind: string, name: string, value: Json, version: number): UpdateResult {
     return this.update(kind, name, value, version, false);
   }
 
-  remove(kind: string, name: string, version: number): Update {
+  remove(kind: string, name: string, version: number): UpdateResult {
     if (this.get(kind, name) === undefined) return { type: "conflict" };
     return this.update(kind, name, null, version, true);
   }
@@ -63,7 +63,7 @@
     value: Json,
     version: number,
     isRemoved: boolean,
-  ): Update {
+  ): UpdateResult {
     if ((this.get(kind, name)?.version ?? 0) !== version) return { type: "conflict" };
     this.latest += 1;
     const object = { kind, name, version: this.latest, value };
--- a/standin/platform/server.ts
+++ b/standin/platform/server.ts
@@ -4,7 +4,7 @@
 import type { Address, Group, Json, Vm } from "../../src/model/index.js";
 import { PlatformFaults } from "./faults.js";
 import { LaggingList } from "./list.js";
-import { Objects, type Update } from "./objects.js";
+import { VersionedObjects, type UpdateResult } from "./objects.js";
 
 /** Where the stand-in platform listens. */
 export interface StandinPlatformOptions {
@@ -33,7 +33,7 @@
 
 /** The platform's object API in this process, over HTTP and JSON. */
 export class StandinPlatform {
-  readonly objects = new Objects();
+  readonly objects = new VersionedObjects();
   readonly faults = new PlatformFaults();
   private readonly vms = new LaggingList();
   private groups: readonly Group[] = [];
@@ -114,7 +114,7 @@
       const reply = await this.handleRequest(request);
       if (this.faults.slowMs > 0) await sleep(this.faults.slowMs);
       // The change stands already; a client that gets no answer must find that out by reading.
-      if (reply.isWrite === true && this.faults.takeLostAnswer()) response.destroy();
+      if (reply.isWrite === true && this.faults.consumeLostAnswer()) response.destroy();
       else sendReply(response, reply);
     } catch (error) {
       if (error instanceof DroppedWatch) response.destroy();
@@ -226,7 +226,7 @@
 
 class DroppedWatch extends Error {}
 
-function toReply(update: Update): Reply {
+function toReply(update: UpdateResult): Reply {
   if (update.type === "conflict") return { status: 409, body: {} };
   return { status: 200, body: update.object, isWrite: true };
 }
--- a/standin/processes/children.ts
+++ b/standin/processes/children.ts
@@ -10,7 +10,7 @@
 }
 
 /** How a process ended. */
-export interface Ending {
+export interface ProcessExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
 }
@@ -23,9 +23,9 @@
 /** A started program; signals go to its process id alone. */
 export class Child {
   readonly lines: LogLine[] = [];
-  readonly ended: Promise<Ending>;
+  readonly ended: Promise<ProcessExit>;
   private readonly listeners = new Set<Listener>();
-  private ending: Ending | undefined;
+  private ending: ProcessExit | undefined;
 
   constructor(
     readonly name: string,
--- a/standin/soak/apply.ts
+++ b/standin/soak/apply.ts
@@ -1,7 +1,7 @@
 import type { Fleet, FleetMember } from "../fleet.js";
 import type { FaultyLink } from "../link.js";
 import type { StandinTarget } from "../target/index.js";
-import type { Aim, Fault, Way } from "./plan.js";
+import type { TargetSelector, Fault, CutDirection } from "./plan.js";
 import { findPrimary } from "./verify.js";
 
 /** Ends a fault; resolves when what it struck runs again. */
@@ -13,13 +13,13 @@
 }
 
 /** Names the machine that a fault strikes now, such as `group-1-2`, `vm-3` or `platform`. */
-export function findStruck(fleet: Fleet, fault: Fault): string {
+export function getAffectedName(fleet: Fleet, fault: Fault): string {
   if ("vm" in fault) return getMember(fleet, fault.vm).vm.name;
   return "target" in fault ? getTarget(fleet, fault.target).name : "platform";
 }
 
 /** Switches a fault on and hands back what ends it. */
-export async function beginFault(fleet: Fleet, fault: Fault): Promise<EndFault> {
+export async function startFault(fleet: Fleet, fault: Fault): Promise<EndFault> {
   const { platform } = fleet.cluster;
   switch (fault.type) {
     case "killTarget": {
@@ -53,7 +53,7 @@
     case "cutPeer":
       return cutLink(getMember(fleet, fault.vm).link, fault.way);
     case "forgetPeer":
-      getMember(fleet, fault.vm).link.forgetAll();
+      getMember(fleet, fault.vm).link.stallAll();
       return endWith(() => undefined);
     case "killProxy": {
       const member = getMember(fleet, fault.vm);
@@ -93,7 +93,7 @@
   };
 }
 
-function cutLink(link: FaultyLink, way: Way): EndFault {
+function cutLink(link: FaultyLink, way: CutDirection): EndFault {
   link.setFlow(way === "back" ? "pass" : "hold", way === "there" ? "pass" : "hold");
   return endWith(() => {
     link.setFlow("pass", "pass");
@@ -107,7 +107,7 @@
   };
 }
 
-function getTarget(fleet: Fleet, aim: Aim): StandinTarget {
+function getTarget(fleet: Fleet, aim: TargetSelector): StandinTarget {
   const target =
     aim.type === "index"
       ? listTargets(fleet)[aim.index]
@@ -116,7 +116,7 @@
   return target;
 }
 
-function getLink(fleet: Fleet, aim: Aim): FaultyLink {
+function getLink(fleet: Fleet, aim: TargetSelector): FaultyLink {
   const { name } = getTarget(fleet, aim);
   const link = fleet.targetLinks.get(name);
   if (link === undefined) throw new Error(`no link to ${name}`);
--- a/standin/soak/caller.ts
+++ b/standin/soak/caller.ts
@@ -3,7 +3,7 @@
 import type { Address } from "../../src/model/index.js";
 
 /** What a caller learnt of one statement. A broken or silent connection says nothing. */
-export type Heard =
+export type StatementOutcome =
   | { readonly type: "answered"; readonly tag: string; readonly rows: readonly Row[] }
   | { readonly type: "notRun"; readonly why: string }
   | { readonly type: "mayHaveRun"; readonly why: string }
@@ -66,18 +66,18 @@
   }
 
   /** Runs a statement; a caller whose patience ends goes away, knowing nothing. */
-  async ask({ values, ...statement }: Statement): Promise<Heard> {
+  async runStatement({ values, ...statement }: Statement): Promise<StatementOutcome> {
     if (this.broken !== undefined) return { type: "notRun", why: `never sent: ${this.broken}` };
     let timer: NodeJS.Timeout | undefined;
-    const gaveUp = new Promise<Heard>((resolve) => {
+    const gaveUp = new Promise<StatementOutcome>((resolve) => {
       timer = setTimeout(() => {
-        this.drop();
+        this.destroy();
         resolve({ type: "broken", why: `no answer within ${patienceMs} ms` });
       }, patienceMs);
     });
     const query = { ...statement, ...(values === undefined ? {} : { values: [...values] }) };
     const heard = this.client.query<Row>(query).then(
-      (result): Heard => ({ type: "answered", tag: result.command, rows: result.rows }),
+      (result): StatementOutcome => ({ type: "answered", tag: result.command, rows: result.rows }),
       (error: unknown) => classifyError(error),
     );
     try {
@@ -94,7 +94,7 @@
   }
 
   /** Goes away without a farewell, as a caller that dies does. */
-  drop(): void {
+  destroy(): void {
     this.broken ??= "dropped";
     const { stream } = (this.client as unknown as RawClient).connection;
     stream.destroy();
@@ -118,7 +118,7 @@
 }
 
 /** Sorts an error by the verdict in its detail; one that no server sent says nothing of the request. */
-function classifyError(error: unknown): Heard {
+function classifyError(error: unknown): StatementOutcome {
   if (!(error instanceof pg.DatabaseError)) return { type: "broken", why: String(error) };
   const { code = "", detail = "", message } = error;
   const why = `${code} ${message} ${detail}`.trim();
--- a/standin/soak/context.ts
+++ b/standin/soak/context.ts
@@ -12,5 +12,5 @@
   readonly counts: Counts;
   /** Proxies that leave gracefully and were not killed. */
   readonly drained: Set<Proxy>;
-  readonly breach: (breach: Breach) => void;
+  readonly reportBreach: (breach: Breach) => void;
 }
--- a/standin/soak/ledger.ts
+++ b/standin/soak/ledger.ts
@@ -1,5 +1,5 @@
 /** What must be found of a write: it is there, it is not, or either. */
-export type Fate = "landed" | "absent" | "unknown";
+export type WriteOutcome = "landed" | "absent" | "unknown";
 
 /** One row that a caller wrote, with what its later statements must have done to it. */
 export interface Booking {
@@ -8,11 +8,11 @@
   readonly group: string;
   readonly table: string;
   /** Shared by rows of one transaction: all of them are there or none is. */
-  readonly unit: string;
-  fate: Fate;
+  readonly transactionId: string;
+  outcome: WriteOutcome;
   /** Confirmations that were answered, and those that may have run. */
   confirmed: number;
-  unsure: number;
+  uncertain: number;
 }
 
 /** What a target holds of a row. */
@@ -23,8 +23,8 @@
 
 /** What one check found broken; `parts` are what its trace is about. */
 export interface Breach {
-  readonly what: string;
-  readonly parts: readonly string[];
+  readonly description: string;
+  readonly subjects: readonly string[];
 }
 
 /** Every row that callers tried to write. */
@@ -32,8 +32,8 @@
   private readonly bookings = new Map<string, Booking>();
   private readonly tables = new Map<string, Booking[]>();
 
-  add(booking: Omit<Booking, "fate" | "confirmed" | "unsure">): Booking {
-    const added: Booking = { ...booking, fate: "unknown", confirmed: 0, unsure: 0 };
+  add(booking: Omit<Booking, "outcome" | "confirmed" | "uncertain">): Booking {
+    const added: Booking = { ...booking, outcome: "unknown", confirmed: 0, uncertain: 0 };
     this.bookings.set(booking.id, added);
     const name = buildTableName(booking.group, booking.table);
     const listed = this.tables.get(name);
@@ -50,9 +50,9 @@
     return this.bookings.get(id);
   }
 
-  count(): Readonly<Record<Fate, number>> {
+  count(): Readonly<Record<WriteOutcome, number>> {
     const counts = { landed: 0, absent: 0, unknown: 0 };
-    for (const { fate } of this.bookings.values()) counts[fate] += 1;
+    for (const { outcome: fate } of this.bookings.values()) counts[fate] += 1;
     return counts;
   }
 }
@@ -69,17 +69,23 @@
 }
 
 function checkBooking(booking: Booking, rows: readonly StoredBooking[]): readonly Breach[] {
-  const { id, fate, confirmed, unsure } = booking;
+  const { id, outcome: fate, confirmed, uncertain: unsure } = booking;
   const parts = [id];
   const [row] = rows;
-  if (rows.length > 1) return [{ what: `${id} is there ${rows.length} times`, parts }];
+  if (rows.length > 1)
+    return [{ description: `${id} is there ${rows.length} times`, subjects: parts }];
   if (row === undefined) {
-    return fate === "landed" ? [{ what: `${id} was answered and is lost`, parts }] : [];
+    return fate === "landed"
+      ? [{ description: `${id} was answered and is lost`, subjects: parts }]
+      : [];
   }
-  if (fate === "absent") return [{ what: `${id} was not run and is there`, parts }];
+  if (fate === "absent")
+    return [{ description: `${id} was not run and is there`, subjects: parts }];
   if (row.confirmed >= confirmed && row.confirmed <= confirmed + unsure) return [];
   const expected = unsure === 0 ? `${confirmed}` : `${confirmed} to ${confirmed + unsure}`;
-  return [{ what: `${id} is confirmed ${row.confirmed} times, not ${expected}`, parts }];
+  return [
+    { description: `${id} is confirmed ${row.confirmed} times, not ${expected}`, subjects: parts },
+  ];
 }
 
 function checkUnits(
@@ -87,12 +93,12 @@
   rows: ReadonlyMap<string, readonly StoredBooking[]>,
 ): readonly Breach[] {
   const found = new Map<string, Set<boolean>>();
-  for (const { id, unit } of bookings) {
+  for (const { id, transactionId: unit } of bookings) {
     found.set(unit, (found.get(unit) ?? new Set()).add(rows.has(id)));
   }
   return [...found]
     .filter(([, states]) => states.size > 1)
-    .map(([unit]) => ({ what: `transaction ${unit} is there in part`, parts: [unit] }));
+    .map(([id]) => ({ description: `transaction ${id} is there in part`, subjects: [id] }));
 }
 
 /** Holds a session's read of its own rows against what it was told before it asked. */
@@ -104,13 +110,16 @@
   const rows = new Map(read.map((row) => [row.id, row]));
   const missing = known.flatMap(({ id, confirmed }): Breach[] => {
     const row = rows.get(id);
-    if (row === undefined) return [{ what: `a read misses its own ${id}`, parts: [id] }];
+    if (row === undefined) return [{ description: `a read misses its own ${id}`, subjects: [id] }];
     if (row.confirmed >= confirmed) return [];
-    return [{ what: `a read misses a confirmation of its own ${id}`, parts: [id] }];
+    return [{ description: `a read misses a confirmation of its own ${id}`, subjects: [id] }];
   });
   const ghosts = read
     .filter((row) => isAbsent(row.id))
-    .map(({ id }): Breach => ({ what: `a read shows ${id}, which was not run`, parts: [id] }));
+    .map(({ id }): Breach => ({
+      description: `a read shows ${id}, which was not run`,
+      subjects: [id],
+    }));
   return [...missing, ...ghosts];
 }
 
--- a/standin/soak/main.ts
+++ b/standin/soak/main.ts
@@ -38,7 +38,7 @@
   };
   const report = await runSoak({
     seed,
-    goesOn,
+    shouldContinue: goesOn,
     onRound,
     logs,
     ...(groups === undefined ? {} : { groups }),
--- a/standin/soak/operators.ts
+++ b/standin/soak/operators.ts
@@ -6,7 +6,7 @@
 import type { Proxy } from "../../src/proxy/index.js";
 import { createSystemClock, createSystemRandom } from "../../src/system/index.js";
 import type { SoakContext } from "./context.js";
-import type { Draw } from "./random.js";
+import type { RandomStream } from "./random.js";
 
 const sampleMs = 40;
 const spreadTries = 200;
@@ -37,13 +37,13 @@
   }
 
   /** Both operators change their rules at once, each from what it read. */
-  async edit(draw: Draw): Promise<void> {
-    await sleep(draw.whole(0, 1500));
+  async editRules(draw: RandomStream): Promise<void> {
+    await sleep(draw.nextInteger(0, 1500));
     await Promise.all(operatorNames.map((name) => this.editOne(name)));
   }
 
   /** Checks that what was accepted is in force on every proxy, and nothing else came over it. */
-  async checkSpread(): Promise<void> {
+  async checkRollout(): Promise<void> {
     const { members } = this.context.fleet;
     for (let i = 0; i < spreadTries; i += 1) {
       if (members.every(({ proxy }) => proxy.report().revision >= this.greatest)) break;
@@ -72,9 +72,9 @@
     const rules = [...current.rules.filter((r) => r.name !== name), buildRule(name, value)];
     const draft: Draft = { teams: current.teams, rules: sortRules(rules) };
     const change = { changeId: `${name}-${value}`, draft };
-    this.context.trace.note(name, `sets ${value} from revision ${current.revision}`);
+    this.context.trace.record(name, `sets ${value} from revision ${current.revision}`);
     const result = await editor.apply(change, current.revision);
-    this.context.trace.note(name, JSON.stringify(result));
+    this.context.trace.record(name, JSON.stringify(result));
     this.context.counts.add("edits", result.type);
     switch (result.type) {
       case "applied":
@@ -116,7 +116,7 @@
   }
 
   private breach(what: string): void {
-    this.context.breach({ what, parts: [...operatorNames, "check"] });
+    this.context.reportBreach({ description: what, subjects: [...operatorNames, "check"] });
   }
 }
 
--- a/standin/soak/plan.ts
+++ b/standin/soak/plan.ts
@@ -1,25 +1,25 @@
-import { createDraw, type Draw } from "./random.js";
+import { createRandomStream, type RandomStream } from "./random.js";
 
 /** Which target: an index counted over all groups, or whoever is primary of a group by then. */
-export type Aim =
+export type TargetSelector =
   | { readonly type: "index"; readonly index: number }
   | { readonly type: "primary"; readonly group: number };
 
 /** One fault of the plan. `vm` is an index. */
 export type Fault =
-  | { readonly type: "killTarget"; readonly target: Aim }
-  | { readonly type: "freezeTarget"; readonly target: Aim }
-  | { readonly type: "silenceTarget"; readonly target: Aim }
-  | { readonly type: "slowTarget"; readonly target: Aim; readonly factor: number }
+  | { readonly type: "killTarget"; readonly target: TargetSelector }
+  | { readonly type: "freezeTarget"; readonly target: TargetSelector }
+  | { readonly type: "silenceTarget"; readonly target: TargetSelector }
+  | { readonly type: "slowTarget"; readonly target: TargetSelector; readonly factor: number }
   | {
       readonly type: "loseCommitAnswers";
-      readonly target: Aim;
+      readonly target: TargetSelector;
       readonly count: number;
       readonly how: "break" | "silence";
     }
-  | { readonly type: "cutTarget"; readonly target: Aim; readonly way: Way }
-  | { readonly type: "cutReplication"; readonly target: Aim }
-  | { readonly type: "cutPeer"; readonly vm: number; readonly way: Way }
+  | { readonly type: "cutTarget"; readonly target: TargetSelector; readonly way: CutDirection }
+  | { readonly type: "cutReplication"; readonly target: TargetSelector }
+  | { readonly type: "cutPeer"; readonly vm: number; readonly way: CutDirection }
   | { readonly type: "forgetPeer"; readonly vm: number }
   | { readonly type: "killProxy"; readonly vm: number }
   | { readonly type: "drainProxy"; readonly vm: number }
@@ -29,7 +29,7 @@
   | { readonly type: "dropWatches" };
 
 /** Which way of a link is cut: towards the address, back from it, or both. */
-export type Way = "there" | "back" | "both";
+export type CutDirection = "there" | "back" | "both";
 
 /** A fault with its times, in milliseconds since the round's beginning. */
 export interface PlannedFault {
@@ -83,27 +83,35 @@
   sizes: PlanSizes,
   types = faultTypes,
 ): RoundPlan {
-  const draw = createDraw(seed, round * roundStreams);
+  const draw = createRandomStream(seed, round * roundStreams);
   const count = draw.chance(pairShare) ? 2 : 1;
   const faults = Array.from({ length: count }, () => drawTimes(draw, sizes, types));
   const last = Math.max(...faults.map((f) => f.toMs));
   return {
     faults,
-    lagMs: Array.from({ length: sizes.targets }, () => draw.whole(0, maxLagMs)),
-    workMs: last + draw.whole(200, 800),
+    lagMs: Array.from({ length: sizes.targets }, () => draw.nextInteger(0, maxLagMs)),
+    workMs: last + draw.nextInteger(200, 800),
   };
 }
 
-function drawTimes(draw: Draw, sizes: PlanSizes, types: readonly Fault["type"][]): PlannedFault {
+function drawTimes(
+  draw: RandomStream,
+  sizes: PlanSizes,
+  types: readonly Fault["type"][],
+): PlannedFault {
   const type = draw.pick(types);
-  const fromMs = draw.whole(200, 900);
-  return { fault: drawFault(draw, type, sizes), fromMs, toMs: fromMs + draw.whole(300, 3000) };
+  const fromMs = draw.nextInteger(200, 900);
+  return {
+    fault: drawFault(draw, type, sizes),
+    fromMs,
+    toMs: fromMs + draw.nextInteger(300, 3000),
+  };
 }
 
-function drawFault(draw: Draw, type: Fault["type"], sizes: PlanSizes): Fault {
+function drawFault(draw: RandomStream, type: Fault["type"], sizes: PlanSizes): Fault {
   const target = drawAim(draw, sizes);
-  const vm = draw.whole(0, sizes.vms - 1);
-  const way = draw.pick<Way>(["there", "back", "both"]);
+  const vm = draw.nextInteger(0, sizes.vms - 1);
+  const way = draw.pick<CutDirection>(["there", "back", "both"]);
   switch (type) {
     case "killTarget":
     case "freezeTarget":
@@ -111,12 +119,12 @@
     case "cutReplication":
       return { type, target };
     case "slowTarget":
-      return { type, target, factor: draw.whole(5, 100) };
+      return { type, target, factor: draw.nextInteger(5, 100) };
     case "loseCommitAnswers":
       return {
         type,
         target,
-        count: draw.whole(1, 4),
+        count: draw.nextInteger(1, 4),
         how: draw.pick(["break", "silence"] as const),
       };
     case "cutTarget":
@@ -131,27 +139,28 @@
     case "dropWatches":
       return { type };
     case "platformSlow":
-      return { type, ms: draw.whole(100, 2000) };
+      return { type, ms: draw.nextInteger(100, 2000) };
     case "loseStoreAnswers":
-      return { type, count: draw.whole(1, 3) };
+      return { type, count: draw.nextInteger(1, 3) };
   }
 }
 
 /** Half of the faults strike a primary: on a replica most of them change little. */
-function drawAim(draw: Draw, { groups, targets }: PlanSizes): Aim {
-  const index = draw.whole(0, targets - 1);
-  const group = draw.whole(0, groups - 1);
+function drawAim(draw: RandomStream, { groups, targets }: PlanSizes): TargetSelector {
+  const index = draw.nextInteger(0, targets - 1);
+  const group = draw.nextInteger(0, groups - 1);
   return draw.chance(primaryShare) ? { type: "primary", group } : { type: "index", index };
 }
 
 /** Writes a fault for a trace, such as `cutTarget primary=0 way=back`. */
 export function describeFault({ type, ...rest }: Fault): string {
-  const fields = Object.entries(rest).map(([name, value]: [string, Aim | string | number]) =>
-    typeof value === "object" ? describeAim(value) : `${name}=${value}`,
+  const fields = Object.entries(rest).map(
+    ([name, value]: [string, TargetSelector | string | number]) =>
+      typeof value === "object" ? describeAim(value) : `${name}=${value}`,
   );
   return [type, ...fields].join(" ");
 }
 
-function describeAim(aim: Aim): string {
+function describeAim(aim: TargetSelector): string {
   return aim.type === "index" ? `target=${aim.index}` : `primary=${aim.group}`;
 }
--- a/standin/soak/random.ts
+++ b/standin/soak/random.ts
@@ -6,22 +6,22 @@
 const streamFactor = 7919;
 
 /** Draws of one stream of a seed. */
-export interface Draw {
+export interface RandomStream {
   /** A whole number of [from, to]. */
-  whole(from: number, to: number): number;
+  nextInteger(from: number, to: number): number;
   pick<T>(of: readonly T[]): T;
   /** Whether something of probability `share` happens. */
   chance(share: number): boolean;
 }
 
 /** Creates the draws of one stream: equal seeds and streams give equal draws. */
-export function createDraw(seed: number, stream: number): Draw {
+export function createRandomStream(seed: number, stream: number): RandomStream {
   const generator = xoroshiro128plus((seed * streamFactor + stream) | 0);
   for (let i = 0; i < dullNumbers; i += 1) generator.next();
   const whole = (from: number, to: number) =>
     from + Math.floor(uniformFloat64(generator) * (to - from + 1));
   return {
-    whole,
+    nextInteger: whole,
     pick<T>(of: readonly T[]): T {
       const picked = of[whole(0, of.length - 1)];
       if (picked === undefined) throw new Error("nothing to pick from");
--- a/standin/soak/run.ts
+++ b/standin/soak/run.ts
@@ -1,24 +1,24 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Proxy } from "../../src/proxy/index.js";
 import { startFleet, type Fleet } from "../fleet.js";
-import { beginFault, findStruck, listTargets, setLags } from "./apply.js";
+import { startFault, getAffectedName, listTargets, setLags } from "./apply.js";
 import { Caller } from "./caller.js";
 import type { SoakContext } from "./context.js";
 import { Counts, type CountTable } from "./counts.js";
 import { Ledger, type Breach } from "./ledger.js";
 import { Operators } from "./operators.js";
 import { describeFault, planRound, type Fault, type PlannedFault, type RoundPlan } from "./plan.js";
-import { createDraw } from "./random.js";
+import { createRandomStream } from "./random.js";
 import { Session, type SessionOptions } from "./session.js";
 import { createTraceLogger, formatTrace, Trace } from "./trace.js";
-import { noteStatements, verifyTable, waitConverged } from "./verify.js";
+import { recordStatements, verifyTable, waitUntilConverged } from "./verify.js";
 import { Worker } from "./work.js";
 
 /** How long a run lasts and what it draws from. */
 export interface SoakOptions {
   readonly seed: number;
   /** Whether another round begins, by the rounds done. */
-  readonly goesOn: (rounds: number) => boolean;
+  readonly shouldContinue: (rounds: number) => boolean;
   /** Draws just these sorts of faults; all by default. */
   readonly faults?: readonly Fault["type"][];
   readonly groups?: number;
@@ -103,12 +103,12 @@
     const [ledger, counts] = [new Ledger(), new Counts()];
     const breach = (found: Breach) => {
       this.breaches.push(found);
-      trace.note("check", found.what);
+      trace.record("check", found.description);
     };
-    this.context = { fleet, ledger, trace, counts, drained: this.drained, breach };
+    this.context = { fleet, ledger, trace, counts, drained: this.drained, reportBreach: breach };
     this.operators = new Operators(this.context);
     this.sessions = Array.from({ length: sessionCount }, (_, i) => {
-      const draw = createDraw(options.seed, i + 1);
+      const draw = createRandomStream(options.seed, i + 1);
       return new Session(this.describeSession(i), this.context, draw);
     });
   }
@@ -119,7 +119,7 @@
 
   async run(): Promise<SoakReport> {
     let rounds = 0;
-    while (this.breaches.length === 0 && this.options.goesOn(rounds)) {
+    while (this.breaches.length === 0 && this.options.shouldContinue(rounds)) {
       await this.runRound(rounds);
       rounds += 1;
     }
@@ -137,14 +137,14 @@
     );
     const said = plan.faults.map((f) => describeFault(f.fault)).join(" + ");
     this.context.trace.clear();
-    this.context.trace.note("fault", `round ${round}, lags ${plan.lagMs.join(" ")} ms: ${said}`);
+    this.context.trace.record("fault", `round ${round}, lags ${plan.lagMs.join(" ")} ms: ${said}`);
     setLags(this.fleet, plan.lagMs);
     const table = `booking_${round}`;
     await Promise.all(this.groups.map((g) => this.createTable(g, table)));
     await this.workThrough(plan, round, table);
     const healedAt = Date.now();
     await this.checkProgress(table);
-    await this.operators.checkSpread();
+    await this.operators.checkRollout();
     await this.verify(round);
     const tookMs = Date.now() - healedAt;
     onRound?.(`round ${round}: ${said}; settled in ${tookMs} ms`);
@@ -156,11 +156,13 @@
     let isOver = false;
     const streams = (round + 1) * 1000;
     const work = this.sessions.map((session, i) =>
-      new Worker(session, this.context, createDraw(seed, streams + i + 1), table).run(() => isOver),
+      new Worker(session, this.context, createRandomStream(seed, streams + i + 1), table).run(
+        () => isOver,
+      ),
     );
-    const edits = this.operators.edit(createDraw(seed, streams + sessionCount + 1));
+    const edits = this.operators.editRules(createRandomStream(seed, streams + sessionCount + 1));
     await Promise.all([...plan.faults.map((f) => this.runFault(f)), sleep(plan.workMs)]);
-    this.context.trace.note("fault", "all healed");
+    this.context.trace.record("fault", "all healed");
     isOver = true;
     await Promise.all([...work, edits]);
   }
@@ -169,27 +171,30 @@
     const { trace, counts } = this.context;
     const text = describeFault(fault);
     await sleep(fromMs);
-    const struck = findStruck(this.fleet, fault);
+    const struck = getAffectedName(this.fleet, fault);
     const key = `${fault.type} ${struck}`;
     // The same fault twice on the same place at once is one fault.
     if (this.active.has(key)) return;
     this.active.add(key);
     counts.add("faults", fault.type);
-    trace.note("fault", `begins at ${struck}: ${text}`);
+    trace.record("fault", `begins at ${struck}: ${text}`);
     const member = "vm" in fault ? this.fleet.members[fault.vm] : undefined;
     if (fault.type === "drainProxy" && member !== undefined) this.drained.add(member.proxy);
     if (fault.type === "killProxy" && member !== undefined) this.drained.delete(member.proxy);
-    const end = await beginFault(this.fleet, fault);
+    const end = await startFault(this.fleet, fault);
     await sleep(toMs - fromMs);
     await end();
     this.active.delete(key);
-    trace.note("fault", `ended at ${struck}: ${text}`);
+    trace.record("fault", `ended at ${struck}: ${text}`);
   }
 
   private async createTable(group: string, table: string): Promise<void> {
     const text = `CREATE TABLE IF NOT EXISTS ${table} (id text, session text, confirmed int)`;
     if (await this.repeat(group, text, setupTries)) return;
-    this.context.breach({ what: `${group} took no table while whole`, parts: ["check"] });
+    this.context.reportBreach({
+      description: `${group} took no table while whole`,
+      subjects: ["check"],
+    });
   }
 
   /** After healing a write lands at each group within a bounded number of tries. */
@@ -197,7 +202,10 @@
     for (const group of this.groups) {
       const text = `UPDATE ${table} SET confirmed = confirmed WHERE id = 'none'`;
       if (await this.repeat(group, text, progressTries)) continue;
-      this.context.breach({ what: `no write lands at ${group} after healing`, parts: ["check"] });
+      this.context.reportBreach({
+        description: `no write lands at ${group} after healing`,
+        subjects: ["check"],
+      });
     }
   }
 
@@ -213,7 +221,7 @@
     for (let n = 0; n < tries; n += 1) {
       const why = await this.tryAt(i, group, text);
       if (why === undefined) return true;
-      this.context.trace.note("check", `vm-${i + 1}, ${group}: ${text}: ${why}`);
+      this.context.trace.record("check", `vm-${i + 1}, ${group}: ${text}: ${why}`);
       await sleep(progressPauseMs);
     }
     return false;
@@ -225,7 +233,7 @@
     if (member === undefined) return "no such VM";
     try {
       const caller = await Caller.connect(member.callers, { group, team: "ferrante" });
-      const heard = await caller.ask({ text });
+      const heard = await caller.runStatement({ text });
       await caller.end();
       return heard.type === "answered" ? undefined : `${heard.type}: ${heard.why}`;
     } catch (error) {
@@ -236,13 +244,13 @@
   /** What earlier rounds wrote must stay: every table is checked again. */
   private async verify(round: number): Promise<void> {
     for (const group of this.fleet.cluster.groups) {
-      const primary = await waitConverged(group, this.context);
+      const primary = await waitUntilConverged(group, this.context);
       for (let n = 0; n <= round; n += 1) {
         await verifyTable(group.name, primary, `booking_${n}`, this.context);
       }
     }
     for (const what of this.fleet.violations) {
-      this.context.breach({ what: `invariant: ${what}`, parts: ["check"] });
+      this.context.reportBreach({ description: `invariant: ${what}`, subjects: ["check"] });
     }
   }
 
@@ -255,12 +263,12 @@
   private report(rounds: number): SoakReport {
     const { counts, trace } = this.context;
     const traced = this.breaches.slice(0, maxTraced);
-    const parts = [...new Set(traced.flatMap((b) => b.parts))];
-    for (const part of parts) noteStatements(part, this.context);
+    const parts = [...new Set(traced.flatMap((b) => b.subjects))];
+    for (const part of parts) recordStatements(part, this.context);
     return {
       seed: this.options.seed,
       rounds,
-      breaches: this.breaches.map((b) => b.what),
+      breaches: this.breaches.map((b) => b.description),
       counts: counts.list(),
       trace: traced.length === 0 ? "" : formatTrace(trace.list(parts)),
     };
--- a/standin/soak/session.ts
+++ b/standin/soak/session.ts
@@ -1,7 +1,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Proxy } from "../../src/proxy/index.js";
-import { Caller, type Heard, type Statement } from "./caller.js";
-import type { Draw } from "./random.js";
+import { Caller, type StatementOutcome, type Statement } from "./caller.js";
+import type { RandomStream } from "./random.js";
 import type { SoakContext } from "./context.js";
 
 /** Who a session is. */
@@ -26,17 +26,17 @@
   constructor(
     readonly options: SessionOptions,
     private readonly context: SoakContext,
-    private readonly draw: Draw,
+    private readonly draw: RandomStream,
   ) {}
 
   /** Runs one statement where the session is, or at another proxy when it moves. */
-  async ask(operation: string, statement: Statement): Promise<Heard> {
-    if (this.draw.chance(moveShare)) await this.move();
+  async runStatement(operation: string, statement: Statement): Promise<StatementOutcome> {
+    if (this.draw.chance(moveShare)) await this.leaveProxy();
     return this.askOn(await this.connect(), operation, statement);
   }
 
   /** Runs one statement on the connection of the one before, as a transaction must. */
-  askSame(operation: string, statement: Statement): Promise<Heard> {
+  runOnSameConnection(operation: string, statement: Statement): Promise<StatementOutcome> {
     if (this.caller?.isUsable !== true) {
       return Promise.resolve({ type: "notRun", why: "never sent: the connection is gone" });
     }
@@ -44,33 +44,37 @@
   }
 
   /** Leaves the proxy; the next statement goes to another. */
-  async move(): Promise<void> {
+  async leaveProxy(): Promise<void> {
     const { caller } = this;
     this.caller = undefined;
     await caller?.end();
   }
 
   /** Dies with whatever is open, as a caller that crashes does. */
-  drop(): void {
-    this.context.trace.note(this.options.name, "drops its connection");
-    this.caller?.drop();
+  abort(): void {
+    this.context.trace.record(this.options.name, "drops its connection");
+    this.caller?.destroy();
     this.caller = undefined;
   }
 
-  private async askOn(caller: Caller, operation: string, statement: Statement): Promise<Heard> {
+  private async askOn(
+    caller: Caller,
+    operation: string,
+    statement: Statement,
+  ): Promise<StatementOutcome> {
     const { trace, counts } = this.context;
     const { name } = this.options;
-    trace.note(
+    trace.record(
       name,
       `asks ${this.describePlace()}: ${statement.text} ${describeValues(statement)}`,
     );
-    const heard = await caller.ask(statement);
+    const heard = await caller.runStatement(statement);
     this.token = caller.token ?? this.token;
     counts.add("operations", operation);
     counts.add("heard", heard.type);
     if (heard.type === "mayHaveRun" || heard.type === "broken") counts.add("unknown", operation);
     if (heard.type === "failed") counts.add("sqlStates", `${operation} ${heard.code}`);
-    trace.note(name, `hears ${describeHeard(heard)}`);
+    trace.record(name, `hears ${describeHeard(heard)}`);
     if (heard.type === "broken") this.checkDrain(statement, heard.why);
     return heard;
   }
@@ -94,7 +98,7 @@
       const options = { group, team, ...(token === undefined ? {} : { token }) };
       this.caller = await Caller.connect(callers, options);
       this.proxy = proxy;
-      this.context.trace.note(name, `connects to ${member.vm.name}`);
+      this.context.trace.record(name, `connects to ${member.vm.name}`);
       return this.caller;
     } catch {
       return undefined;
@@ -102,9 +106,12 @@
   }
 
   private checkDrain(statement: Statement, why: string): void {
-    const { drained, breach } = this.context;
+    const { drained, reportBreach: breach } = this.context;
     if (this.proxy === undefined || !drained.has(this.proxy)) return;
-    breach({ what: `a drain cut off: ${statement.text} (${why})`, parts: [this.options.name] });
+    breach({
+      description: `a drain cut off: ${statement.text} (${why})`,
+      subjects: [this.options.name],
+    });
   }
 
   private describePlace(): string {
@@ -117,7 +124,7 @@
   return values === undefined ? "" : JSON.stringify(values);
 }
 
-function describeHeard(heard: Heard): string {
+function describeHeard(heard: StatementOutcome): string {
   switch (heard.type) {
     case "answered":
       return `${heard.tag}, ${heard.rows.length} rows`;
--- a/standin/soak/trace.ts
+++ b/standin/soak/trace.ts
@@ -4,8 +4,8 @@
 export interface TraceLine {
   readonly atMs: number;
   /** The session, `fault` or `check`. */
-  readonly who: string;
-  readonly what: string;
+  readonly source: string;
+  readonly text: string;
 }
 
 const maxKept = 20_000;
@@ -17,8 +17,8 @@
   private lines: TraceLine[] = [];
   private readonly startedAt = Date.now();
 
-  note(who: string, what: string): void {
-    this.lines.push({ atMs: Date.now() - this.startedAt, who, what });
+  record(who: string, what: string): void {
+    this.lines.push({ atMs: Date.now() - this.startedAt, source: who, text: what });
     if (this.lines.length > 2 * maxKept) this.lines = this.lines.slice(-maxKept);
   }
 
@@ -35,14 +35,14 @@
     const kept = new Set<TraceLine>();
     const awaited = new Set<string>();
     for (const line of this.lines) {
-      const { who, what } = line;
+      const { source: who, text: what } = line;
       const isNamed = parts.some((part) => what.includes(part));
       if (isNamed || awaited.has(who) || alwaysListed.has(who)) kept.add(line);
       if (isNamed) awaited.add(who);
       else awaited.delete(who);
     }
     for (const part of parts) {
-      for (const line of this.lines.filter(({ who }) => who === part).slice(-lastLines)) {
+      for (const line of this.lines.filter(({ source: who }) => who === part).slice(-lastLines)) {
         kept.add(line);
       }
     }
@@ -54,7 +54,7 @@
 export function createTraceLogger(trace: Trace): Logger {
   return {
     write: (event, ...fields) => {
-      trace.note("proxy", `${event.name} ${JSON.stringify(fields)}`);
+      trace.record("proxy", `${event.name} ${JSON.stringify(fields)}`);
     },
   };
 }
@@ -62,6 +62,9 @@
 /** Writes a trace for a reader: milliseconds, who, what. */
 export function formatTrace(lines: readonly TraceLine[]): string {
   return lines
-    .map(({ atMs, who, what }) => `${String(atMs).padStart(8)} ms  ${who.padEnd(10)} ${what}`)
+    .map(
+      ({ atMs, source: who, text: what }) =>
+        `${String(atMs).padStart(8)} ms  ${who.padEnd(10)} ${what}`,
+    )
     .join("\n");
 }
--- a/standin/soak/verify.ts
+++ b/standin/soak/verify.ts
@@ -10,7 +10,7 @@
 const convergePauseMs = 100;
 
 /** Waits until every target of a group has the log of the one primary, and hands that back. */
-export async function waitConverged(
+export async function waitUntilConverged(
   { name, targets }: RunningGroup,
   context: SoakContext,
 ): Promise<StandinTarget> {
@@ -19,8 +19,11 @@
     if (primary !== undefined && targets.every((t) => isSameLog(t, primary))) return primary;
     await sleep(convergePauseMs);
   }
-  for (const { member } of targets) context.trace.note("check", JSON.stringify(member.status));
-  context.breach({ what: `the targets of ${name} do not agree after healing`, parts: ["check"] });
+  for (const { member } of targets) context.trace.record("check", JSON.stringify(member.status));
+  context.reportBreach({
+    description: `the targets of ${name} do not agree after healing`,
+    subjects: ["check"],
+  });
   return findPrimary(targets) ?? fail(`${name} has no target`);
 }
 
@@ -35,18 +38,18 @@
   const bookings = context.ledger.list(group, table);
   context.counts.add("checked", "rows", bookings.length);
   for (const breach of checkStored(bookings, stored)) {
-    context.trace.note("check", `${breach.what} at ${primary.name}`);
-    context.breach({ ...breach, what: `${group}: ${breach.what}` });
+    context.trace.record("check", `${breach.description} at ${primary.name}`);
+    context.reportBreach({ ...breach, description: `${group}: ${breach.description}` });
   }
 }
 
 /** Notes which targets ran statements that name `part`, and what became of them. */
-export function noteStatements(part: string, context: SoakContext): void {
+export function recordStatements(part: string, context: SoakContext): void {
   for (const { targets } of context.fleet.cluster.groups) {
     for (const { name, statements } of targets) {
       for (const { text, connection, fate } of statements.list(part)) {
         const what = `connection ${connection}: ${text} → ${JSON.stringify(fate)}`;
-        context.trace.note(name, what);
+        context.trace.record(name, what);
       }
     }
   }
--- a/standin/soak/work.ts
+++ b/standin/soak/work.ts
@@ -1,8 +1,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
-import type { Heard, Row, Statement } from "./caller.js";
+import type { StatementOutcome, Row, Statement } from "./caller.js";
 import type { SoakContext } from "./context.js";
-import { checkOwnRead, type Booking, type Fate } from "./ledger.js";
-import type { Draw } from "./random.js";
+import { checkOwnRead, type Booking, type WriteOutcome } from "./ledger.js";
+import type { RandomStream } from "./random.js";
 import type { Session } from "./session.js";
 
 const operations = [
@@ -40,7 +40,7 @@
   constructor(
     private readonly session: Session,
     private readonly context: SoakContext,
-    private readonly draw: Draw,
+    private readonly draw: RandomStream,
     private readonly table: string,
   ) {}
 
@@ -48,9 +48,9 @@
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
       await this.runOne(this.draw.pick(operations));
-      await sleep(this.draw.whole(2, 25));
+      await sleep(this.draw.nextInteger(2, 25));
     }
-    await this.session.move();
+    await this.session.leaveProxy();
   }
 
   private runOne(operation: Operation): Promise<void> {
@@ -82,14 +82,17 @@
 
   private async reserve(): Promise<void> {
     const booking = this.addBooking();
-    this.settle(booking, await this.session.ask("reserve", { text: this.buildInsert(booking) }));
+    this.settle(
+      booking,
+      await this.session.runStatement("reserve", { text: this.buildInsert(booking) }),
+    );
   }
 
   private async reserveKeyed(): Promise<void> {
     const booking = this.addBooking();
     const text = `${this.buildInsert(booking)} /*idempotency_key='${booking.id}'*/`;
     for (let i = 0; i < keyedTries; i += 1) {
-      const heard = await this.session.ask("reserveKeyed", { text });
+      const heard = await this.session.runStatement("reserveKeyed", { text });
       if (heard.type === "answered") {
         this.setFate(booking, "landed");
         return;
@@ -97,14 +100,20 @@
       await sleep(keyedPauseMs);
     }
     const what = `${booking.id} was not answered in ${keyedTries} tries`;
-    this.context.breach({ what, parts: [booking.id, this.session.options.name] });
+    this.context.reportBreach({
+      description: what,
+      subjects: [booking.id, this.session.options.name],
+    });
   }
 
   private async reservePrepared(): Promise<void> {
     const booking = this.addBooking();
     const text = `INSERT INTO ${this.table} (id, session, confirmed) VALUES ($1, $2, 0)`;
     const values = [booking.id, booking.session];
-    this.settle(booking, await this.session.ask("reservePrepared", { name: "add", text, values }));
+    this.settle(
+      booking,
+      await this.session.runStatement("reservePrepared", { name: "add", text, values }),
+    );
   }
 
   private async confirm(): Promise<void> {
@@ -112,33 +121,35 @@
     if (landed.length === 0) return;
     const booking = this.draw.pick(landed);
     const text = `UPDATE ${this.table} SET confirmed = confirmed + 1 WHERE id = '${booking.id}'`;
-    booking.unsure += 1;
-    const fate = findFate(await this.session.ask("confirm", { text }));
-    if (fate !== "unknown") booking.unsure -= 1;
+    booking.uncertain += 1;
+    const fate = findFate(await this.session.runStatement("confirm", { text }));
+    if (fate !== "unknown") booking.uncertain -= 1;
     if (fate === "landed") booking.confirmed += 1;
   }
 
   /** Both rows or none; a caller that dies before its `COMMIT` leaves none. */
   private async transact(isAbandoned: boolean): Promise<void> {
     const first = this.addBooking();
-    const second = this.addBooking(first.unit);
+    const second = this.addBooking(first.transactionId);
     const operation = isAbandoned ? "abandon" : "transact";
     const isFilled = await this.fillTransaction(operation, [first, second]);
     if (!isFilled || isAbandoned) {
-      this.session.drop();
+      this.session.abort();
       this.settleBoth(first, second, "absent");
       return;
     }
-    const heard = await this.session.askSame(operation, { text: "COMMIT" });
+    const heard = await this.session.runOnSameConnection(operation, { text: "COMMIT" });
     const isRolledBack = heard.type === "answered" && heard.tag === "ROLLBACK";
     this.settleBoth(first, second, isRolledBack ? "absent" : findFate(heard));
   }
 
   private async fillTransaction(operation: string, rows: readonly Booking[]): Promise<boolean> {
-    const begun = await this.session.ask(operation, { text: "BEGIN" });
+    const begun = await this.session.runStatement(operation, { text: "BEGIN" });
     if (begun.type !== "answered") return false;
     for (const row of rows) {
-      const heard = await this.session.askSame(operation, { text: this.buildInsert(row) });
+      const heard = await this.session.runOnSameConnection(operation, {
+        text: this.buildInsert(row),
+      });
       if (heard.type !== "answered") return false;
     }
     return true;
@@ -165,27 +176,27 @@
     const known = isBound ? this.listLanded().map(({ id, confirmed }) => ({ id, confirmed })) : [];
     const nonce = this.makeNonce();
     const text = `SELECT id, confirmed, '${nonce}' AS nonce FROM ${this.table} ${rest}`;
-    const heard = await this.session.ask(operation, { text, ...values });
+    const heard = await this.session.runStatement(operation, { text, ...values });
     // A session that came without a token sees what was acknowledged before, so the round's table.
     const mustSeeTable = known.length > 0 || (operation === "readOwn" && !hasToken);
     if (mustSeeTable && heard.type === "failed" && heard.code === undefinedTable) {
       const what = `${operation}: a read misses a table that was there before`;
-      this.context.breach({ what, parts: [known[0]?.id ?? name, name] });
+      this.context.reportBreach({ description: what, subjects: [known[0]?.id ?? name, name] });
     }
     if (heard.type !== "answered") return;
     this.checkNonces(nonce, heard.rows);
-    const isAbsent = (id: string) => this.context.ledger.find(id)?.fate === "absent";
+    const isAbsent = (id: string) => this.context.ledger.find(id)?.outcome === "absent";
     const read = heard.rows.map((r) => ({ id: String(r.id), confirmed: Number(r.confirmed) }));
     for (const breach of checkOwnRead(known, isAbsent, read)) {
-      const what = `${operation}: ${breach.what}`;
-      this.context.breach({ what, parts: [...breach.parts, name] });
+      const what = `${operation}: ${breach.description}`;
+      this.context.reportBreach({ description: what, subjects: [...breach.subjects, name] });
     }
   }
 
   private async readLarge(): Promise<void> {
     const nonce = this.makeNonce();
     const text = `SELECT repeat('${nonce}|', ${largeRepeats}) AS body`;
-    const heard = await this.session.ask("readLarge", { text });
+    const heard = await this.session.runStatement("readLarge", { text });
     if (heard.type !== "answered") return;
     const isWhole = heard.rows[0]?.body === `${nonce}|`.repeat(largeRepeats);
     if (!isWhole || heard.rows.length !== 1) this.breakAnswer(nonce);
@@ -194,7 +205,7 @@
   private async readSeries(): Promise<void> {
     const nonce = this.makeNonce();
     const text = `SELECT i, '${nonce}' AS nonce FROM generate_series(1, ${seriesRows}) AS i`;
-    const heard = await this.session.ask("readSeries", { text });
+    const heard = await this.session.runStatement("readSeries", { text });
     if (heard.type !== "answered") return;
     this.checkNonces(nonce, heard.rows);
     const isWhole = heard.rows.every((row, i) => Number(row.i) === i + 1);
@@ -211,7 +222,7 @@
       session: name,
       group,
       table,
-      unit: unit ?? id,
+      transactionId: unit ?? id,
     });
     this.own.push(booking);
     return booking;
@@ -222,20 +233,20 @@
   }
 
   private listLanded(): readonly Booking[] {
-    return this.own.filter((b) => b.fate === "landed");
+    return this.own.filter((b) => b.outcome === "landed");
   }
 
-  private settle(booking: Booking, heard: Heard): void {
+  private settle(booking: Booking, heard: StatementOutcome): void {
     this.setFate(booking, findFate(heard));
   }
 
-  private settleBoth(first: Booking, second: Booking, fate: Fate): void {
+  private settleBoth(first: Booking, second: Booking, fate: WriteOutcome): void {
     this.setFate(first, fate);
     this.setFate(second, fate);
   }
 
-  private setFate(booking: Booking, fate: Fate): void {
-    booking.fate = fate;
+  private setFate(booking: Booking, fate: WriteOutcome): void {
+    booking.outcome = fate;
     this.context.counts.add("writes", fate);
   }
 
@@ -250,12 +261,15 @@
 
   private breakAnswer(nonce: string): void {
     const parts = [this.session.options.name];
-    this.context.breach({ what: `the answer to ${nonce} is not whole or not its own`, parts });
+    this.context.reportBreach({
+      description: `the answer to ${nonce} is not whole or not its own`,
+      subjects: parts,
+    });
   }
 }
 
 /** What a caller may take for granted of a write after what it heard. */
-function findFate(heard: Heard): Fate {
+function findFate(heard: StatementOutcome): WriteOutcome {
   switch (heard.type) {
     case "answered":
       return "landed";
--- a/test/gateway/hop.test.ts
+++ b/test/gateway/hop.test.ts
@@ -115,7 +115,7 @@
 test("a read on a connection that went dead is answered by the next gateway", async () => {
   hop = await Hop.start(2);
   const { first, second } = await hop.findFirst();
-  first.link.forgetAll();
+  first.link.stallAll();
   const reply = hop.open("primary").run(makeRead("1"));
   await waitForSent(second, "work");
   second.stage.list("p", "work")[0]?.answer();
@@ -281,7 +281,7 @@
   const gateway = await startOne();
   const session = hop.open("primary");
   await openWritten(session, gateway);
-  gateway.link.forgetAll();
+  gateway.link.stallAll();
   await waitForSent(gateway, "rollback");
 });
 
--- a/test/path/caller.ts
+++ b/test/path/caller.ts
@@ -2,7 +2,7 @@
 import type { Address } from "../../src/model/index.js";
 
 /** What a caller learnt of one statement. */
-export type Told =
+export type StatementOutcome =
   | { readonly type: "answered"; readonly rows: readonly unknown[] }
   /** By SQLSTATE and the verdict in the error's detail. */
   | { readonly type: "notRun"; readonly code: string; readonly message: string }
@@ -44,7 +44,7 @@
 }
 
 /** Runs one statement and sorts what the caller hears by its verdict. */
-export async function ask(client: pg.Client, sql: string): Promise<Told> {
+export async function runStatement(client: pg.Client, sql: string): Promise<StatementOutcome> {
   try {
     const result = await client.query(sql);
     return { type: "answered", rows: result.rows };
@@ -53,7 +53,7 @@
   }
 }
 
-function sortError({ code, detail, message }: pg.DatabaseError): Told {
+function sortError({ code, detail, message }: pg.DatabaseError): StatementOutcome {
   const said = { code: code ?? "", message: `${message} ${detail ?? ""}` };
   if (detail?.includes("verdict: notRun") === true) return { type: "notRun", ...said };
   if (code === "08007") return { type: "mayHaveRun", ...said };
--- a/test/path/matrix.ts
+++ b/test/path/matrix.ts
@@ -6,10 +6,10 @@
 import { startFleet, type Fleet, type FleetMember } from "../../standin/fleet.js";
 import type { FaultyLink } from "../../standin/link.js";
 import type { StandinTarget } from "../../standin/target/index.js";
-import { ask, connectCaller, type Told } from "./caller.js";
+import { runStatement, connectCaller, type StatementOutcome } from "./caller.js";
 
 /** The parts of a fleet that a fault strikes. */
-export interface Scene {
+export interface FaultScenario {
   readonly fleet: Fleet;
   readonly primary: StandinTarget;
   readonly primaryLink: FaultyLink;
@@ -21,9 +21,9 @@
 }
 
 /** Switches a fault on, and gives what ends it. */
-export type Strike = (scene: Scene) => void | Promise<void>;
+export type FaultInjector = (scene: FaultScenario) => void | Promise<void>;
 
-export const faults: Readonly<Record<string, Strike>> = {
+export const faults: Readonly<Record<string, FaultInjector>> = {
   "kill the primary": ({ primary }) => primary.kill(),
   "freeze the primary, resume": ({ primary }) => {
     primary.faults.running.close();
@@ -41,7 +41,7 @@
     primaryLink.setFlow("hold", "hold");
   },
   "silent connections to the primary": ({ primaryLink }) => {
-    primaryLink.forgetAll();
+    primaryLink.stallAll();
   },
   "slow primary": ({ primary }) => {
     primary.faults.slowFactor = 50;
@@ -60,7 +60,7 @@
     owner.link.setFlow("pass", "hold");
   },
   "silent connections to the owner": ({ owner }) => {
-    owner.link.forgetAll();
+    owner.link.stallAll();
   },
   "kill the entry": ({ entry }) => entry.kill(),
   "store down": ({ fleet }) => {
@@ -82,7 +82,7 @@
 const deadline = "2500ms";
 const rowId = 7;
 
-async function startScene(): Promise<Scene> {
+async function startScene(): Promise<FaultScenario> {
   const fleet = await startFleet({
     groups: [{ name: "ledger", lagMs: 20, connectMs: 2 }],
     configuration: {
@@ -117,7 +117,7 @@
 }
 
 /** Ends all faults that can end: killed targets come back, killed proxies do not. */
-async function heal({ fleet, primary, primaryLink, owner }: Scene): Promise<void> {
+async function heal({ fleet, primary, primaryLink, owner }: FaultScenario): Promise<void> {
   fleet.cluster.platform.setDown(false);
   primary.faults.endAll();
   primaryLink.heal();
@@ -129,7 +129,11 @@
 export interface Step {
   readonly name: string;
   readonly isKeyed: boolean;
-  run(scene: Scene, client: pg.Client, strike: () => Promise<void>): Promise<Told>;
+  run(
+    scene: FaultScenario,
+    client: pg.Client,
+    strike: () => Promise<void>,
+  ): Promise<StatementOutcome>;
 }
 
 function buildInsert(isKeyed: boolean): string {
@@ -142,8 +146,8 @@
   sql: string,
   afterMs: number,
   strike: () => Promise<void>,
-): Promise<Told> {
-  const asked = ask(client, sql);
+): Promise<StatementOutcome> {
+  const asked = runStatement(client, sql);
   await sleep(afterMs);
   await strike();
   return asked;
@@ -158,7 +162,7 @@
       isKeyed,
       run: async (_, client, strike) => {
         await strike();
-        return ask(client, sql);
+        return runStatement(client, sql);
       },
     },
     {
@@ -184,21 +188,24 @@
   name: "transaction, before its commit",
   isKeyed: false,
   run: async (_, client, strike) => {
-    await ask(client, "BEGIN");
-    await ask(client, buildInsert(false));
+    await runStatement(client, "BEGIN");
+    await runStatement(client, buildInsert(false));
     await strike();
-    return ask(client, "COMMIT");
+    return runStatement(client, "COMMIT");
   },
 };
 
 export const steps: readonly Step[] = [...buildSteps(true), ...buildSteps(false), transactionStep];
 
 /** Asks at a proxy that no fault strikes until it is answered. */
-async function askUntilAnswered({ other }: Scene, sql: string): Promise<readonly unknown[]> {
-  let last: Told | undefined;
+async function askUntilAnswered(
+  { other }: FaultScenario,
+  sql: string,
+): Promise<readonly unknown[]> {
+  let last: StatementOutcome | undefined;
   for (let tries = 0; tries < 60; tries += 1) {
     const client = await connectCaller(other.callers);
-    last = await ask(client, sql);
+    last = await runStatement(client, sql);
     await client.end().catch(() => undefined);
     if (last.type === "answered") return last.rows;
     await sleep(100);
@@ -206,12 +213,12 @@
   throw new Error(`no answer after healing: ${JSON.stringify(last)}`);
 }
 
-async function countRows(scene: Scene): Promise<number> {
+async function countRows(scene: FaultScenario): Promise<number> {
   const rows = await askUntilAnswered(scene, `SELECT id FROM seat WHERE id = ${rowId}`);
   return rows.length;
 }
 
-function checkVerdict(told: Told, rows: number): void {
+function checkVerdict(told: StatementOutcome, rows: number): void {
   switch (told.type) {
     case "answered":
       expect({ told, rows }).toEqual({ told, rows: 1 });
@@ -227,7 +234,7 @@
 }
 
 /** Keeps a cell for the table in docs/PROOF.md, which `npm run proof` makes. */
-function recordCell(fault: string, step: Step, told: Told, rows: number): void {
+function recordCell(fault: string, step: Step, told: StatementOutcome, rows: number): void {
   const file = process.env.RADISHWALK_CELLS;
   if (file === undefined) return;
   const cell = { fault, step: step.name, heard: told.type, rows };
@@ -246,7 +253,7 @@
       "/* idempotency_key='first' */ INSERT INTO seat VALUES (1, 'Ion')",
     );
     const client = await connectCaller(scene.entry.callers);
-    await ask(client, "SELECT id FROM seat");
+    await runStatement(client, "SELECT id FROM seat");
     const told = await step.run(scene, client, async () => {
       await faults[fault]?.(scene);
     });
--- a/test/path/path.test.ts
+++ b/test/path/path.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, expect, test } from "@jest/globals";
 import { startFleet, type Fleet } from "../../standin/fleet.js";
-import { ask, connectCaller, followToken } from "./caller.js";
+import { runStatement, connectCaller, followToken } from "./caller.js";
 
 let fleet: Fleet;
 
@@ -24,11 +24,12 @@
   for (let round = 0; round < 6; round += 1) {
     const client = await connectCaller(getCallers(round % 3), token === undefined ? {} : { token });
     const session = followToken(client);
-    if (round === 0) await ask(client, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
-    expect(await ask(client, `INSERT INTO seat VALUES (${round}, 'Ana')`)).toMatchObject({
+    if (round === 0)
+      await runStatement(client, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
+    expect(await runStatement(client, `INSERT INTO seat VALUES (${round}, 'Ana')`)).toMatchObject({
       type: "answered",
     });
-    const read = await ask(client, "SELECT count(*) AS seats FROM seat");
+    const read = await runStatement(client, "SELECT count(*) AS seats FROM seat");
     expect(read).toMatchObject({ type: "answered" });
     expect(JSON.stringify(read)).toContain(`${round + 1}`);
     await client.end();
@@ -41,11 +42,11 @@
 // so its first read must reflect every write acknowledged before.
 test("a caller without a token sees what was acknowledged before it came", async () => {
   const first = await connectCaller(getCallers(0));
-  await ask(first, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
+  await runStatement(first, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
   for (let id = 0; id < 5; id += 1) {
-    await ask(first, `INSERT INTO seat VALUES (${id}, 'Ana')`);
+    await runStatement(first, `INSERT INTO seat VALUES (${id}, 'Ana')`);
     const other = await connectCaller(getCallers((id + 1) % 3));
-    expect(await ask(other, `SELECT child FROM seat WHERE id = ${id}`)).toEqual({
+    expect(await runStatement(other, `SELECT child FROM seat WHERE id = ${id}`)).toEqual({
       type: "answered",
       rows: [{ child: "Ana" }],
     });
@@ -58,13 +59,13 @@
   const clients = await Promise.all([0, 1, 2].map((i) => connectCaller(getCallers(i))));
   const [first] = clients;
   if (first === undefined) throw new Error("no client");
-  await ask(first, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
+  await runStatement(first, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
   for (const [i, client] of clients.entries()) {
     await client.query("BEGIN");
     await client.query("INSERT INTO seat VALUES ($1, $2)", [i, "Ion"]);
     await client.query(i === 1 ? "ROLLBACK" : "COMMIT");
   }
-  const read = await ask(first, "SELECT id FROM seat ORDER BY id");
+  const read = await runStatement(first, "SELECT id FROM seat ORDER BY id");
   expect(read).toMatchObject({ type: "answered", rows: [{ id: 0 }, { id: 2 }] });
   await Promise.all(clients.map((c) => c.end()));
 });
--- a/test/process/build.ts
+++ b/test/process/build.ts
@@ -6,7 +6,7 @@
   type RunningSystem,
   type SystemOptions,
 } from "../../standin/processes/index.js";
-import { ask, connectCaller, type Told } from "../path/caller.js";
+import { runStatement, connectCaller, type StatementOutcome } from "../path/caller.js";
 
 const rules = `teams:
   - { name: ferrante, plan: paying }
@@ -22,7 +22,7 @@
 /** What a caller heard of the write of one seat. */
 export interface Written {
   readonly id: number;
-  readonly told: Told;
+  readonly outcome: StatementOutcome;
 }
 
 /** Starts three targets and proxies that serve the group `ledger`, and creates the table `seat`. */
@@ -55,7 +55,10 @@
 /** Writes one seat; with a key, where `isKeyed`. */
 export async function writeSeat(client: pg.Client, id: number, isKeyed: boolean): Promise<Written> {
   const tag = isKeyed ? `/* kind='reservation',idempotency_key='seat-${id}' */ ` : "";
-  return { id, told: await ask(client, `${tag}INSERT INTO seat VALUES (${id}, 'Ana')`) };
+  return {
+    id,
+    outcome: await runStatement(client, `${tag}INSERT INTO seat VALUES (${id}, 'Ana')`),
+  };
 }
 
 /** How often the running targets hold each seat, once they all hold the same. */
@@ -82,11 +85,11 @@
 }
 
 /** What callers heard that the targets don't bear out; empty when every verdict was true. */
-export function listLies(
+export function listFalseOutcomes(
   written: readonly Written[],
   held: ReadonlyMap<number, number>,
 ): readonly string[] {
-  return written.flatMap(({ id, told }) => {
+  return written.flatMap(({ id, outcome: told }) => {
     const count = held.get(id) ?? 0;
     const isTrue =
       count <= 1 &&
--- a/test/process/end.test.ts
+++ b/test/process/end.test.ts
@@ -1,11 +1,11 @@
 import { afterEach, expect, test } from "@jest/globals";
 import type pg from "pg";
 import type { RunningSystem } from "../../standin/processes/index.js";
-import { ask, connectCaller } from "../path/caller.js";
+import { runStatement, connectCaller } from "../path/caller.js";
 import {
   findOwner,
   getProxy,
-  listLies,
+  listFalseOutcomes,
   listViolations,
   readSeats,
   startLedger,
@@ -40,14 +40,14 @@
   const code = listenForCode(idle);
   await writer.query("BEGIN");
   await writer.query("INSERT INTO seat VALUES (1, 'Ion')");
-  const answer = ask(slow, "SELECT 7 AS seven, pg_sleep(1.5)");
+  const answer = runStatement(slow, "SELECT 7 AS seven, pg_sleep(1.5)");
   owner.child.send("SIGTERM");
   expect(await code).toBe("57P01");
   await expect(connectCaller(owner.callers)).rejects.toThrow();
-  expect(await ask(writer, "INSERT INTO seat VALUES (2, 'Ion')")).toMatchObject({
+  expect(await runStatement(writer, "INSERT INTO seat VALUES (2, 'Ion')")).toMatchObject({
     type: "answered",
   });
-  expect(await ask(writer, "COMMIT")).toMatchObject({ type: "answered" });
+  expect(await runStatement(writer, "COMMIT")).toMatchObject({ type: "answered" });
   expect(await answer).toMatchObject({ type: "answered", rows: [{ seven: 7 }] });
   expect(await owner.child.ended).toEqual({ code: 0, signal: null });
   expect(owner.child.lines.some((l) => l.name === "drainCutOff")).toBe(false);
@@ -79,7 +79,7 @@
   await waitFor(() => count(0) > 20);
   system.targets[0]?.child.send("SIGKILL");
   await Promise.all(writing);
-  expect(written.filter(({ told }) => told.type !== "answered")).toEqual([]);
-  expect(listLies(written, await readSeats(system))).toEqual([]);
+  expect(written.filter(({ outcome: told }) => told.type !== "answered")).toEqual([]);
+  expect(listFalseOutcomes(written, await readSeats(system))).toEqual([]);
   await Promise.all(clients.map((c) => c.end()));
 });
--- a/test/process/owner.test.ts
+++ b/test/process/owner.test.ts
@@ -4,7 +4,7 @@
 import { connectCaller } from "../path/caller.js";
 import {
   findOwner,
-  listLies,
+  listFalseOutcomes,
   listViolations,
   readSeats,
   sleep,
@@ -46,9 +46,9 @@
   owner.child.send("SIGKILL");
   const written = await Promise.all(writing);
   const held = await readSeats(system);
-  expect(listLies(written, held)).toEqual([]);
+  expect(listFalseOutcomes(written, held)).toEqual([]);
   const keyed = written.filter(({ id }) => id % 2 === 0);
-  expect(keyed.map(({ told }) => told.type)).toEqual(keyed.map(() => "answered"));
+  expect(keyed.map(({ outcome: told }) => told.type)).toEqual(keyed.map(() => "answered"));
   await closeAll(clients);
 });
 
@@ -72,9 +72,9 @@
   const late = await writeMany(paused, 300, writers);
   const held = await readSeats(system);
   const written = [...(await Promise.all(early)), ...during, ...after, ...late];
-  expect(listLies(written, held)).toEqual([]);
-  expect(during.some(({ told }) => told.type === "answered")).toBe(true);
-  expect([...after, ...late].filter(({ told }) => told.type !== "answered")).toEqual([]);
+  expect(listFalseOutcomes(written, held)).toEqual([]);
+  expect(during.some(({ outcome: told }) => told.type === "answered")).toBe(true);
+  expect([...after, ...late].filter(({ outcome: told }) => told.type !== "answered")).toEqual([]);
   await closeAll([...paused, ...clients]);
 });
 
@@ -84,7 +84,7 @@
   await waitFor(async () => {
     const round = clients.map((c, i) => writeSeat(c, from + written.length + i, true));
     written.push(...(await Promise.all(round)));
-    return written.some(({ told }) => told.type === "answered");
+    return written.some(({ outcome: told }) => told.type === "answered");
   });
   return written;
 }
--- a/test/soak/checks.test.ts
+++ b/test/soak/checks.test.ts
@@ -1,11 +1,14 @@
 import { expect, test } from "@jest/globals";
-import { checkOwnRead, checkStored, Ledger, type Fate } from "../../standin/soak/ledger.js";
+import { checkOwnRead, checkStored, Ledger, type WriteOutcome } from "../../standin/soak/ledger.js";
 import { describeFault, planRound } from "../../standin/soak/plan.js";
 import { Trace } from "../../standin/soak/trace.js";
 
-function makeBooking(fate: Fate, counts: { confirmed?: number; unsure?: number } = {}) {
-  const base = { id: "b1", session: "s1", group: "g", table: "t", unit: "b1" };
-  return { ...base, fate, confirmed: 0, unsure: 0, ...counts };
+function makeBooking(
+  outcome: WriteOutcome,
+  counts: { confirmed?: number; uncertain?: number } = {},
+) {
+  const base = { id: "b1", session: "s1", group: "g", table: "t", transactionId: "b1" };
+  return { ...base, outcome, confirmed: 0, uncertain: 0, ...counts };
 }
 
 const row = { id: "b1", confirmed: 0 };
@@ -22,7 +25,7 @@
   ["a write of unknown fate that is not there", makeBooking("unknown"), [], 0],
   [
     "a confirmation that may have run",
-    makeBooking("landed", { unsure: 1 }),
+    makeBooking("landed", { uncertain: 1 }),
     [{ ...row, confirmed: 1 }],
     0,
   ],
@@ -31,10 +34,10 @@
 });
 
 test("a transaction that is there in part is found", () => {
-  const first = { ...makeBooking("unknown"), unit: "u1" };
+  const first = { ...makeBooking("unknown"), transactionId: "u1" };
   const second = { ...first, id: "b2" };
   expect(checkStored([first, second], [row])).toEqual([
-    { what: "transaction u1 is there in part", parts: ["u1"] },
+    { description: "transaction u1 is there in part", subjects: ["u1"] },
   ]);
 });
 
@@ -59,11 +62,11 @@
 
 test("a trace lists faults, and statements about an id with what the caller heard", () => {
   const trace = new Trace();
-  trace.note("s1", "asks: INSERT b1");
-  trace.note("s2", "asks: SELECT");
-  trace.note("fault", "begins");
-  trace.note("s1", "hears INSERT");
-  expect(trace.list(["b1"]).map(({ what }) => what)).toEqual([
+  trace.record("s1", "asks: INSERT b1");
+  trace.record("s2", "asks: SELECT");
+  trace.record("fault", "begins");
+  trace.record("s1", "hears INSERT");
+  expect(trace.list(["b1"]).map(({ text: what }) => what)).toEqual([
     "asks: INSERT b1",
     "begins",
     "hears INSERT",
@@ -72,8 +75,9 @@
 
 test("a ledger counts fates and finds rows by id", () => {
   const ledger = new Ledger();
-  ledger.add({ id: "b1", session: "s1", group: "g", table: "t", unit: "b1" }).fate = "landed";
+  ledger.add({ id: "b1", session: "s1", group: "g", table: "t", transactionId: "b1" }).outcome =
+    "landed";
   expect(ledger.count()).toEqual({ landed: 1, absent: 0, unknown: 0 });
-  expect(ledger.find("b1")?.fate).toBe("landed");
+  expect(ledger.find("b1")?.outcome).toBe("landed");
   expect(ledger.list("g", "t")).toHaveLength(1);
 });
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -15,7 +15,7 @@
   async ({ seed, faults }) => {
     const report = await runSoak({
       seed,
-      goesOn: (done) => done < rounds,
+      shouldContinue: (done) => done < rounds,
       ...(faults === undefined ? {} : { faults }),
     });
     expect(report.trace).toBe("");
