--- a/standin/soak/apply.ts
+++ b/standin/soak/apply.ts
@@ -4,21 +4,21 @@
 import type { TargetSelector, Fault, CutDirection } from "./plan.js";
 import { findPrimary } from "./verify.js";
 
-/** Ends a fault; resolves when what it struck runs again. */
+/** Ends a fault; resolves when the affected process runs again. */
 export type EndFault = () => Promise<void>;
 
-/** Lists the targets of every group in the order by which plans count them. */
+/** Lists the targets of all groups, in the order of the target indexes of plans. */
 export function listTargets(fleet: Fleet): readonly StandinTarget[] {
   return fleet.cluster.groups.flatMap((g) => g.targets);
 }
 
-/** Names the machine that a fault strikes now, such as `group-1-2`, `vm-3` or `platform`. */
+/** Returns the name of what a fault would affect now, such as `group-1-2`, `vm-3` or `platform`. */
 export function getAffectedName(fleet: Fleet, fault: Fault): string {
   if ("vm" in fault) return getMember(fleet, fault.vm).vm.name;
   return "target" in fault ? getTarget(fleet, fault.target).name : "platform";
 }
 
-/** Switches a fault on and hands back what ends it. */
+/** Injects a fault and returns the function that ends it. */
 export async function startFault(fleet: Fleet, fault: Fault): Promise<EndFault> {
   const { platform } = fleet.cluster;
   switch (fault.type) {
@@ -61,7 +61,7 @@
       return () => member.restart();
     }
     case "drainProxy":
-      return drainMember(getMember(fleet, fault.vm));
+      return startDrain(getMember(fleet, fault.vm));
     case "platformDown":
       platform.setDown(true);
       return endWith(() => platform.setDown(false));
@@ -77,18 +77,18 @@
   }
 }
 
-/** Sets each target's lag of a round, in milliseconds. */
+/** Sets the replication lag of each target, in milliseconds. */
 export function setLags(fleet: Fleet, lagMs: readonly number[]): void {
   for (const [i, target] of listTargets(fleet).entries()) target.setLag(lagMs[i] ?? 0);
 }
 
-/** A drained process ends by itself; a fresh one takes its place at the fault's end. */
-function drainMember(member: FleetMember): EndFault {
+/** Starts a drain, after which the proxy stops by itself. Ending the fault starts a new one in its place. */
+function startDrain(member: FleetMember): EndFault {
   const { proxy } = member;
   const drained = proxy.drain();
   return async () => {
     await drained;
-    // One that was killed meanwhile has a successor already.
+    // A proxy that was killed in the meantime is already replaced.
     if (member.proxy === proxy) await member.restart();
   };
 }
@@ -107,24 +107,24 @@
   };
 }
 
-function getTarget(fleet: Fleet, aim: TargetSelector): StandinTarget {
+function getTarget(fleet: Fleet, selector: TargetSelector): StandinTarget {
   const target =
-    aim.type === "index"
-      ? listTargets(fleet)[aim.index]
-      : findPrimary(fleet.cluster.groups[aim.group]?.targets ?? []);
-  if (target === undefined) throw new Error(`no target ${JSON.stringify(aim)}`);
+    selector.type === "index"
+      ? listTargets(fleet)[selector.index]
+      : findPrimary(fleet.cluster.groups[selector.group]?.targets ?? []);
+  if (target === undefined) throw new Error(`no target matches ${JSON.stringify(selector)}`);
   return target;
 }
 
-function getLink(fleet: Fleet, aim: TargetSelector): FaultyLink {
-  const { name } = getTarget(fleet, aim);
+function getLink(fleet: Fleet, selector: TargetSelector): FaultyLink {
+  const { name } = getTarget(fleet, selector);
   const link = fleet.targetLinks.get(name);
-  if (link === undefined) throw new Error(`no link to ${name}`);
+  if (link === undefined) throw new Error(`no link to target ${name}`);
   return link;
 }
 
 function getMember(fleet: Fleet, index: number): FleetMember {
   const member = fleet.members[index];
-  if (member === undefined) throw new Error(`no VM ${index}`);
+  if (member === undefined) throw new Error(`no member with index ${index}`);
   return member;
 }
--- a/standin/soak/caller.ts
+++ b/standin/soak/caller.ts
@@ -2,53 +2,53 @@
 import pg from "pg";
 import type { Address } from "../../src/model/index.js";
 
-/** What a caller learnt of one statement. A broken or silent connection says nothing. */
+/** The outcome of a statement as its caller sees it. `broken` (no reply) says nothing about whether it ran. */
 export type StatementOutcome =
   | { readonly type: "answered"; readonly tag: string; readonly rows: readonly Row[] }
-  | { readonly type: "notRun"; readonly why: string }
-  | { readonly type: "mayHaveRun"; readonly why: string }
-  | { readonly type: "broken"; readonly why: string }
-  | { readonly type: "failed"; readonly code: string; readonly why: string };
+  | { readonly type: "notRun"; readonly reason: string }
+  | { readonly type: "mayHaveRun"; readonly reason: string }
+  | { readonly type: "broken"; readonly reason: string }
+  | { readonly type: "failed"; readonly code: string; readonly reason: string };
 
-/** A row by its columns' names. */
+/** A row as values by column name. */
 export type Row = Readonly<Record<string, unknown>>;
 
-/** A statement as the driver takes it; a named one is prepared. */
+/** A statement for the `pg` driver, which prepares it when it has a name. */
 export interface Statement {
   readonly text: string;
   readonly values?: readonly unknown[];
   readonly name?: string;
 }
 
-/** Who calls, and with which session. */
+/** The group and the team of a connection, and the session token that it presents. */
 export interface CallerOptions {
   readonly group: string;
   readonly team: string;
   readonly token?: string;
 }
 
-const patienceMs = 15_000;
-const connectMs = 5_000;
+const answerTimeoutMs = 15_000;
+const connectTimeoutMs = 5_000;
 const unknownOutcome = "08007";
 
-/** One connection of an ordinary driver. */
+/** A connection of the unmodified `pg` driver. */
 export class Caller {
-  private heardToken: string | undefined;
-  private broken: string | undefined;
+  private lastToken: string | undefined;
+  private closeReason: string | undefined;
 
   private constructor(private readonly client: pg.Client) {
-    client.on("error", (error) => (this.broken = String(error)));
-    client.on("end", () => (this.broken ??= "ended"));
+    client.on("error", (error) => (this.closeReason = String(error)));
+    client.on("end", () => (this.closeReason ??= "ended"));
     this.followToken();
   }
 
-  /** Connects; rejects when nobody answers. */
+  /** Connects; rejects when the connection or its startup fails or times out. */
   static async connect(address: Address, options: CallerOptions): Promise<Caller> {
     const client = new pg.Client({
       ...address,
       database: options.group,
       user: options.team,
-      connectionTimeoutMillis: connectMs,
+      connectionTimeoutMillis: connectTimeoutMs,
       ...(options.token === undefined ? {} : { options: `-c radishwalk.session=${options.token}` }),
     });
     const caller = new Caller(client);
@@ -56,53 +56,54 @@
     return caller;
   }
 
-  /** The session's latest token. */
+  /** The latest session token that the proxy sent. */
   get token(): string | undefined {
-    return this.heardToken;
+    return this.lastToken;
   }
 
   get isUsable(): boolean {
-    return this.broken === undefined;
+    return this.closeReason === undefined;
   }
 
-  /** Runs a statement; a caller whose patience ends goes away, knowing nothing. */
+  /** Runs a statement. On a timeout it closes the connection and reports `broken`. */
   async runStatement({ values, ...statement }: Statement): Promise<StatementOutcome> {
-    if (this.broken !== undefined) return { type: "notRun", why: `never sent: ${this.broken}` };
+    if (this.closeReason !== undefined)
+      return { type: "notRun", reason: `never sent: ${this.closeReason}` };
     let timer: NodeJS.Timeout | undefined;
-    const gaveUp = new Promise<StatementOutcome>((resolve) => {
+    const timedOut = new Promise<StatementOutcome>((resolve) => {
       timer = setTimeout(() => {
         this.destroy();
-        resolve({ type: "broken", why: `no answer within ${patienceMs} ms` });
-      }, patienceMs);
+        resolve({ type: "broken", reason: `no answer within ${answerTimeoutMs} ms` });
+      }, answerTimeoutMs);
     });
     const query = { ...statement, ...(values === undefined ? {} : { values: [...values] }) };
-    const heard = this.client.query<Row>(query).then(
+    const outcome = this.client.query<Row>(query).then(
       (result): StatementOutcome => ({ type: "answered", tag: result.command, rows: result.rows }),
       (error: unknown) => classifyError(error),
     );
     try {
-      return await Promise.race([heard, gaveUp]);
+      return await Promise.race([outcome, timedOut]);
     } finally {
       clearTimeout(timer);
     }
   }
 
-  /** Ends the connection as drivers do. */
+  /** Closes the connection in the regular way, with a Terminate message. */
   async end(): Promise<void> {
-    this.broken ??= "ended";
-    await Promise.race([this.client.end(), sleep(connectMs)]);
+    this.closeReason ??= "ended";
+    await Promise.race([this.client.end(), sleep(connectTimeoutMs)]);
   }
 
-  /** Goes away without a farewell, as a caller that dies does. */
+  /** Closes the socket without a Terminate message, as a crashing caller does. */
   destroy(): void {
-    this.broken ??= "dropped";
+    this.closeReason ??= "dropped";
     const { stream } = (this.client as unknown as RawClient).connection;
     stream.destroy();
   }
 
   private followToken(): void {
     (this.client as unknown as RawClient).connection.on("parameterStatus", (message) => {
-      if (message.parameterName === "radishwalk.session") this.heardToken = message.parameterValue;
+      if (message.parameterName === "radishwalk.session") this.lastToken = message.parameterValue;
     });
   }
 }
@@ -117,12 +118,12 @@
   };
 }
 
-/** Sorts an error by the verdict in its detail; one that no server sent says nothing of the request. */
+/** Classifies an error by the verdict in its detail. One that no server sent says nothing about the request. */
 function classifyError(error: unknown): StatementOutcome {
-  if (!(error instanceof pg.DatabaseError)) return { type: "broken", why: String(error) };
+  if (!(error instanceof pg.DatabaseError)) return { type: "broken", reason: String(error) };
   const { code = "", detail = "", message } = error;
-  const why = `${code} ${message} ${detail}`.trim();
-  if (detail.includes("verdict: notRun")) return { type: "notRun", why };
-  if (code === unknownOutcome) return { type: "mayHaveRun", why };
-  return { type: "failed", code, why };
+  const reason = `${code} ${message} ${detail}`.trim();
+  if (detail.includes("verdict: notRun")) return { type: "notRun", reason };
+  if (code === unknownOutcome) return { type: "mayHaveRun", reason };
+  return { type: "failed", code, reason };
 }
--- a/standin/soak/context.ts
+++ b/standin/soak/context.ts
@@ -4,13 +4,13 @@
 import type { Breach, Ledger } from "./ledger.js";
 import type { Trace } from "./trace.js";
 
-/** What the parts of a run share. */
+/** The state that the parts of a soak run share. */
 export interface SoakContext {
   readonly fleet: Fleet;
   readonly ledger: Ledger;
   readonly trace: Trace;
   readonly counts: Counts;
-  /** Proxies that leave gracefully and were not killed. */
+  /** Proxies that are draining or have drained, without those that were killed. */
   readonly drained: Set<Proxy>;
   readonly reportBreach: (breach: Breach) => void;
 }
--- a/standin/soak/counts.ts
+++ b/standin/soak/counts.ts
@@ -1,9 +1,9 @@
-/** Counts by heading and name. */
+/** Counts by heading (such as `writes`) and by name under it. */
 export type CountTable = Readonly<Record<string, Readonly<Record<string, number>>>>;
 
 const nameWidth = 28;
 
-/** What a run counted. */
+/** Counters of a run, grouped under headings. */
 export class Counts {
   private readonly tables = new Map<string, Map<string, number>>();
 
@@ -25,7 +25,7 @@
   }
 }
 
-/** Writes counts as a table, one heading after the other. */
+/** Formats counts as text: each heading, then its names and counts, one per line. */
 export function formatCounts(table: CountTable): string {
   return Object.entries(table)
     .flatMap(([heading, counts]) => [
--- a/standin/soak/ledger.ts
+++ b/standin/soak/ledger.ts
@@ -1,33 +1,35 @@
-/** What must be found of a write: it is there, it is not, or either. */
+/** Whether a written row must be stored (`landed`), must be absent, or may be either (`unknown`). */
 export type WriteOutcome = "landed" | "absent" | "unknown";
 
-/** One row that a caller wrote, with what its later statements must have done to it. */
+/** A row that a session inserted, with the updates that must be visible on it. */
 export interface Booking {
   readonly id: string;
   readonly session: string;
   readonly group: string;
   readonly table: string;
-  /** Shared by rows of one transaction: all of them are there or none is. */
+  /** Shared by the rows of one transaction, of which all or none must be stored. */
   readonly transactionId: string;
   outcome: WriteOutcome;
-  /** Confirmations that were answered, and those that may have run. */
+  /** The number of increments of the `confirmed` column that were acknowledged. */
   confirmed: number;
+  /** The number of further increments that may have run. */
   uncertain: number;
 }
 
-/** What a target holds of a row. */
+/** A row as a target stores it. */
 export interface StoredBooking {
   readonly id: string;
   readonly confirmed: number;
 }
 
-/** What one check found broken; `parts` are what its trace is about. */
+/** A violated consistency check. */
 export interface Breach {
   readonly description: string;
+  /** Ids and names (rows, transactions, sessions) that select the lines of its trace. */
   readonly subjects: readonly string[];
 }
 
-/** Every row that callers tried to write. */
+/** Records every row that sessions tried to write, with the outcome that they were told. */
 export class Ledger {
   private readonly bookings = new Map<string, Booking>();
   private readonly tables = new Map<string, Booking[]>();
@@ -52,56 +54,59 @@
 
   count(): Readonly<Record<WriteOutcome, number>> {
     const counts = { landed: 0, absent: 0, unknown: 0 };
-    for (const { outcome: fate } of this.bookings.values()) counts[fate] += 1;
+    for (const { outcome } of this.bookings.values()) counts[outcome] += 1;
     return counts;
   }
 }
 
-/** Holds what a target has against what callers were told. */
+/** Compares the rows that a target stores with the outcomes that callers were told. */
 export function checkStored(
   bookings: readonly Booking[],
   stored: readonly StoredBooking[],
 ): readonly Breach[] {
   const rows = new Map<string, StoredBooking[]>();
   for (const row of stored) rows.set(row.id, [...(rows.get(row.id) ?? []), row]);
-  const ofRows = bookings.flatMap((b) => checkBooking(b, rows.get(b.id) ?? []));
-  return [...ofRows, ...checkUnits(bookings, rows)];
+  const rowBreaches = bookings.flatMap((b) => checkBooking(b, rows.get(b.id) ?? []));
+  return [...rowBreaches, ...checkTransactions(bookings, rows)];
 }
 
 function checkBooking(booking: Booking, rows: readonly StoredBooking[]): readonly Breach[] {
-  const { id, outcome: fate, confirmed, uncertain: unsure } = booking;
-  const parts = [id];
+  const { id, outcome, confirmed, uncertain } = booking;
+  const subjects = [id];
   const [row] = rows;
   if (rows.length > 1)
-    return [{ description: `${id} is there ${rows.length} times`, subjects: parts }];
+    return [{ description: `row ${id} is stored ${rows.length} times`, subjects: subjects }];
   if (row === undefined) {
-    return fate === "landed"
-      ? [{ description: `${id} was answered and is lost`, subjects: parts }]
+    return outcome === "landed"
+      ? [{ description: `row ${id} was acknowledged but is not stored`, subjects: subjects }]
       : [];
   }
-  if (fate === "absent")
-    return [{ description: `${id} was not run and is there`, subjects: parts }];
-  if (row.confirmed >= confirmed && row.confirmed <= confirmed + unsure) return [];
-  const expected = unsure === 0 ? `${confirmed}` : `${confirmed} to ${confirmed + unsure}`;
+  if (outcome === "absent")
+    return [{ description: `row ${id} was reported as not run but is stored`, subjects: subjects }];
+  if (row.confirmed >= confirmed && row.confirmed <= confirmed + uncertain) return [];
+  const expected = uncertain === 0 ? `${confirmed}` : `${confirmed} to ${confirmed + uncertain}`;
   return [
-    { description: `${id} is confirmed ${row.confirmed} times, not ${expected}`, subjects: parts },
+    {
+      description: `row ${id} is confirmed ${row.confirmed} times, expected ${expected}`,
+      subjects: subjects,
+    },
   ];
 }
 
-function checkUnits(
+function checkTransactions(
   bookings: readonly Booking[],
   rows: ReadonlyMap<string, readonly StoredBooking[]>,
 ): readonly Breach[] {
   const found = new Map<string, Set<boolean>>();
-  for (const { id, transactionId: unit } of bookings) {
-    found.set(unit, (found.get(unit) ?? new Set()).add(rows.has(id)));
+  for (const { id, transactionId } of bookings) {
+    found.set(transactionId, (found.get(transactionId) ?? new Set()).add(rows.has(id)));
   }
   return [...found]
     .filter(([, states]) => states.size > 1)
-    .map(([id]) => ({ description: `transaction ${id} is there in part`, subjects: [id] }));
+    .map(([id]) => ({ description: `transaction ${id} is stored only in part`, subjects: [id] }));
 }
 
-/** Holds a session's read of its own rows against what it was told before it asked. */
+/** Checks that a session's read shows its own rows as they were acknowledged before the read. */
 export function checkOwnRead(
   known: readonly Pick<Booking, "id" | "confirmed">[],
   isAbsent: (id: string) => boolean,
@@ -110,17 +115,23 @@
   const rows = new Map(read.map((row) => [row.id, row]));
   const missing = known.flatMap(({ id, confirmed }): Breach[] => {
     const row = rows.get(id);
-    if (row === undefined) return [{ description: `a read misses its own ${id}`, subjects: [id] }];
+    if (row === undefined)
+      return [{ description: `a read misses the row ${id} of its own session`, subjects: [id] }];
     if (row.confirmed >= confirmed) return [];
-    return [{ description: `a read misses a confirmation of its own ${id}`, subjects: [id] }];
+    return [
+      {
+        description: `a read misses a confirmation of the row ${id} of its own session`,
+        subjects: [id],
+      },
+    ];
   });
-  const ghosts = read
+  const unexpected = read
     .filter((row) => isAbsent(row.id))
     .map(({ id }): Breach => ({
-      description: `a read shows ${id}, which was not run`,
+      description: `a read shows the row ${id}, which was reported as not run`,
       subjects: [id],
     }));
-  return [...missing, ...ghosts];
+  return [...missing, ...unexpected];
 }
 
 function buildTableName(group: string, table: string): string {
--- a/standin/soak/main.ts
+++ b/standin/soak/main.ts
@@ -17,14 +17,17 @@
 
 const cli = cac("soak");
 cli
-  .command("", "Run callers, faults and checks for a time")
-  .option("--minutes <n>", "How long rounds begin", { default: 1 })
-  .option("--rounds <n>", "Run just so many rounds instead")
-  .option("--seed <n>", "Seed of the plan of faults and of work", { default: 1 })
-  .option("--faults <types>", "Draw just these sorts, such as killTarget,cutPeer")
-  .option("--groups <n>", "Groups of three targets; two for even seeds by default")
-  .option("--logs", "Take the proxies' logs into the trace", { default: false })
-  .option("--json", "Print JSON alone", { default: false })
+  .command("", "Run sessions under random faults and check the stored data")
+  .option("--minutes <n>", "Start new rounds for this long", { default: 1 })
+  .option("--rounds <n>", "Run this number of rounds instead")
+  .option("--seed <n>", "Seed of the faults and of the operations", { default: 1 })
+  .option("--faults <types>", "Use only these types of faults, such as killTarget,cutPeer")
+  .option(
+    "--groups <n>",
+    "Number of groups of three targets (default: 2 for even seeds, 1 for odd ones)",
+  )
+  .option("--logs", "Include the log lines of the proxies in the trace", { default: false })
+  .option("--json", "Print only JSON", { default: false })
   .action((flags: Flags) => run(flags));
 cli.help();
 cli.parse();
@@ -32,13 +35,14 @@
 async function run(flags: Flags): Promise<void> {
   const { minutes, rounds, seed, json, groups, logs } = flags;
   const endsAt = Date.now() + minutes * msPerMinute;
-  const goesOn = (done: number) => (rounds === undefined ? Date.now() < endsAt : done < rounds);
+  const shouldContinue = (done: number) =>
+    rounds === undefined ? Date.now() < endsAt : done < rounds;
   const onRound = (line: string) => {
     if (!json) print(line);
   };
   const report = await runSoak({
     seed,
-    shouldContinue: goesOn,
+    shouldContinue,
     onRound,
     logs,
     ...(groups === undefined ? {} : { groups }),
@@ -49,7 +53,7 @@
   const { trace, ...summary } = report;
   print(JSON.stringify(summary));
   for (const breach of report.breaches) print(`seed ${seed}: ${breach}`);
-  // What a breach left behind may hold the process; the run is over all the same.
+  // Connections or timers that a breach left open would keep the process running.
   process.exit(report.breaches.length === 0 && trace === "" ? 0 : 1);
 }
 
--- a/standin/soak/operators.ts
+++ b/standin/soak/operators.ts
@@ -9,25 +9,28 @@
 import type { RandomStream } from "./random.js";
 
 const sampleMs = 40;
-const spreadTries = 200;
-const spreadPauseMs = 100;
+const rolloutTries = 200;
+const rolloutPauseMs = 100;
 const operatorNames = ["op-a", "op-b"] as const;
 
-/** Two operators who edit the rules at the same moments, and a watch over what proxies have. */
+/**
+ * Two operators that edit the rules concurrently. Samples the revisions of the proxies, which must
+ * never decrease.
+ */
 export class Operators {
-  /** The rule's value after each operator's last change; undefined when that is not known. */
+  /** The value in each operator's rule after its last change; undefined when the result is uncertain. */
   private readonly accepted = new Map<string, number | undefined>();
   private readonly revisions = new WeakMap<Proxy, number>();
   private readonly store: HttpObjectStore;
   private readonly sampler: NodeJS.Timeout;
-  private greatest = 0;
-  private changes = 0;
+  private latestRevision = 0;
+  private changeCount = 0;
 
   constructor(private readonly context: SoakContext) {
     const { host, port } = context.fleet.platformLink.address;
     this.store = new HttpObjectStore({ url: `http://${host}:${port}`, timeoutMs: 1000 });
     this.sampler = setInterval(() => {
-      this.sample();
+      this.sampleRevisions();
     }, sampleMs);
   }
 
@@ -36,39 +39,41 @@
     this.store.dispose();
   }
 
-  /** Both operators change their rules at once, each from what it read. */
-  async editRules(draw: RandomStream): Promise<void> {
-    await sleep(draw.nextInteger(0, 1500));
-    await Promise.all(operatorNames.map((name) => this.editOne(name)));
+  /** Lets both operators change their own rule concurrently, each from the revision that it read. */
+  async editRules(random: RandomStream): Promise<void> {
+    await sleep(random.nextInteger(0, 1500));
+    await Promise.all(operatorNames.map((name) => this.editRule(name)));
   }
 
-  /** Checks that what was accepted is in force on every proxy, and nothing else came over it. */
+  /** Checks that every proxy has the latest accepted revision and that no accepted change was overwritten. */
   async checkRollout(): Promise<void> {
     const { members } = this.context.fleet;
-    for (let i = 0; i < spreadTries; i += 1) {
-      if (members.every(({ proxy }) => proxy.report().revision >= this.greatest)) break;
-      await sleep(spreadPauseMs);
+    for (let i = 0; i < rolloutTries; i += 1) {
+      if (members.every(({ proxy }) => proxy.report().revision >= this.latestRevision)) break;
+      await sleep(rolloutPauseMs);
     }
     for (const { vm, proxy } of members) {
       const { revision } = proxy.report();
-      if (revision >= this.greatest) continue;
-      this.breach(`${vm.name} has revision ${revision}, accepted is ${this.greatest}`);
+      if (revision >= this.latestRevision) continue;
+      this.reportBreach(
+        `${vm.name} has revision ${revision}, but revision ${this.latestRevision} was accepted`,
+      );
     }
     const stored = await this.read();
     if (stored === undefined) return;
     for (const [name, value] of this.accepted) {
       const found = stored.rules.find((r) => r.name === name);
       if (value === undefined || getValue(found) === value) continue;
-      this.breach(`the accepted change of ${name} to ${value} is gone`);
+      this.reportBreach(`the accepted change of rule ${name} to ${value} was overwritten`);
     }
   }
 
-  private async editOne(name: string): Promise<void> {
+  private async editRule(name: string): Promise<void> {
     const editor = this.createEditor();
     const current = await this.read();
     if (current === undefined) return;
-    this.changes += 1;
-    const value = this.changes;
+    this.changeCount += 1;
+    const value = this.changeCount;
     const rules = [...current.rules.filter((r) => r.name !== name), buildRule(name, value)];
     const draft: Draft = { teams: current.teams, rules: sortRules(rules) };
     const change = { changeId: `${name}-${value}`, draft };
@@ -79,7 +84,7 @@
     switch (result.type) {
       case "applied":
         this.accepted.set(name, value);
-        this.greatest = Math.max(this.greatest, result.revision);
+        this.latestRevision = Math.max(this.latestRevision, result.revision);
         return;
       case "uncertain":
         this.accepted.set(name, undefined);
@@ -106,21 +111,22 @@
     });
   }
 
-  private sample(): void {
+  private sampleRevisions(): void {
     for (const { vm, proxy } of this.context.fleet.members) {
       const { revision } = proxy.report();
       const before = this.revisions.get(proxy) ?? 0;
       this.revisions.set(proxy, revision);
-      if (revision < before) this.breach(`${vm.name} went from revision ${before} to ${revision}`);
+      if (revision < before)
+        this.reportBreach(`${vm.name} went back from revision ${before} to ${revision}`);
     }
   }
 
-  private breach(what: string): void {
-    this.context.reportBreach({ description: what, subjects: [...operatorNames, "check"] });
+  private reportBreach(description: string): void {
+    this.context.reportBreach({ description, subjects: [...operatorNames, "check"] });
   }
 }
 
-/** Operators keep their rules in one order, so that two of them never dispute about it. */
+/** Sorts rules by name, so that concurrent edits never conflict over the order. */
 function sortRules(rules: readonly Rule[]): readonly Rule[] {
   return [...rules].sort((a, b) => (a.name < b.name ? -1 : 1));
 }
--- a/standin/soak/plan.ts
+++ b/standin/soak/plan.ts
@@ -1,11 +1,11 @@
 import { createRandomStream, type RandomStream } from "./random.js";
 
-/** Which target: an index counted over all groups, or whoever is primary of a group by then. */
+/** Selects a target by its index over all groups, or as the primary of a group when the fault starts. */
 export type TargetSelector =
   | { readonly type: "index"; readonly index: number }
   | { readonly type: "primary"; readonly group: number };
 
-/** One fault of the plan. `vm` is an index. */
+/** A fault to inject. `vm` is an index into the members of the fleet. */
 export type Fault =
   | { readonly type: "killTarget"; readonly target: TargetSelector }
   | { readonly type: "freezeTarget"; readonly target: TargetSelector }
@@ -28,24 +28,24 @@
   | { readonly type: "loseStoreAnswers"; readonly count: number }
   | { readonly type: "dropWatches" };
 
-/** Which way of a link is cut: towards the address, back from it, or both. */
+/** The cut direction of a link: towards its destination, back from it, or both. */
 export type CutDirection = "there" | "back" | "both";
 
-/** A fault with its times, in milliseconds since the round's beginning. */
+/** A fault with its start and end, in milliseconds since the round started. */
 export interface PlannedFault {
   readonly fault: Fault;
   readonly fromMs: number;
   readonly toMs: number;
 }
 
-/** One round: faults, then everything heals and is checked. */
+/** The faults of one round, the lag of each target, and how long sessions send statements. */
 export interface RoundPlan {
   readonly faults: readonly PlannedFault[];
   readonly lagMs: readonly number[];
   readonly workMs: number;
 }
 
-/** How many there are of what faults strike. */
+/** The numbers of groups, of targets over all groups, and of VMs that faults can affect. */
 export interface PlanSizes {
   readonly groups: number;
   readonly targets: number;
@@ -53,11 +53,11 @@
 }
 
 const maxLagMs = 500;
-const pairShare = 0.6;
-const primaryShare = 0.5;
-const roundStreams = 1000;
+const twoFaultProbability = 0.6;
+const primaryProbability = 0.5;
+const streamsPerRound = 1000;
 
-/** Every sort of fault, in the order in which rounds draw them. */
+/** Every type of fault. The order decides which type a random number selects. */
 export const faultTypes: readonly Fault["type"][] = [
   "killTarget",
   "freezeTarget",
@@ -76,42 +76,42 @@
   "dropWatches",
 ];
 
-/** Draws one round of a seed: one fault, or two at once. */
+/** Generates a round of a seed, with one fault or two. Equal arguments give equal plans. */
 export function planRound(
   seed: number,
   round: number,
   sizes: PlanSizes,
   types = faultTypes,
 ): RoundPlan {
-  const draw = createRandomStream(seed, round * roundStreams);
-  const count = draw.chance(pairShare) ? 2 : 1;
-  const faults = Array.from({ length: count }, () => drawTimes(draw, sizes, types));
-  const last = Math.max(...faults.map((f) => f.toMs));
+  const random = createRandomStream(seed, round * streamsPerRound);
+  const count = random.chance(twoFaultProbability) ? 2 : 1;
+  const faults = Array.from({ length: count }, () => generateFault(random, sizes, types));
+  const lastEndMs = Math.max(...faults.map((f) => f.toMs));
   return {
     faults,
-    lagMs: Array.from({ length: sizes.targets }, () => draw.nextInteger(0, maxLagMs)),
-    workMs: last + draw.nextInteger(200, 800),
+    lagMs: Array.from({ length: sizes.targets }, () => random.nextInteger(0, maxLagMs)),
+    workMs: lastEndMs + random.nextInteger(200, 800),
   };
 }
 
-function drawTimes(
-  draw: RandomStream,
+function generateFault(
+  random: RandomStream,
   sizes: PlanSizes,
   types: readonly Fault["type"][],
 ): PlannedFault {
-  const type = draw.pick(types);
-  const fromMs = draw.nextInteger(200, 900);
+  const type = random.pick(types);
+  const fromMs = random.nextInteger(200, 900);
   return {
-    fault: drawFault(draw, type, sizes),
+    fault: generateFaultOfType(random, type, sizes),
     fromMs,
-    toMs: fromMs + draw.nextInteger(300, 3000),
+    toMs: fromMs + random.nextInteger(300, 3000),
   };
 }
 
-function drawFault(draw: RandomStream, type: Fault["type"], sizes: PlanSizes): Fault {
-  const target = drawAim(draw, sizes);
-  const vm = draw.nextInteger(0, sizes.vms - 1);
-  const way = draw.pick<CutDirection>(["there", "back", "both"]);
+function generateFaultOfType(random: RandomStream, type: Fault["type"], sizes: PlanSizes): Fault {
+  const target = selectTarget(random, sizes);
+  const vm = random.nextInteger(0, sizes.vms - 1);
+  const way = random.pick<CutDirection>(["there", "back", "both"]);
   switch (type) {
     case "killTarget":
     case "freezeTarget":
@@ -119,13 +119,13 @@
     case "cutReplication":
       return { type, target };
     case "slowTarget":
-      return { type, target, factor: draw.nextInteger(5, 100) };
+      return { type, target, factor: random.nextInteger(5, 100) };
     case "loseCommitAnswers":
       return {
         type,
         target,
-        count: draw.nextInteger(1, 4),
-        how: draw.pick(["break", "silence"] as const),
+        count: random.nextInteger(1, 4),
+        how: random.pick(["break", "silence"] as const),
       };
     case "cutTarget":
       return { type, target, way };
@@ -139,28 +139,28 @@
     case "dropWatches":
       return { type };
     case "platformSlow":
-      return { type, ms: draw.nextInteger(100, 2000) };
+      return { type, ms: random.nextInteger(100, 2000) };
     case "loseStoreAnswers":
-      return { type, count: draw.nextInteger(1, 3) };
+      return { type, count: random.nextInteger(1, 3) };
   }
 }
 
-/** Half of the faults strike a primary: on a replica most of them change little. */
-function drawAim(draw: RandomStream, { groups, targets }: PlanSizes): TargetSelector {
-  const index = draw.nextInteger(0, targets - 1);
-  const group = draw.nextInteger(0, groups - 1);
-  return draw.chance(primaryShare) ? { type: "primary", group } : { type: "index", index };
+/** Selects a primary for half of the faults: on a replica most faults have little effect. */
+function selectTarget(random: RandomStream, { groups, targets }: PlanSizes): TargetSelector {
+  const index = random.nextInteger(0, targets - 1);
+  const group = random.nextInteger(0, groups - 1);
+  return random.chance(primaryProbability) ? { type: "primary", group } : { type: "index", index };
 }
 
-/** Writes a fault for a trace, such as `cutTarget primary=0 way=back`. */
+/** Formats a fault for a trace, such as `cutTarget primary=0 way=back`. */
 export function describeFault({ type, ...rest }: Fault): string {
   const fields = Object.entries(rest).map(
     ([name, value]: [string, TargetSelector | string | number]) =>
-      typeof value === "object" ? describeAim(value) : `${name}=${value}`,
+      typeof value === "object" ? describeSelector(value) : `${name}=${value}`,
   );
   return [type, ...fields].join(" ");
 }
 
-function describeAim(aim: TargetSelector): string {
-  return aim.type === "index" ? `target=${aim.index}` : `primary=${aim.group}`;
+function describeSelector(selector: TargetSelector): string {
+  return selector.type === "index" ? `target=${selector.index}` : `primary=${selector.group}`;
 }
--- a/standin/soak/random.ts
+++ b/standin/soak/random.ts
@@ -1,32 +1,33 @@
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** First numbers that a generator draws from a small seed, and that are all alike. */
-const dullNumbers = 16;
+/** The first numbers of a generator that is seeded with a small number are similar, so they are skipped. */
+const skippedNumbers = 16;
 const streamFactor = 7919;
 
-/** Draws of one stream of a seed. */
+/** A deterministic stream of random choices. */
 export interface RandomStream {
-  /** A whole number of [from, to]. */
+  /** Returns an integer between `from` and `to`, both included. */
   nextInteger(from: number, to: number): number;
-  pick<T>(of: readonly T[]): T;
-  /** Whether something of probability `share` happens. */
-  chance(share: number): boolean;
+  /** Returns one of the elements; throws when there is none. */
+  pick<T>(items: readonly T[]): T;
+  /** Returns true with the given probability. */
+  chance(probability: number): boolean;
 }
 
-/** Creates the draws of one stream: equal seeds and streams give equal draws. */
+/** Creates a stream: equal seeds and stream numbers give equal choices. */
 export function createRandomStream(seed: number, stream: number): RandomStream {
   const generator = xoroshiro128plus((seed * streamFactor + stream) | 0);
-  for (let i = 0; i < dullNumbers; i += 1) generator.next();
-  const whole = (from: number, to: number) =>
+  for (let i = 0; i < skippedNumbers; i += 1) generator.next();
+  const nextInteger = (from: number, to: number) =>
     from + Math.floor(uniformFloat64(generator) * (to - from + 1));
   return {
-    nextInteger: whole,
-    pick<T>(of: readonly T[]): T {
-      const picked = of[whole(0, of.length - 1)];
-      if (picked === undefined) throw new Error("nothing to pick from");
+    nextInteger,
+    pick<T>(items: readonly T[]): T {
+      const picked = items[nextInteger(0, items.length - 1)];
+      if (picked === undefined) throw new Error("cannot pick from an empty list");
       return picked;
     },
-    chance: (share) => uniformFloat64(generator) < share,
+    chance: (probability) => uniformFloat64(generator) < probability,
   };
 }
--- a/standin/soak/run.ts
+++ b/standin/soak/run.ts
@@ -14,27 +14,28 @@
 import { recordStatements, verifyTable, waitUntilConverged } from "./verify.js";
 import { Worker } from "./work.js";
 
-/** How long a run lasts and what it draws from. */
+/** The seed, the length and the faults of a run. */
 export interface SoakOptions {
   readonly seed: number;
-  /** Whether another round begins, by the rounds done. */
+  /** Whether to start another round; gets the number of completed rounds. */
   readonly shouldContinue: (rounds: number) => boolean;
-  /** Draws just these sorts of faults; all by default. */
+  /** The types of faults to choose from; all by default. */
   readonly faults?: readonly Fault["type"][];
+  /** By default 2 for even seeds and 1 for odd ones. */
   readonly groups?: number;
-  /** Takes the proxies' log lines into the trace, for finding a cause. */
+  /** Includes the log lines of the proxies in the trace. */
   readonly logs?: boolean;
-  /** Hears of each round. */
+  /** Called with a line of text after each round. */
   readonly onRound?: (line: string) => void;
 }
 
-/** What a run came to. */
+/** The result of a run. */
 export interface SoakReport {
   readonly seed: number;
   readonly rounds: number;
   readonly breaches: readonly string[];
   readonly counts: CountTable;
-  /** Of the first breaches; empty when there is none. */
+  /** The trace lines of the first breaches; empty when there is none. */
   readonly trace: string;
 }
 
@@ -42,11 +43,11 @@
 const vmCount = 3;
 const progressTries = 60;
 const progressPauseMs = 500;
-const maxTraced = 3;
+const maxTracedBreaches = 3;
 const setupTries = 30;
 const teams = ["ferrante", "school"] as const;
 
-/** Runs rounds of faults under load, and checks after each what the targets hold. */
+/** Runs rounds of faults under load; after each, compares the stored data with what callers were told. Stops at the first breach. */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const { seed, groups: groupCount = seed % 2 === 0 ? 2 : 1 } = options;
   const trace = new Trace();
@@ -108,8 +109,8 @@
     this.context = { fleet, ledger, trace, counts, drained: this.drained, reportBreach: breach };
     this.operators = new Operators(this.context);
     this.sessions = Array.from({ length: sessionCount }, (_, i) => {
-      const draw = createRandomStream(options.seed, i + 1);
-      return new Session(this.describeSession(i), this.context, draw);
+      const random = createRandomStream(options.seed, i + 1);
+      return new Session(this.describeSession(i), this.context, random);
     });
   }
 
@@ -135,23 +136,26 @@
       { groups: this.groups.length, targets, vms: vmCount },
       this.options.faults,
     );
-    const said = plan.faults.map((f) => describeFault(f.fault)).join(" + ");
+    const faultText = plan.faults.map((f) => describeFault(f.fault)).join(" + ");
     this.context.trace.clear();
-    this.context.trace.record("fault", `round ${round}, lags ${plan.lagMs.join(" ")} ms: ${said}`);
+    this.context.trace.record(
+      "fault",
+      `round ${round}, lags ${plan.lagMs.join(" ")} ms: ${faultText}`,
+    );
     setLags(this.fleet, plan.lagMs);
     const table = `booking_${round}`;
     await Promise.all(this.groups.map((g) => this.createTable(g, table)));
-    await this.workThrough(plan, round, table);
-    const healedAt = Date.now();
+    await this.runSessions(plan, round, table);
+    const faultsEndedAt = Date.now();
     await this.checkProgress(table);
     await this.operators.checkRollout();
     await this.verify(round);
-    const tookMs = Date.now() - healedAt;
-    onRound?.(`round ${round}: ${said}; settled in ${tookMs} ms`);
+    const tookMs = Date.now() - faultsEndedAt;
+    onRound?.(`round ${round}: ${faultText}; settled in ${tookMs} ms`);
   }
 
   /** Sessions, operators and faults at once; all faults are over when it resolves. */
-  private async workThrough(plan: RoundPlan, round: number, table: string): Promise<void> {
+  private async runSessions(plan: RoundPlan, round: number, table: string): Promise<void> {
     const { seed } = this.options;
     let isOver = false;
     const streams = (round + 1) * 1000;
@@ -162,7 +166,7 @@
     );
     const edits = this.operators.editRules(createRandomStream(seed, streams + sessionCount + 1));
     await Promise.all([...plan.faults.map((f) => this.runFault(f)), sleep(plan.workMs)]);
-    this.context.trace.record("fault", "all healed");
+    this.context.trace.record("fault", "all faults ended");
     isOver = true;
     await Promise.all([...work, edits]);
   }
@@ -171,13 +175,13 @@
     const { trace, counts } = this.context;
     const text = describeFault(fault);
     await sleep(fromMs);
-    const struck = getAffectedName(this.fleet, fault);
-    const key = `${fault.type} ${struck}`;
-    // The same fault twice on the same place at once is one fault.
+    const affected = getAffectedName(this.fleet, fault);
+    const key = `${fault.type} ${affected}`;
+    // A fault that is already active on the same target, proxy or platform is not injected again.
     if (this.active.has(key)) return;
     this.active.add(key);
     counts.add("faults", fault.type);
-    trace.record("fault", `begins at ${struck}: ${text}`);
+    trace.record("fault", `begins at ${affected}: ${text}`);
     const member = "vm" in fault ? this.fleet.members[fault.vm] : undefined;
     if (fault.type === "drainProxy" && member !== undefined) this.drained.add(member.proxy);
     if (fault.type === "killProxy" && member !== undefined) this.drained.delete(member.proxy);
@@ -185,63 +189,63 @@
     await sleep(toMs - fromMs);
     await end();
     this.active.delete(key);
-    trace.record("fault", `ended at ${struck}: ${text}`);
+    trace.record("fault", `ended at ${affected}: ${text}`);
   }
 
   private async createTable(group: string, table: string): Promise<void> {
     const text = `CREATE TABLE IF NOT EXISTS ${table} (id text, session text, confirmed int)`;
     if (await this.repeat(group, text, setupTries)) return;
     this.context.reportBreach({
-      description: `${group} took no table while whole`,
+      description: `no table could be created in ${group} without faults`,
       subjects: ["check"],
     });
   }
 
-  /** After healing a write lands at each group within a bounded number of tries. */
+  /** Checks that once the faults have ended, a write succeeds in each group within a bounded number of tries. */
   private async checkProgress(table: string): Promise<void> {
     for (const group of this.groups) {
       const text = `UPDATE ${table} SET confirmed = confirmed WHERE id = 'none'`;
       if (await this.repeat(group, text, progressTries)) continue;
       this.context.reportBreach({
-        description: `no write lands at ${group} after healing`,
+        description: `no write succeeds in ${group} after the faults ended`,
         subjects: ["check"],
       });
     }
   }
 
-  /** Runs an idempotent statement at each proxy until it is answered; tells whether all did. */
+  /** Repeats an idempotent statement on each proxy until it succeeds; returns whether all of them succeeded. */
   private async repeat(group: string, text: string, tries: number): Promise<boolean> {
     const results = await Promise.all(
-      this.fleet.members.map((_, i) => this.repeatAt(i, group, text, tries)),
+      this.fleet.members.map((_, i) => this.repeatOn(i, group, text, tries)),
     );
     return results.every((isAnswered) => isAnswered);
   }
 
-  private async repeatAt(i: number, group: string, text: string, tries: number): Promise<boolean> {
+  private async repeatOn(i: number, group: string, text: string, tries: number): Promise<boolean> {
     for (let n = 0; n < tries; n += 1) {
-      const why = await this.tryAt(i, group, text);
-      if (why === undefined) return true;
-      this.context.trace.record("check", `vm-${i + 1}, ${group}: ${text}: ${why}`);
+      const reason = await this.tryOn(i, group, text);
+      if (reason === undefined) return true;
+      this.context.trace.record("check", `vm-${i + 1}, ${group}: ${text}: ${reason}`);
       await sleep(progressPauseMs);
     }
     return false;
   }
 
-  /** Why a statement was not answered; undefined when it was. */
-  private async tryAt(i: number, group: string, text: string): Promise<string | undefined> {
+  /** Runs a statement once; returns why it failed, or undefined when it succeeded. */
+  private async tryOn(i: number, group: string, text: string): Promise<string | undefined> {
     const member = this.fleet.members[i];
-    if (member === undefined) return "no such VM";
+    if (member === undefined) return `no member with index ${i}`;
     try {
       const caller = await Caller.connect(member.callers, { group, team: "ferrante" });
-      const heard = await caller.runStatement({ text });
+      const outcome = await caller.runStatement({ text });
       await caller.end();
-      return heard.type === "answered" ? undefined : `${heard.type}: ${heard.why}`;
+      return outcome.type === "answered" ? undefined : `${outcome.type}: ${outcome.reason}`;
     } catch (error) {
       return String(error);
     }
   }
 
-  /** What earlier rounds wrote must stay: every table is checked again. */
+  /** Checks the tables of this and of all earlier rounds, as their rows must not change any more. */
   private async verify(round: number): Promise<void> {
     for (const group of this.fleet.cluster.groups) {
       const primary = await waitUntilConverged(group, this.context);
@@ -249,8 +253,11 @@
         await verifyTable(group.name, primary, `booking_${n}`, this.context);
       }
     }
-    for (const what of this.fleet.violations) {
-      this.context.reportBreach({ description: `invariant: ${what}`, subjects: ["check"] });
+    for (const violation of this.fleet.violations) {
+      this.context.reportBreach({
+        description: `violated invariant: ${violation}`,
+        subjects: ["check"],
+      });
     }
   }
 
@@ -262,15 +269,15 @@
 
   private report(rounds: number): SoakReport {
     const { counts, trace } = this.context;
-    const traced = this.breaches.slice(0, maxTraced);
-    const parts = [...new Set(traced.flatMap((b) => b.subjects))];
-    for (const part of parts) recordStatements(part, this.context);
+    const tracedBreaches = this.breaches.slice(0, maxTracedBreaches);
+    const subjects = [...new Set(tracedBreaches.flatMap((b) => b.subjects))];
+    for (const subject of subjects) recordStatements(subject, this.context);
     return {
       seed: this.options.seed,
       rounds,
       breaches: this.breaches.map((b) => b.description),
       counts: counts.list(),
-      trace: traced.length === 0 ? "" : formatTrace(trace.list(parts)),
+      trace: tracedBreaches.length === 0 ? "" : formatTrace(trace.list(subjects)),
     };
   }
 }
--- a/standin/soak/session.ts
+++ b/standin/soak/session.ts
@@ -4,20 +4,20 @@
 import type { RandomStream } from "./random.js";
 import type { SoakContext } from "./context.js";
 
-/** Who a session is. */
+/** Name, group and team of a session. */
 export interface SessionOptions {
   readonly name: string;
   readonly group: string;
   readonly team: string;
-  /** Whether it takes its token along when it moves. */
+  /** Whether it presents its session token when it reconnects. */
   readonly hasToken: boolean;
 }
 
 const connectTries = 200;
 const connectPauseMs = 100;
-const moveShare = 0.12;
+const reconnectProbability = 0.12;
 
-/** A session that moves between proxies; it hears what its statements came to. */
+/** A session that reconnects to random proxies, and records the outcome of each statement in the trace and the counts. */
 export class Session {
   private caller: Caller | undefined;
   private proxy: Proxy | undefined;
@@ -26,38 +26,38 @@
   constructor(
     readonly options: SessionOptions,
     private readonly context: SoakContext,
-    private readonly draw: RandomStream,
+    private readonly random: RandomStream,
   ) {}
 
-  /** Runs one statement where the session is, or at another proxy when it moves. */
+  /** Runs a statement, with a certain probability on a new connection to a randomly chosen proxy. */
   async runStatement(operation: string, statement: Statement): Promise<StatementOutcome> {
-    if (this.draw.chance(moveShare)) await this.leaveProxy();
-    return this.askOn(await this.connect(), operation, statement);
+    if (this.random.chance(reconnectProbability)) await this.leaveProxy();
+    return this.runOn(await this.connect(), operation, statement);
   }
 
-  /** Runs one statement on the connection of the one before, as a transaction must. */
+  /** Runs a statement on the connection of the previous one, as a transaction requires. */
   runOnSameConnection(operation: string, statement: Statement): Promise<StatementOutcome> {
     if (this.caller?.isUsable !== true) {
-      return Promise.resolve({ type: "notRun", why: "never sent: the connection is gone" });
+      return Promise.resolve({ type: "notRun", reason: "never sent: the connection is closed" });
     }
-    return this.askOn(this.caller, operation, statement);
+    return this.runOn(this.caller, operation, statement);
   }
 
-  /** Leaves the proxy; the next statement goes to another. */
+  /** Closes the connection; the next statement connects to a randomly chosen proxy. */
   async leaveProxy(): Promise<void> {
     const { caller } = this;
     this.caller = undefined;
     await caller?.end();
   }
 
-  /** Dies with whatever is open, as a caller that crashes does. */
+  /** Closes the connection with its transaction open, as a crashing caller does. */
   abort(): void {
     this.context.trace.record(this.options.name, "drops its connection");
     this.caller?.destroy();
     this.caller = undefined;
   }
 
-  private async askOn(
+  private async runOn(
     caller: Caller,
     operation: string,
     statement: Statement,
@@ -66,17 +66,18 @@
     const { name } = this.options;
     trace.record(
       name,
-      `asks ${this.describePlace()}: ${statement.text} ${describeValues(statement)}`,
+      `sends to ${this.describeProxy()}: ${statement.text} ${describeValues(statement)}`,
     );
-    const heard = await caller.runStatement(statement);
+    const outcome = await caller.runStatement(statement);
     this.token = caller.token ?? this.token;
     counts.add("operations", operation);
-    counts.add("heard", heard.type);
-    if (heard.type === "mayHaveRun" || heard.type === "broken") counts.add("unknown", operation);
-    if (heard.type === "failed") counts.add("sqlStates", `${operation} ${heard.code}`);
-    trace.record(name, `hears ${describeHeard(heard)}`);
-    if (heard.type === "broken") this.checkDrain(statement, heard.why);
-    return heard;
+    counts.add("heard", outcome.type);
+    if (outcome.type === "mayHaveRun" || outcome.type === "broken")
+      counts.add("unknown", operation);
+    if (outcome.type === "failed") counts.add("sqlStates", `${operation} ${outcome.code}`);
+    trace.record(name, `receives ${describeOutcome(outcome)}`);
+    if (outcome.type === "broken") this.checkDrain(statement, outcome.reason);
+    return outcome;
   }
 
   private async connect(): Promise<Caller> {
@@ -86,12 +87,14 @@
       if (caller !== undefined) return caller;
       await sleep(connectPauseMs);
     }
-    throw new Error(`${this.options.name} found no proxy`);
+    throw new Error(
+      `session ${this.options.name} could not connect to a proxy in ${connectTries} tries`,
+    );
   }
 
   private async tryConnect(): Promise<Caller | undefined> {
     const { group, team, hasToken, name } = this.options;
-    const member = this.draw.pick(this.context.fleet.members);
+    const member = this.random.pick(this.context.fleet.members);
     const { proxy, callers } = member;
     const token = hasToken ? this.token : undefined;
     try {
@@ -105,18 +108,18 @@
     }
   }
 
-  private checkDrain(statement: Statement, why: string): void {
+  private checkDrain(statement: Statement, reason: string): void {
     const { drained, reportBreach: breach } = this.context;
     if (this.proxy === undefined || !drained.has(this.proxy)) return;
     breach({
-      description: `a drain cut off: ${statement.text} (${why})`,
+      description: `a drain interrupted: ${statement.text} (${reason})`,
       subjects: [this.options.name],
     });
   }
 
-  private describePlace(): string {
+  private describeProxy(): string {
     const found = this.context.fleet.members.find((m) => m.proxy === this.proxy);
-    return found?.vm.name ?? "a proxy that is gone";
+    return found?.vm.name ?? "a proxy that was replaced";
   }
 }
 
@@ -124,14 +127,14 @@
   return values === undefined ? "" : JSON.stringify(values);
 }
 
-function describeHeard(heard: StatementOutcome): string {
-  switch (heard.type) {
+function describeOutcome(outcome: StatementOutcome): string {
+  switch (outcome.type) {
     case "answered":
-      return `${heard.tag}, ${heard.rows.length} rows`;
+      return `${outcome.tag}, ${outcome.rows.length} rows`;
     case "notRun":
     case "mayHaveRun":
     case "broken":
     case "failed":
-      return `${heard.type}: ${heard.why}`;
+      return `${outcome.type}: ${outcome.reason}`;
   }
 }
--- a/standin/soak/trace.ts
+++ b/standin/soak/trace.ts
@@ -1,48 +1,52 @@
 import type { Logger } from "../../src/log/index.js";
 
-/** One line of a run's trace. */
+/** A line of a run's trace. */
 export interface TraceLine {
+  /** Since the run started. */
   readonly atMs: number;
-  /** The session, `fault` or `check`. */
+  /** The name of a session, operator or target, or `fault`, `check` or `proxy`. */
   readonly source: string;
   readonly text: string;
 }
 
 const maxKept = 20_000;
-const lastLines = 12;
+const lastLineCount = 12;
 const alwaysListed: ReadonlySet<string> = new Set(["fault", "check", "proxy"]);
 
-/** What happened in a run, the newest lines. */
+/** Keeps the newest lines of a run, at least `maxKept` once there are as many. */
 export class Trace {
   private lines: TraceLine[] = [];
   private readonly startedAt = Date.now();
 
-  record(who: string, what: string): void {
-    this.lines.push({ atMs: Date.now() - this.startedAt, source: who, text: what });
+  record(source: string, text: string): void {
+    this.lines.push({ atMs: Date.now() - this.startedAt, source, text });
     if (this.lines.length > 2 * maxKept) this.lines = this.lines.slice(-maxKept);
   }
 
-  /** Forgets what was noted: the rounds before were checked and held. */
+  /** Removes all lines: the rounds before passed their checks. */
   clear(): void {
     this.lines = [];
   }
 
   /**
-   * Lists what a reader needs about `parts`, ids and names of who acts: faults and checks, each line
-   * that names a part with the answer after it, and the last lines of each part that acts.
+   * Lists the lines that help to explain what happened to `subjects` (ids of rows or names of
+   * sources): faults, checks and proxy logs, each line that names a subject together with the next
+   * line of the same source, and the last lines of each subject that is a source.
    */
-  list(parts: readonly string[]): readonly TraceLine[] {
+  list(subjects: readonly string[]): readonly TraceLine[] {
     const kept = new Set<TraceLine>();
-    const awaited = new Set<string>();
+    const sourcesToFollow = new Set<string>();
     for (const line of this.lines) {
-      const { source: who, text: what } = line;
-      const isNamed = parts.some((part) => what.includes(part));
-      if (isNamed || awaited.has(who) || alwaysListed.has(who)) kept.add(line);
-      if (isNamed) awaited.add(who);
-      else awaited.delete(who);
+      const { source, text } = line;
+      const isNamed = subjects.some((subject) => text.includes(subject));
+      if (isNamed || sourcesToFollow.has(source) || alwaysListed.has(source)) kept.add(line);
+      if (isNamed) sourcesToFollow.add(source);
+      else sourcesToFollow.delete(source);
     }
-    for (const part of parts) {
-      for (const line of this.lines.filter(({ source: who }) => who === part).slice(-lastLines)) {
+    for (const subject of subjects) {
+      for (const line of this.lines
+        .filter(({ source }) => source === subject)
+        .slice(-lastLineCount)) {
         kept.add(line);
       }
     }
@@ -50,7 +54,7 @@
   }
 }
 
-/** Takes a proxy's log lines into a trace. */
+/** Creates a logger that adds the log lines of proxies to a trace. */
 export function createTraceLogger(trace: Trace): Logger {
   return {
     write: (event, ...fields) => {
@@ -59,12 +63,9 @@
   };
 }
 
-/** Writes a trace for a reader: milliseconds, who, what. */
+/** Formats a trace as text: milliseconds, source and text in each line. */
 export function formatTrace(lines: readonly TraceLine[]): string {
   return lines
-    .map(
-      ({ atMs, source: who, text: what }) =>
-        `${String(atMs).padStart(8)} ms  ${who.padEnd(10)} ${what}`,
-    )
+    .map(({ atMs, source, text }) => `${String(atMs).padStart(8)} ms  ${source.padEnd(10)} ${text}`)
     .join("\n");
 }
--- a/standin/soak/verify.ts
+++ b/standin/soak/verify.ts
@@ -9,7 +9,7 @@
 const convergeTries = 300;
 const convergePauseMs = 100;
 
-/** Waits until every target of a group has the log of the one primary, and hands that back. */
+/** Waits until all targets of a group have the same log position as its primary, and returns the primary. */
 export async function waitUntilConverged(
   { name, targets }: RunningGroup,
   context: SoakContext,
@@ -21,13 +21,13 @@
   }
   for (const { member } of targets) context.trace.record("check", JSON.stringify(member.status));
   context.reportBreach({
-    description: `the targets of ${name} do not agree after healing`,
+    description: `the targets of ${name} do not converge after the faults ended`,
     subjects: ["check"],
   });
-  return findPrimary(targets) ?? fail(`${name} has no target`);
+  return findPrimary(targets) ?? fail(`group ${name} has no primary`);
 }
 
-/** Holds a table of a group, as its primary has it, against what callers were told. */
+/** Compares a table on the primary of a group with the outcomes that callers were told. */
 export async function verifyTable(
   group: string,
   primary: StandinTarget,
@@ -43,13 +43,13 @@
   }
 }
 
-/** Notes which targets ran statements that name `part`, and what became of them. */
-export function recordStatements(part: string, context: SoakContext): void {
+/** Adds the statements that contain `subject` to the trace, with the target that ran them and their result. */
+export function recordStatements(subject: string, context: SoakContext): void {
   for (const { targets } of context.fleet.cluster.groups) {
     for (const { name, statements } of targets) {
-      for (const { text, connection, fate } of statements.list(part)) {
-        const what = `connection ${connection}: ${text} → ${JSON.stringify(fate)}`;
-        context.trace.record(name, what);
+      for (const { text, connection, fate } of statements.list(subject)) {
+        const line = `connection ${connection}: ${text} → ${JSON.stringify(fate)}`;
+        context.trace.record(name, line);
       }
     }
   }
@@ -71,7 +71,7 @@
   }
 }
 
-/** The target that is primary in the newest term, as the targets themselves have it. */
+/** Finds the primary of the newest term by the status of the targets; undefined when none is primary. */
 export function findPrimary(targets: readonly StandinTarget[]): StandinTarget | undefined {
   const primaries = targets.filter((t) => t.member.status.role === "primary");
   return primaries.reduce<StandinTarget | undefined>(
@@ -88,6 +88,6 @@
   return formatMark(a.status.mark) === formatMark(b.status.mark);
 }
 
-function fail(why: string): never {
-  throw new Error(why);
+function fail(reason: string): never {
+  throw new Error(reason);
 }
--- a/standin/soak/work.ts
+++ b/standin/soak/work.ts
@@ -32,7 +32,7 @@
 const largeRepeats = 40_000;
 const seriesRows = 400;
 
-/** Does a session's work in one round, on the round's table. */
+/** Runs random operations of one session during one round, on the table of the round. */
 export class Worker {
   private readonly own: Booking[] = [];
   private counter = 0;
@@ -40,20 +40,20 @@
   constructor(
     private readonly session: Session,
     private readonly context: SoakContext,
-    private readonly draw: RandomStream,
+    private readonly random: RandomStream,
     private readonly table: string,
   ) {}
 
-  /** Works until told to stop; a keyed write is repeated until it is answered even then. */
+  /** Runs operations until `isOver`. A keyed write in progress is still repeated until it is acknowledged. */
   async run(isOver: () => boolean): Promise<void> {
     while (!isOver()) {
-      await this.runOne(this.draw.pick(operations));
-      await sleep(this.draw.nextInteger(2, 25));
+      await this.runOperation(this.random.pick(operations));
+      await sleep(this.random.nextInteger(2, 25));
     }
     await this.session.leaveProxy();
   }
 
-  private runOne(operation: Operation): Promise<void> {
+  private runOperation(operation: Operation): Promise<void> {
     switch (operation) {
       case "reserve":
         return this.reserve();
@@ -82,7 +82,7 @@
 
   private async reserve(): Promise<void> {
     const booking = this.addBooking();
-    this.settle(
+    this.recordResult(
       booking,
       await this.session.runStatement("reserve", { text: this.buildInsert(booking) }),
     );
@@ -92,16 +92,16 @@
     const booking = this.addBooking();
     const text = `${this.buildInsert(booking)} /*idempotency_key='${booking.id}'*/`;
     for (let i = 0; i < keyedTries; i += 1) {
-      const heard = await this.session.runStatement("reserveKeyed", { text });
-      if (heard.type === "answered") {
-        this.setFate(booking, "landed");
+      const result = await this.session.runStatement("reserveKeyed", { text });
+      if (result.type === "answered") {
+        this.setOutcome(booking, "landed");
         return;
       }
       await sleep(keyedPauseMs);
     }
-    const what = `${booking.id} was not answered in ${keyedTries} tries`;
+    const description = `keyed write of row ${booking.id} was not acknowledged in ${keyedTries} tries`;
     this.context.reportBreach({
-      description: what,
+      description,
       subjects: [booking.id, this.session.options.name],
     });
   }
@@ -110,24 +110,24 @@
     const booking = this.addBooking();
     const text = `INSERT INTO ${this.table} (id, session, confirmed) VALUES ($1, $2, 0)`;
     const values = [booking.id, booking.session];
-    this.settle(
+    this.recordResult(
       booking,
       await this.session.runStatement("reservePrepared", { name: "add", text, values }),
     );
   }
 
   private async confirm(): Promise<void> {
-    const landed = this.listLanded();
-    if (landed.length === 0) return;
-    const booking = this.draw.pick(landed);
+    const stored = this.listStoredRows();
+    if (stored.length === 0) return;
+    const booking = this.random.pick(stored);
     const text = `UPDATE ${this.table} SET confirmed = confirmed + 1 WHERE id = '${booking.id}'`;
     booking.uncertain += 1;
-    const fate = findFate(await this.session.runStatement("confirm", { text }));
-    if (fate !== "unknown") booking.uncertain -= 1;
-    if (fate === "landed") booking.confirmed += 1;
+    const outcome = toWriteOutcome(await this.session.runStatement("confirm", { text }));
+    if (outcome !== "unknown") booking.uncertain -= 1;
+    if (outcome === "landed") booking.confirmed += 1;
   }
 
-  /** Both rows or none; a caller that dies before its `COMMIT` leaves none. */
+  /** Inserts two rows in a transaction. A caller that disconnects before its `COMMIT` must leave neither. */
   private async transact(isAbandoned: boolean): Promise<void> {
     const first = this.addBooking();
     const second = this.addBooking(first.transactionId);
@@ -135,22 +135,22 @@
     const isFilled = await this.fillTransaction(operation, [first, second]);
     if (!isFilled || isAbandoned) {
       this.session.abort();
-      this.settleBoth(first, second, "absent");
+      this.setBothOutcomes(first, second, "absent");
       return;
     }
-    const heard = await this.session.runOnSameConnection(operation, { text: "COMMIT" });
-    const isRolledBack = heard.type === "answered" && heard.tag === "ROLLBACK";
-    this.settleBoth(first, second, isRolledBack ? "absent" : findFate(heard));
+    const result = await this.session.runOnSameConnection(operation, { text: "COMMIT" });
+    const isRolledBack = result.type === "answered" && result.tag === "ROLLBACK";
+    this.setBothOutcomes(first, second, isRolledBack ? "absent" : toWriteOutcome(result));
   }
 
   private async fillTransaction(operation: string, rows: readonly Booking[]): Promise<boolean> {
-    const begun = await this.session.runStatement(operation, { text: "BEGIN" });
-    if (begun.type !== "answered") return false;
+    const started = await this.session.runStatement(operation, { text: "BEGIN" });
+    if (started.type !== "answered") return false;
     for (const row of rows) {
-      const heard = await this.session.runOnSameConnection(operation, {
+      const result = await this.session.runOnSameConnection(operation, {
         text: this.buildInsert(row),
       });
-      if (heard.type !== "answered") return false;
+      if (result.type !== "answered") return false;
     }
     return true;
   }
@@ -163,8 +163,8 @@
   }
 
   /**
-   * A stale read may be old, but not older than what its own session wrote. A rule that states an
-   * age has accepted older data for sessions that show no token: of those nothing is demanded.
+   * Runs a stale read, which must still reflect the writes of its own session. A session without a
+   * token may read older data under a rule with a maximum age, so nothing is checked for it.
    */
   private browse(): Promise<void> {
     return this.readChecked("browse", "/*kind='browse'*/", {});
@@ -172,47 +172,52 @@
 
   private async readChecked(operation: string, rest: string, values: Values): Promise<void> {
     const { name, hasToken } = this.session.options;
-    const isBound = hasToken || operation === "readOwn";
-    const known = isBound ? this.listLanded().map(({ id, confirmed }) => ({ id, confirmed })) : [];
-    const nonce = this.makeNonce();
+    const isChecked = hasToken || operation === "readOwn";
+    const known = isChecked
+      ? this.listStoredRows().map(({ id, confirmed }) => ({ id, confirmed }))
+      : [];
+    const nonce = this.createNonce();
     const text = `SELECT id, confirmed, '${nonce}' AS nonce FROM ${this.table} ${rest}`;
-    const heard = await this.session.runStatement(operation, { text, ...values });
-    // A session that came without a token sees what was acknowledged before, so the round's table.
+    const result = await this.session.runStatement(operation, { text, ...values });
+    // A session without a token sees everything acknowledged before, so also the table of this round.
     const mustSeeTable = known.length > 0 || (operation === "readOwn" && !hasToken);
-    if (mustSeeTable && heard.type === "failed" && heard.code === undefinedTable) {
-      const what = `${operation}: a read misses a table that was there before`;
-      this.context.reportBreach({ description: what, subjects: [known[0]?.id ?? name, name] });
+    if (mustSeeTable && result.type === "failed" && result.code === undefinedTable) {
+      const description = `${operation}: a read misses a table that was created before`;
+      this.context.reportBreach({
+        description,
+        subjects: [known[0]?.id ?? name, name],
+      });
     }
-    if (heard.type !== "answered") return;
-    this.checkNonces(nonce, heard.rows);
+    if (result.type !== "answered") return;
+    this.checkNonces(nonce, result.rows);
     const isAbsent = (id: string) => this.context.ledger.find(id)?.outcome === "absent";
-    const read = heard.rows.map((r) => ({ id: String(r.id), confirmed: Number(r.confirmed) }));
+    const read = result.rows.map((r) => ({ id: String(r.id), confirmed: Number(r.confirmed) }));
     for (const breach of checkOwnRead(known, isAbsent, read)) {
-      const what = `${operation}: ${breach.description}`;
-      this.context.reportBreach({ description: what, subjects: [...breach.subjects, name] });
+      const description = `${operation}: ${breach.description}`;
+      this.context.reportBreach({ description, subjects: [...breach.subjects, name] });
     }
   }
 
   private async readLarge(): Promise<void> {
-    const nonce = this.makeNonce();
+    const nonce = this.createNonce();
     const text = `SELECT repeat('${nonce}|', ${largeRepeats}) AS body`;
-    const heard = await this.session.runStatement("readLarge", { text });
-    if (heard.type !== "answered") return;
-    const isWhole = heard.rows[0]?.body === `${nonce}|`.repeat(largeRepeats);
-    if (!isWhole || heard.rows.length !== 1) this.breakAnswer(nonce);
+    const result = await this.session.runStatement("readLarge", { text });
+    if (result.type !== "answered") return;
+    const isComplete = result.rows[0]?.body === `${nonce}|`.repeat(largeRepeats);
+    if (!isComplete || result.rows.length !== 1) this.reportWrongAnswer(nonce);
   }
 
   private async readSeries(): Promise<void> {
-    const nonce = this.makeNonce();
+    const nonce = this.createNonce();
     const text = `SELECT i, '${nonce}' AS nonce FROM generate_series(1, ${seriesRows}) AS i`;
-    const heard = await this.session.runStatement("readSeries", { text });
-    if (heard.type !== "answered") return;
-    this.checkNonces(nonce, heard.rows);
-    const isWhole = heard.rows.every((row, i) => Number(row.i) === i + 1);
-    if (!isWhole || heard.rows.length !== seriesRows) this.breakAnswer(nonce);
+    const result = await this.session.runStatement("readSeries", { text });
+    if (result.type !== "answered") return;
+    this.checkNonces(nonce, result.rows);
+    const isComplete = result.rows.every((row, i) => Number(row.i) === i + 1);
+    if (!isComplete || result.rows.length !== seriesRows) this.reportWrongAnswer(nonce);
   }
 
-  private addBooking(unit?: string): Booking {
+  private addBooking(transactionId?: string): Booking {
     const { name, group } = this.session.options;
     this.counter += 1;
     const id = `${this.table}-${name}-${this.counter}`;
@@ -222,7 +227,7 @@
       session: name,
       group,
       table,
-      transactionId: unit ?? id,
+      transactionId: transactionId ?? id,
     });
     this.own.push(booking);
     return booking;
@@ -232,45 +237,45 @@
     return `INSERT INTO ${this.table} (id, session, confirmed) VALUES ('${id}', '${session}', 0)`;
   }
 
-  private listLanded(): readonly Booking[] {
+  private listStoredRows(): readonly Booking[] {
     return this.own.filter((b) => b.outcome === "landed");
   }
 
-  private settle(booking: Booking, heard: StatementOutcome): void {
-    this.setFate(booking, findFate(heard));
+  private recordResult(booking: Booking, result: StatementOutcome): void {
+    this.setOutcome(booking, toWriteOutcome(result));
   }
 
-  private settleBoth(first: Booking, second: Booking, fate: WriteOutcome): void {
-    this.setFate(first, fate);
-    this.setFate(second, fate);
+  private setBothOutcomes(first: Booking, second: Booking, outcome: WriteOutcome): void {
+    this.setOutcome(first, outcome);
+    this.setOutcome(second, outcome);
   }
 
-  private setFate(booking: Booking, fate: WriteOutcome): void {
-    booking.outcome = fate;
-    this.context.counts.add("writes", fate);
+  private setOutcome(booking: Booking, outcome: WriteOutcome): void {
+    booking.outcome = outcome;
+    this.context.counts.add("writes", outcome);
   }
 
-  private makeNonce(): string {
+  private createNonce(): string {
     this.counter += 1;
     return `n-${this.session.options.name}-${this.counter}`;
   }
 
   private checkNonces(nonce: string, rows: readonly Row[]): void {
-    if (rows.some((row) => row.nonce !== nonce)) this.breakAnswer(nonce);
+    if (rows.some((row) => row.nonce !== nonce)) this.reportWrongAnswer(nonce);
   }
 
-  private breakAnswer(nonce: string): void {
+  private reportWrongAnswer(nonce: string): void {
     const parts = [this.session.options.name];
     this.context.reportBreach({
-      description: `the answer to ${nonce} is not whole or not its own`,
+      description: `the answer to ${nonce} is incomplete or belongs to another statement`,
       subjects: parts,
     });
   }
 }
 
-/** What a caller may take for granted of a write after what it heard. */
-function findFate(heard: StatementOutcome): WriteOutcome {
-  switch (heard.type) {
+/** Derives whether a write must be stored from the outcome of its statement. */
+function toWriteOutcome(result: StatementOutcome): WriteOutcome {
+  switch (result.type) {
     case "answered":
       return "landed";
     case "notRun":
@@ -279,11 +284,11 @@
     case "broken":
       return "unknown";
     case "failed":
-      return isPlainFailure(heard.code) ? "absent" : "unknown";
+      return isStatementError(result.code) ? "absent" : "unknown";
   }
 }
 
-/** An error of the statement itself undoes it; one of the connection or the server may not. */
-function isPlainFailure(code: string): boolean {
+/** Whether an SQLSTATE means that the statement had no effect. Errors of the connection or the server don't. */
+function isStatementError(code: string): boolean {
   return !code.startsWith("08") && !code.startsWith("57") && !code.startsWith("58");
 }
--- a/test/soak/checks.test.ts
+++ b/test/soak/checks.test.ts
@@ -13,18 +13,28 @@
 
 const row = { id: "b1", confirmed: 0 };
 
-// The checks decide about the product, so each is shown what it must object to.
+// Each check must report the violation that it exists for, and accept correct data.
 test.each([
-  ["an answered write that is lost", makeBooking("landed"), [], 1],
-  ["an answered write that is there twice", makeBooking("landed"), [row, row], 1],
-  ["a write of unknown fate that is there twice", makeBooking("unknown"), [row, row], 1],
-  ["a write that was not run and is there", makeBooking("absent"), [row], 1],
-  ["a confirmation that is lost", makeBooking("landed", { confirmed: 1 }), [row], 1],
-  ["a confirmation that ran and was not to", makeBooking("landed"), [{ ...row, confirmed: 1 }], 1],
-  ["an answered write that is there", makeBooking("landed"), [row], 0],
-  ["a write of unknown fate that is not there", makeBooking("unknown"), [], 0],
+  ["reports an acknowledged write that is not stored", makeBooking("landed"), [], 1],
+  ["reports an acknowledged write that is stored twice", makeBooking("landed"), [row, row], 1],
   [
-    "a confirmation that may have run",
+    "reports a write of unknown outcome that is stored twice",
+    makeBooking("unknown"),
+    [row, row],
+    1,
+  ],
+  ["reports a write that was not run but is stored", makeBooking("absent"), [row], 1],
+  ["reports a lost confirmation", makeBooking("landed", { confirmed: 1 }), [row], 1],
+  [
+    "reports a confirmation that was never sent",
+    makeBooking("landed"),
+    [{ ...row, confirmed: 1 }],
+    1,
+  ],
+  ["accepts an acknowledged write that is stored", makeBooking("landed"), [row], 0],
+  ["accepts a write of unknown outcome that is not stored", makeBooking("unknown"), [], 0],
+  [
+    "accepts a confirmation that may have run",
     makeBooking("landed", { uncertain: 1 }),
     [{ ...row, confirmed: 1 }],
     0,
@@ -33,15 +43,15 @@
   expect(checkStored([booking], stored)).toHaveLength(breaches);
 });
 
-test("a transaction that is there in part is found", () => {
+test("a partly stored transaction is reported", () => {
   const first = { ...makeBooking("unknown"), transactionId: "u1" };
   const second = { ...first, id: "b2" };
   expect(checkStored([first, second], [row])).toEqual([
-    { description: "transaction u1 is there in part", subjects: ["u1"] },
+    { description: "transaction u1 is stored only in part", subjects: ["u1"] },
   ]);
 });
 
-test("a read that misses its session's write, or shows one that was not run, is found", () => {
+test("a read that misses a write of its session, or shows one that was not run, is reported", () => {
   const isAbsent = (id: string) => id === "b2";
   const known = [{ id: "b1", confirmed: 1 }];
   const seen = { id: "b1", confirmed: 1 };
@@ -51,29 +61,29 @@
   expect(checkOwnRead(known, isAbsent, [seen, { id: "b2", confirmed: 0 }])).toHaveLength(1);
 });
 
-test("a seed draws the same plan each time, and every sort of fault in some round", () => {
+test("a seed always gives the same plan, and every type of fault occurs in some round", () => {
   const sizes = { groups: 1, targets: 3, vms: 3 };
-  const draw = () => Array.from({ length: 100 }, (_, round) => planRound(7, round, sizes));
-  expect(draw()).toEqual(draw());
-  const types = draw().flatMap((plan) => plan.faults.map((f) => f.fault.type));
+  const generatePlans = () => Array.from({ length: 100 }, (_, round) => planRound(7, round, sizes));
+  expect(generatePlans()).toEqual(generatePlans());
+  const types = generatePlans().flatMap((plan) => plan.faults.map((f) => f.fault.type));
   expect(new Set(types).size).toBe(15);
   expect(describeFault({ type: "cutPeer", vm: 1, way: "back" })).toBe("cutPeer vm=1 way=back");
 });
 
-test("a trace lists faults, and statements about an id with what the caller heard", () => {
+test("a trace lists faults, and statements that contain an id with their outcomes", () => {
   const trace = new Trace();
-  trace.record("s1", "asks: INSERT b1");
-  trace.record("s2", "asks: SELECT");
+  trace.record("s1", "sends: INSERT b1");
+  trace.record("s2", "sends: SELECT");
   trace.record("fault", "begins");
-  trace.record("s1", "hears INSERT");
-  expect(trace.list(["b1"]).map(({ text: what }) => what)).toEqual([
-    "asks: INSERT b1",
+  trace.record("s1", "receives INSERT");
+  expect(trace.list(["b1"]).map(({ text }) => text)).toEqual([
+    "sends: INSERT b1",
     "begins",
-    "hears INSERT",
+    "receives INSERT",
   ]);
 });
 
-test("a ledger counts fates and finds rows by id", () => {
+test("a ledger counts outcomes and finds rows by id", () => {
   const ledger = new Ledger();
   ledger.add({ id: "b1", session: "s1", group: "g", table: "t", transactionId: "b1" }).outcome =
     "landed";
--- a/test/soak/soak.test.ts
+++ b/test/soak/soak.test.ts
@@ -2,16 +2,16 @@
 import { runSoak } from "../../standin/soak/index.js";
 
 const rounds = 2;
-/** No bound on speed: a busy machine may take long over what must hold all the same. */
-const patienceMs = 120_000;
+/** Not a limit on speed: the checks must also pass on a slow machine. */
+const testTimeoutMs = 120_000;
 
-// Each seed draws its faults and its callers' work. The callers heard verdicts; the targets hold rows.
-// They must agree after every round, whatever order the machine ran things in.
+// Each seed determines the faults and the operations of the sessions. After every round the stored rows
+// must agree with the verdicts that callers received, whatever the timing of the run.
 test.each([
   { seed: 3, faults: ["freezeTarget"] as const },
   { seed: 6, faults: undefined },
 ])(
-  "what callers were told holds after faults: seed $seed",
+  "stored rows agree with the verdicts after faults: seed $seed",
   async ({ seed, faults }) => {
     const report = await runSoak({
       seed,
@@ -21,5 +21,5 @@
     expect(report.trace).toBe("");
     expect(report).toMatchObject({ breaches: [], rounds });
   },
-  patienceMs,
+  testTimeoutMs,
 );
