--- a/standin/direct/group.ts
+++ b/standin/direct/group.ts
@@ -1,25 +1,25 @@
-/** One commit of a group's log. */
+/** A commit in the log of a group. */
 export interface StandinCommit {
   readonly term: number;
   readonly number: number;
   readonly writes: readonly { readonly id: string; readonly item: string; readonly data: string }[];
 }
 
-/** What a member knows of itself. */
+/** The state of a member of a group. */
 export interface StandinMember {
   readonly id: string;
   role: "primary" | "replica";
   term: number;
-  /** The newest term that it was told of. */
+  /** The newest term that it knows of, which may be above the term of its log. */
   heldTerm: number;
   log: readonly StandinCommit[];
   isReceiving: boolean;
 }
 
-/** A group's log on its members, without a network: copying is a call. */
+/** The replicated log of a group. Replication is a method call and uses no network. */
 export class StandinLog {
   readonly members = new Map<string, StandinMember>();
-  /** Whether commits reach the replicas at once. */
+  /** Whether each commit is replicated immediately; otherwise only by `copy`. */
   isCopying = true;
 
   add(id: string, role: "primary" | "replica"): StandinMember {
@@ -35,7 +35,7 @@
     return member;
   }
 
-  /** Appends to a primary's log; gives its position. */
+  /** Appends a commit to the log of a primary; does nothing without writes. */
   commit(member: StandinMember, writes: StandinCommit["writes"]): void {
     if (writes.length === 0) return;
     const commit = { term: member.term, number: member.log.length + 1, writes };
@@ -43,7 +43,7 @@
     if (this.isCopying) this.copy();
   }
 
-  /** Brings every receiving replica of the newest primary up to date. */
+  /** Replaces the log of every receiving replica by that of the primary of the newest term. */
   copy(): void {
     const primary = this.findPrimary();
     if (primary === undefined) return;
@@ -54,13 +54,13 @@
     }
   }
 
-  /** The primary of the newest term. */
+  /** Returns the primary of the newest term, or undefined when no member is primary. */
   findPrimary(): StandinMember | undefined {
     const primaries = [...this.members.values()].filter((m) => m.role === "primary");
     return primaries.sort((a, b) => b.term - a.term)[0];
   }
 
-  /** Makes a member lead the next term with what it has. */
+  /** Makes a member the primary of a new term, with the log that it has. False when it does not exist. */
   promote(id: string): boolean {
     const member = this.members.get(id);
     if (member === undefined) return false;
@@ -75,7 +75,7 @@
   }
 }
 
-/** The position of a member's log. */
+/** Formats the end position of a member's log as `term.number`. */
 export function formatLogPosition(member: StandinMember): string {
   const last = member.log.at(-1);
   return `${last?.term ?? member.term}.${last?.number ?? 0}`;
--- a/standin/direct/store.ts
+++ b/standin/direct/store.ts
@@ -7,7 +7,7 @@
   readonly spec: unknown;
 }
 
-/** An order to promote that the platform's API got. */
+/** A promotion request that the platform API received. */
 export interface StandinOrder {
   readonly service: string;
   readonly id: string;
@@ -16,20 +16,20 @@
 }
 
 /**
- * The metadata store and the API for singleton duties, in this process. Both answer on one address;
- * paths tell them apart.
+ * An in-process metadata store and platform API for promotions. Both listen on one address and
+ * differ by path.
  */
 export class StandinMetadata implements Disposable {
-  private readonly kinds = new Map<string, Map<string, Entry>>();
+  private readonly entriesByKind = new Map<string, Map<string, Entry>>();
   private revision = 1;
   private server: Server | undefined;
   private readonly sockets = new Set<Socket>();
   readonly orders: StandinOrder[] = [];
-  /** Answers everything with 503. */
+  /** While true, answers every request with 503. */
   isBusy = false;
-  /** Writes that are done and not answered. */
+  /** The number of further writes that are applied but whose connection is closed without a response. */
   loseAnswers = 0;
-  /** Carries an order out; false when the target does not run. */
+  /** Executes a promotion; returns false when the target is not running, which gives a 409. */
   onPromote: (service: string, id: string) => boolean = () => true;
   address: Address = { host: "127.0.0.1", port: 0 };
 
@@ -40,9 +40,9 @@
       socket.on("close", () => this.sockets.delete(socket));
     });
     await new Promise<void>((resolve) => server.listen(this.address.port, "127.0.0.1", resolve));
-    const bound = server.address();
-    if (bound !== null && typeof bound === "object") {
-      this.address = { host: "127.0.0.1", port: bound.port };
+    const boundAddress = server.address();
+    if (boundAddress !== null && typeof boundAddress === "object") {
+      this.address = { host: "127.0.0.1", port: boundAddress.port };
     }
     this.server = server;
   }
@@ -54,25 +54,25 @@
     if (server !== undefined) await new Promise((resolve) => server.close(resolve));
   }
 
-  /** Writes as the operator or a target does. */
+  /** Writes an entry directly, as an operator or a target would. */
   set(kind: string, name: string, spec: unknown): void {
     this.revision += 1;
-    this.open(kind).set(name, { meta: { name, revision: this.revision }, spec });
+    this.getEntries(kind).set(name, { meta: { name, revision: this.revision }, spec });
   }
 
   remove(kind: string, name: string): void {
     this.revision += 1;
-    this.open(kind).delete(name);
+    this.getEntries(kind).delete(name);
   }
 
   find(kind: string, name: string): unknown {
-    return this.open(kind).get(name)?.spec;
+    return this.getEntries(kind).get(name)?.spec;
   }
 
-  private open(kind: string): Map<string, Entry> {
-    const known = this.kinds.get(kind) ?? new Map<string, Entry>();
-    this.kinds.set(kind, known);
-    return known;
+  private getEntries(kind: string): Map<string, Entry> {
+    const existing = this.entriesByKind.get(kind) ?? new Map<string, Entry>();
+    this.entriesByKind.set(kind, existing);
+    return existing;
   }
 
   private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -109,7 +109,7 @@
   }
 
   private read(kind: string, name: string | undefined): readonly [number, unknown] {
-    const entries = this.open(kind);
+    const entries = this.getEntries(kind);
     if (name === undefined) {
       const items = [...entries.values()];
       return [200, { items, "has-more": false, "current-rev": this.revision }];
@@ -119,9 +119,9 @@
   }
 
   private delete(kind: string, name: string, revision: number): readonly [number, unknown] {
-    const known = this.open(kind).get(name);
-    if (known === undefined) return [404, {}];
-    if (known.meta.revision !== revision) return [409, known];
+    const existing = this.getEntries(kind).get(name);
+    if (existing === undefined) return [404, {}];
+    if (existing.meta.revision !== revision) return [409, existing];
     this.remove(kind, name);
     return [200, {}];
   }
@@ -133,15 +133,15 @@
     body: Readonly<Record<string, unknown>>,
   ): readonly [number, unknown] {
     const meta = body.meta as { readonly name: string; readonly revision?: number };
-    const known = this.open(kind).get(name ?? meta.name);
+    const existing = this.getEntries(kind).get(name ?? meta.name);
     const isStale =
-      method === "POST" ? known !== undefined : known?.meta.revision !== meta.revision;
-    if (isStale) return known === undefined ? [404, {}] : [409, known];
-    if (known !== undefined && JSON.stringify(known.spec) === JSON.stringify(body.spec)) {
-      return [200, known];
+      method === "POST" ? existing !== undefined : existing?.meta.revision !== meta.revision;
+    if (isStale) return existing === undefined ? [404, {}] : [409, existing];
+    if (existing !== undefined && JSON.stringify(existing.spec) === JSON.stringify(body.spec)) {
+      return [200, existing];
     }
     this.set(kind, meta.name, body.spec);
-    return [200, this.open(kind).get(meta.name)];
+    return [200, this.getEntries(kind).get(meta.name)];
   }
 
   private promote(
--- a/standin/direct/target.ts
+++ b/standin/direct/target.ts
@@ -2,39 +2,42 @@
 import type { Address, Disposable } from "../../src/model/index.js";
 import { formatLogPosition, type StandinLog, type StandinMember } from "./group.js";
 
-/** A statement that a target ran. */
+/** A statement that a target executed. */
 export interface StandinRun {
   readonly id: string;
   readonly text: string;
-  /** The values of the connection at that time. */
+  /** The values that `SET` had given the connection at that time. */
   readonly values: Readonly<Record<string, string>>;
-  /** Numbers the connection's transactions; 0 outside one. */
+  /** The number of the transaction, counted over the target; 0 outside a transaction. */
   readonly transaction: number;
   readonly connection: number;
-  /** Whom the connection was opened for. */
+  /** The team of the connection, from its STARTUP request. */
   readonly team: string;
 }
 
-/** What a stand-in target may be told. */
+/** Options of a stand-in target. */
 export interface StandinTargetOptions {
   readonly service: string;
+  /** Default 16. */
   readonly maxConnections?: number;
-  /** Statements at once; more are turned away. */
+  /** Concurrent statements; further ones are refused as busy. Default 2. */
   readonly slots?: number;
+  /** How long a statement holds its slot. Default 0. */
   readonly workMs?: number;
 }
 
-/** Faults that a test sets and clears. */
+/** Faults that a test injects and clears. */
 export interface StandinTargetFaults {
-  /** Runs statements whose text matches, and never answers. */
+  /** Statements that match are executed but never answered. */
   loseAnswer: RegExp | undefined;
-  /** Turns this many statements away. */
+  /** The number of further statements to refuse as busy. */
   busy: number;
-  /** Answers nothing at all. */
+  /** While true, no request is answered. */
   isSilent: boolean;
 }
 
-interface Line {
+/** The state of one connection. */
+interface LineSession {
   readonly values: Map<string, string>;
   readonly prepared: Map<string, string>;
   readonly number: number;
@@ -43,7 +46,7 @@
   hasFailed: boolean;
   isStarted: boolean;
   team: string;
-  rest: string;
+  unparsed: string;
 }
 
 interface Write {
@@ -54,20 +57,20 @@
 
 type Answer = readonly string[];
 
-/** A target that speaks lines, on a log shared with the other members of its group. */
+/** A stand-in target with a text protocol, on a log that it shares with the other members of its group. */
 export class StandinLineTarget implements Disposable {
   readonly runs: StandinRun[] = [];
   readonly faults: StandinTargetFaults = { loseAnswer: undefined, busy: 0, isSilent: false };
   readonly member: StandinMember;
   private server: Server | undefined;
   private readonly sockets = new Set<Socket>();
-  private running = 0;
-  /** Connections that were refused because there were too many. */
+  private runningCount = 0;
+  /** The number of connections refused because of `maxConnections`. */
   refusedConnections = 0;
   private connections = 0;
   private transactions = 0;
   address: Address = { host: "127.0.0.1", port: 0 };
-  /** Milliseconds since the epoch, as the target says it of itself. */
+  /** The start time of the target, in milliseconds since the epoch. */
   startedAt = Date.now();
 
   constructor(
@@ -86,14 +89,14 @@
   async start(): Promise<void> {
     const server = createServer((socket) => this.accept(socket));
     await new Promise<void>((resolve) => server.listen(this.address.port, "127.0.0.1", resolve));
-    const bound = server.address();
-    if (bound !== null && typeof bound === "object") {
-      this.address = { host: "127.0.0.1", port: bound.port };
+    const boundAddress = server.address();
+    if (boundAddress !== null && typeof boundAddress === "object") {
+      this.address = { host: "127.0.0.1", port: boundAddress.port };
     }
     this.server = server;
   }
 
-  /** Breaks every connection and takes no more, as a crash does. */
+  /** Closes every connection and the listening socket, as a crash does. */
   async crash(): Promise<void> {
     const { server } = this;
     this.server = undefined;
@@ -101,7 +104,7 @@
     if (server !== undefined) await new Promise((resolve) => server.close(resolve));
   }
 
-  /** Starts again under its name and address, with nothing of what it held. */
+  /** Restarts under the same id and address with an empty log. */
   async startEmpty(): Promise<void> {
     await this.crash();
     this.member.log = [];
@@ -116,7 +119,7 @@
   private accept(socket: Socket): void {
     this.sockets.add(socket);
     this.connections += 1;
-    const line: Line = {
+    const session: LineSession = {
       values: new Map(),
       prepared: new Map(),
       number: this.connections,
@@ -124,26 +127,28 @@
       hasFailed: false,
       isStarted: false,
       team: "",
-      rest: "",
+      unparsed: "",
     };
     socket.on("error", () => undefined);
     socket.on("close", () => this.sockets.delete(socket));
     socket.on("data", (chunk: Buffer) => {
-      const lines = (line.rest + chunk.toString("latin1")).split("\r\n");
-      line.rest = lines.pop() ?? "";
-      for (const text of lines) void this.answer(socket, line, text);
+      const lines = (session.unparsed + chunk.toString("latin1")).split("\r\n");
+      session.unparsed = lines.pop() ?? "";
+      for (const text of lines) void this.answer(socket, session, text);
     });
   }
 
-  private async answer(socket: Socket, line: Line, text: string): Promise<void> {
+  private async answer(socket: Socket, session: LineSession, text: string): Promise<void> {
     if (this.faults.isSilent) return;
-    const answer = line.isStarted ? await this.runQuery(line, text) : this.open(line, text);
+    const answer = session.isStarted
+      ? await this.runQuery(session, text)
+      : this.open(session, text);
     if (answer === undefined) return;
     if (!socket.destroyed) socket.write(answer.map((part) => `${part}\r\n`).join(""), "latin1");
-    if (!line.isStarted) socket.end();
+    if (!session.isStarted) socket.end();
   }
 
-  private open(line: Line, text: string): Answer {
+  private open(session: LineSession, text: string): Answer {
     const [verb, service, team = "", id] = text.split(" ");
     if (verb !== "STARTUP") return ["ERROR MALFORMED no start"];
     if (service !== this.options.service || (id !== undefined && id !== this.id)) {
@@ -153,164 +158,173 @@
       this.refusedConnections += 1;
       return ["ERROR TOOMANYCON full"];
     }
-    line.isStarted = true;
-    line.team = team;
-    return [this.formatReady(line)];
+    session.isStarted = true;
+    session.team = team;
+    return [this.formatReady(session)];
   }
 
-  private formatReady(line: Line): string {
-    const state = line.transaction === undefined ? "I" : line.hasFailed ? "E" : "T";
+  private formatReady(session: LineSession): string {
+    const state = session.transaction === undefined ? "I" : session.hasFailed ? "E" : "T";
     return `READY ${state} ${formatLogPosition(this.member)}`;
   }
 
-  private async runQuery(line: Line, query: string): Promise<Answer | undefined> {
+  private async runQuery(session: LineSession, query: string): Promise<Answer | undefined> {
     const [, id = "", ...words] = query.split(" ");
     let text = words.join(" ");
     if (words[0] === "SINCE") {
       const number = Number((words[1] ?? "").split(".")[1]);
-      if (this.member.log.length < number) return this.fail(line, "LAGGING behind");
+      if (this.member.log.length < number) return this.fail(session, "LAGGING behind");
       text = words.slice(2).join(" ");
     }
     const [verb = ""] = text.split(" ");
-    if (line.hasFailed && verb !== "ROLLBACK" && verb !== "COMMIT") {
-      return this.fail(line, "MALFORMED the transaction has failed");
+    if (session.hasFailed && verb !== "ROLLBACK" && verb !== "COMMIT") {
+      return this.fail(session, "MALFORMED the transaction has failed");
     }
-    if (/^(READ|WRITE|EXECUTE|COMMIT|STATUS)$/.test(verb)) return this.runInSlot(line, id, text);
-    return this.runFree(line, text);
+    if (/^(READ|WRITE|EXECUTE|COMMIT|STATUS)$/.test(verb)) return this.runInSlot(session, id, text);
+    return this.runWithoutSlot(session, text);
   }
 
-  private async runInSlot(line: Line, id: string, text: string): Promise<Answer | undefined> {
+  private async runInSlot(
+    session: LineSession,
+    id: string,
+    text: string,
+  ): Promise<Answer | undefined> {
     if (this.faults.busy > 0) {
       this.faults.busy -= 1;
-      return this.failUnrun(line, "BUSY by order");
+      return this.refuseAsBusy(session, "BUSY by order");
     }
-    if (this.running >= (this.options.slots ?? 2)) return this.failUnrun(line, "BUSY no slot");
-    this.running += 1;
+    if (this.runningCount >= (this.options.slots ?? 2))
+      return this.refuseAsBusy(session, "BUSY no slot");
+    this.runningCount += 1;
     try {
       const { workMs = 0 } = this.options;
       if (workMs > 0) await new Promise((resolve) => setTimeout(resolve, workMs));
-      const answer = this.work(line, id, text);
+      const answer = this.execute(session, id, text);
       return this.faults.loseAnswer?.test(text) === true ? undefined : answer;
     } finally {
-      this.running -= 1;
+      this.runningCount -= 1;
     }
   }
 
-  private work(line: Line, id: string, text: string): Answer {
+  private execute(session: LineSession, id: string, text: string): Answer {
     const [verb = "", ...rest] = text.split(" ");
-    if (verb === "STATUS") return this.complete(line, "-", this.describe());
-    if (verb === "COMMIT") return this.commit(line, id, text);
-    const statement = verb === "EXECUTE" ? this.expand(line, rest) : text;
-    if (statement === undefined) return this.fail(line, "NOSUCHSTMT not prepared");
-    this.note(line, id, text);
+    if (verb === "STATUS") return this.complete(session, "-", this.formatStatus());
+    if (verb === "COMMIT") return this.commit(session, id, text);
+    const statement = verb === "EXECUTE" ? this.expand(session, rest) : text;
+    if (statement === undefined) return this.fail(session, "NOSUCHSTMT not prepared");
+    this.recordRun(session, id, text);
     const [effect = "", item = "", ...data] = statement.split(" ");
-    if (effect === "READ") return this.complete(line, this.sign(id), this.read(line, item));
-    if (this.member.role !== "primary") return this.fail(line, `READONLY ${this.id}`);
+    if (effect === "READ")
+      return this.complete(session, this.formatSignature(id), this.read(session, item));
+    if (this.member.role !== "primary") return this.fail(session, `READONLY ${this.id}`);
     const write = { id, item, data: data.join(" ") };
-    if (line.transaction === undefined) this.log.commit(this.member, [write]);
-    else line.transaction.writes.push(write);
-    return this.complete(line, this.sign(id));
+    if (session.transaction === undefined) this.log.commit(this.member, [write]);
+    else session.transaction.writes.push(write);
+    return this.complete(session, this.formatSignature(id));
   }
 
-  private expand(line: Line, [name = "", ...rest]: readonly string[]): string | undefined {
-    const definition = line.prepared.get(name);
+  private expand(
+    session: LineSession,
+    [name = "", ...rest]: readonly string[],
+  ): string | undefined {
+    const definition = session.prepared.get(name);
     return definition === undefined
       ? undefined
       : `${definition.split(" ")[0] ?? ""} ${rest.join(" ")}`;
   }
 
-  private read(line: Line, item: string): string {
-    const own = line.transaction?.writes.findLast((w) => w.item === item);
+  private read(session: LineSession, item: string): string {
+    const own = session.transaction?.writes.findLast((w) => w.item === item);
     const writes = this.member.log.flatMap((commit) => commit.writes);
     return (own ?? writes.findLast((w) => w.item === item))?.data ?? "none";
   }
 
-  private commit(line: Line, id: string, text: string): Answer {
-    const { transaction } = line;
-    if (transaction === undefined) return this.fail(line, "MALFORMED no transaction");
-    line.transaction = undefined;
-    if (line.hasFailed) {
-      line.hasFailed = false;
-      return ["ERROR ABORTED failed before", this.formatReady(line)];
+  private commit(session: LineSession, id: string, text: string): Answer {
+    const { transaction } = session;
+    if (transaction === undefined) return this.fail(session, "MALFORMED no transaction");
+    session.transaction = undefined;
+    if (session.hasFailed) {
+      session.hasFailed = false;
+      return ["ERROR ABORTED failed before", this.formatReady(session)];
     }
     if (transaction.writes.length > 0 && this.member.role !== "primary") {
-      return [`ERROR READONLY ${this.id}`, this.formatReady(line)];
+      return [`ERROR READONLY ${this.id}`, this.formatReady(session)];
     }
-    this.note({ ...line, transaction }, id, text);
+    this.recordRun({ ...session, transaction }, id, text);
     this.log.commit(this.member, transaction.writes);
-    return this.complete(line, this.sign(id));
+    return this.complete(session, this.formatSignature(id));
   }
 
-  private runFree(line: Line, text: string): Answer {
+  private runWithoutSlot(session: LineSession, text: string): Answer {
     const [verb = "", name = "", ...rest] = text.split(" ");
     switch (verb) {
       case "BEGIN": {
         const isReadOnly = name === "READ";
         if (!isReadOnly && this.member.role !== "primary")
-          return this.fail(line, `READONLY ${this.id}`);
+          return this.fail(session, `READONLY ${this.id}`);
         this.transactions += 1;
-        line.transaction = { number: this.transactions, isReadOnly, writes: [] };
-        return this.complete(line, "-");
+        session.transaction = { number: this.transactions, isReadOnly, writes: [] };
+        return this.complete(session, "-");
       }
       case "ROLLBACK":
-        line.transaction = undefined;
-        line.hasFailed = false;
-        return this.complete(line, "-");
+        session.transaction = undefined;
+        session.hasFailed = false;
+        return this.complete(session, "-");
       case "SET":
-        line.values.set(name, rest.join(" "));
-        return this.complete(line, "-");
+        session.values.set(name, rest.join(" "));
+        return this.complete(session, "-");
       case "PREPARE":
-        line.prepared.set(name, rest.join(" "));
-        return this.complete(line, "-");
+        session.prepared.set(name, rest.join(" "));
+        return this.complete(session, "-");
       case "RESET":
-        line.values.clear();
-        line.prepared.clear();
-        return this.complete(line, "-");
+        session.values.clear();
+        session.prepared.clear();
+        return this.complete(session, "-");
       case "DEMOTE":
-        return this.demote(line, Number(name));
+        return this.demote(session, Number(name));
       default:
-        return this.fail(line, "MALFORMED unknown");
+        return this.fail(session, "MALFORMED unknown");
     }
   }
 
-  private demote(line: Line, term: number): Answer {
+  private demote(session: LineSession, term: number): Answer {
     const { member } = this;
     member.heldTerm = Math.max(member.heldTerm, term);
     if (member.role === "primary" && member.term < term) member.role = "replica";
-    return this.complete(line, "-", this.describe());
+    return this.complete(session, "-", this.formatStatus());
   }
 
-  private describe(): string {
+  private formatStatus(): string {
     const { role, term, heldTerm } = this.member;
-    return `${role} ${term} ${formatLogPosition(this.member)} ${heldTerm} 0 ${this.running} ${this.sockets.size}`;
+    return `${role} ${term} ${formatLogPosition(this.member)} ${heldTerm} 0 ${this.runningCount} ${this.sockets.size}`;
   }
 
-  private complete(line: Line, signature: string, ...rows: readonly string[]): Answer {
+  private complete(session: LineSession, signature: string, ...rows: readonly string[]): Answer {
     return [
       ...rows.map((row) => `DATAROW ${row}`),
       `COMPLETE ${signature}`,
-      this.formatReady(line),
+      this.formatReady(session),
     ];
   }
 
-  /** An error inside a transaction fails it. */
-  private fail(line: Line, error: string): Answer {
-    if (line.transaction !== undefined) line.hasFailed = true;
-    return [`ERROR ${error}`, this.formatReady(line)];
+  /** Answers with an error, which also fails an open transaction. */
+  private fail(session: LineSession, error: string): Answer {
+    if (session.transaction !== undefined) session.hasFailed = true;
+    return [`ERROR ${error}`, this.formatReady(session)];
   }
 
-  private failUnrun(line: Line, error: string): Answer {
-    return [`ERROR ${error}`, this.formatReady(line)];
+  private refuseAsBusy(session: LineSession, error: string): Answer {
+    return [`ERROR ${error}`, this.formatReady(session)];
   }
 
-  private sign(id: string): string {
+  private formatSignature(id: string): string {
     return `${this.id}.${id}`;
   }
 
-  private note(line: Line, id: string, text: string): void {
-    const values = Object.fromEntries(line.values);
-    const transaction = line.transaction?.number ?? 0;
-    const { number: connection, team } = line;
+  private recordRun(session: LineSession, id: string, text: string): void {
+    const values = Object.fromEntries(session.values);
+    const transaction = session.transaction?.number ?? 0;
+    const { number: connection, team } = session;
     this.runs.push({ id, text, values, transaction, connection, team });
   }
 }
--- a/standin/platform/faults.ts
+++ b/standin/platform/faults.ts
@@ -1,19 +1,19 @@
-/** The faults of the stand-in platform that can be switched on and off while it runs. */
+/** Faults of the stand-in platform that can be changed while it runs. */
 export class PlatformFaults {
-  /** Every connection breaks without an answer. */
+  /** While true, every connection is closed without a response. */
   isDown = false;
-  /** Delays each answer, in milliseconds. */
+  /** The delay of each response, in milliseconds. */
   slowMs = 0;
-  /** How far the list of VMs lags behind, in milliseconds. */
+  /** The age of the list of VMs that is served, in milliseconds. */
   listLagMs = 0;
   private lostAnswers = 0;
 
-  /** Loses the answers to the next writes after they took effect. */
+  /** Makes the next `count` writes take effect without a response. */
   loseWriteAnswers(count: number): void {
     this.lostAnswers += count;
   }
 
-  /** Takes the fate of the answer to the write that has just taken effect. */
+  /** Returns whether the response to the current write is to be lost, and counts it as lost. */
   consumeLostAnswer(): boolean {
     if (this.lostAnswers === 0) return false;
     this.lostAnswers -= 1;
--- a/standin/platform/list.ts
+++ b/standin/platform/list.ts
@@ -1,6 +1,6 @@
 import type { Vm } from "../../src/model/index.js";
 
-/** The platform's list of VMs, which shows what was true some time ago. */
+/** The platform's list of VMs, which can be read as it was some time ago. */
 export class LaggingList {
   private readonly history: { readonly since: number; readonly vms: readonly Vm[] }[] = [];
 
@@ -8,7 +8,7 @@
     this.history.push({ since: performance.now(), vms });
   }
 
-  /** The list as it was `lagMs` ago; the first one ever set is known at once. */
+  /** Returns the list as it was `lagMs` ago, or the first one when it is newer than that. */
   get(lagMs: number): readonly Vm[] {
     const at = performance.now() - lagMs;
     const [first] = this.history;
--- a/standin/platform/main.ts
+++ b/standin/platform/main.ts
@@ -4,8 +4,8 @@
 const cli = cac("radishwalk-standin-platform");
 cli
   .command("", "Run a stand-in platform until SIGINT or SIGTERM")
-  .option("--host <host>", "Where to listen", { default: "127.0.0.1" })
-  .option("--port <port>", "Port; 0 takes any free one", { default: 0 })
+  .option("--host <host>", "Address to listen on", { default: "127.0.0.1" })
+  .option("--port <port>", "Port to listen on; 0 selects a free one", { default: 0 })
   .action(runPlatform);
 cli.help();
 cli.parse();
--- a/standin/platform/objects.ts
+++ b/standin/platform/objects.ts
@@ -6,11 +6,11 @@
 
 interface Entry {
   readonly object: StoredObject;
-  /** A removed object is kept by name, so that watches hear of it and versions go on growing. */
+  /** A removed object is kept, so that watches report the removal and its version keeps growing. */
   readonly isRemoved: boolean;
 }
 
-/** The objects of the stand-in platform, each change under the next version of all. */
+/** The objects of the stand-in platform. Each change gets the next version of one global counter. */
 export class VersionedObjects {
   private readonly entries = new Map<string, Entry>();
   private readonly listeners = new Set<() => void>();
@@ -31,7 +31,7 @@
       .map((e) => e.object);
   }
 
-  /** Writes if the object still has `version`; 0 means that it must not exist. */
+  /** Writes an object if its version is still `version`; 0 requires that it does not exist. */
   put(kind: string, name: string, value: Json, version: number): UpdateResult {
     return this.update(kind, name, value, version, false);
   }
@@ -41,7 +41,7 @@
     return this.update(kind, name, null, version, true);
   }
 
-  /** Lists what changed after a version, the newest state of each object. */
+  /** Lists the latest change of each object that changed after the version `after`, oldest first. */
   listChanges(kind: string, after: number): readonly StoreChange[] {
     return [...this.entries.values()]
       .filter((e) => e.object.kind === kind && e.object.version > after)
@@ -51,7 +51,7 @@
       );
   }
 
-  /** Calls `listener` after each change, until the function that it hands back is called. */
+  /** Calls `listener` after each change until the returned function is called. */
   subscribe(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/standin/platform/server.ts
+++ b/standin/platform/server.ts
@@ -6,15 +6,15 @@
 import { LaggingList } from "./list.js";
 import { VersionedObjects, type UpdateResult } from "./objects.js";
 
-/** Where the stand-in platform listens. */
+/** The listening address of the stand-in platform. */
 export interface StandinPlatformOptions {
   /** Default 127.0.0.1. */
   readonly host?: string;
-  /** Default 0: any free port, the same one after a restart. */
+  /** Default 0, which selects a free port. A restart keeps the port. */
   readonly port?: number;
 }
 
-/** How many calls of each sort the platform had. A waiting watch counts as one. */
+/** The number of requests of each type. A long-polling watch counts as one. */
 export interface CallCounts {
   readonly reads: number;
   readonly writes: number;
@@ -31,7 +31,7 @@
 
 const maxWaitMs = 60_000;
 
-/** The platform's object API in this process, over HTTP and JSON. */
+/** An in-process stand-in for the platform's object API, with JSON over HTTP. */
 export class StandinPlatform {
   readonly objects = new VersionedObjects();
   readonly faults = new PlatformFaults();
@@ -41,19 +41,19 @@
   private readonly sockets = new Set<Socket>();
   private readonly watches = new Set<() => void>();
   private server: Server | undefined;
-  private listening: Address;
+  private listenAddress: Address;
 
   constructor(options: StandinPlatformOptions = {}) {
-    this.listening = { host: options.host ?? "127.0.0.1", port: options.port ?? 0 };
+    this.listenAddress = { host: options.host ?? "127.0.0.1", port: options.port ?? 0 };
   }
 
   get address(): Address {
-    return this.listening;
+    return this.listenAddress;
   }
 
-  /** The origin for `HttpObjectStore`. */
+  /** The base URL for `HttpObjectStore`. */
   get url(): string {
-    return `http://${this.listening.host}:${this.listening.port}`;
+    return `http://${this.listenAddress.host}:${this.listenAddress.port}`;
   }
 
   get calls(): CallCounts {
@@ -68,12 +68,12 @@
     this.groups = groups;
   }
 
-  /** Breaks every waiting watch. */
+  /** Closes the connection of every waiting watch without a response. */
   dropWatches(): void {
     for (const drop of [...this.watches]) drop();
   }
 
-  /** Breaks open connections and lets no new one through, or ends that. */
+  /** With true, closes all connections and refuses new ones until it is called with false. */
   setDown(isDown: boolean): void {
     this.faults.isDown = isDown;
     if (isDown) for (const socket of this.sockets) socket.destroy();
@@ -81,14 +81,14 @@
 
   async start(): Promise<void> {
     const server = createServer((request, response) => void this.handle(request, response));
-    server.on("connection", (socket: Socket) => this.admit(socket));
+    server.on("connection", (socket: Socket) => this.acceptConnection(socket));
     await new Promise<void>((resolve, reject) => {
       server.once("error", reject);
-      server.listen(this.listening.port, this.listening.host, resolve);
+      server.listen(this.listenAddress.port, this.listenAddress.host, resolve);
     });
-    const bound = server.address();
-    if (bound !== null && typeof bound === "object") {
-      this.listening = { host: this.listening.host, port: bound.port };
+    const boundAddress = server.address();
+    if (boundAddress !== null && typeof boundAddress === "object") {
+      this.listenAddress = { host: this.listenAddress.host, port: boundAddress.port };
     }
     this.server = server;
   }
@@ -100,7 +100,7 @@
     if (server !== undefined) await new Promise((resolve) => server.close(resolve));
   }
 
-  private admit(socket: Socket): void {
+  private acceptConnection(socket: Socket): void {
     if (this.faults.isDown) {
       socket.destroy();
       return;
@@ -113,7 +113,7 @@
     try {
       const reply = await this.handleRequest(request);
       if (this.faults.slowMs > 0) await sleep(this.faults.slowMs);
-      // The change stands already; a client that gets no answer must find that out by reading.
+      // The write has taken effect; a client without a response must read the object to learn that.
       if (reply.isWrite === true && this.faults.consumeLostAnswer()) response.destroy();
       else sendReply(response, reply);
     } catch (error) {
@@ -124,7 +124,7 @@
 
   private handleRequest(request: IncomingMessage): Promise<Reply> {
     const url = new URL(request.url ?? "/", this.url);
-    const [, area = ""] = url.pathname.split("/");
+    const [, resource = ""] = url.pathname.split("/");
     const handlers: Readonly<Record<string, Handler>> = {
       objects: (r, u) => this.handleObject(r, u),
       watch: (r, u) => this.handleWatch(r, u),
@@ -133,7 +133,7 @@
       calls: () => Promise.resolve({ status: 200, body: this.counts }),
       faults: (r) => this.handleFaults(r),
     };
-    const handler = handlers[area];
+    const handler = handlers[resource];
     if (handler === undefined) return Promise.resolve({ status: 404, body: {} });
     return handler(request, url);
   }
@@ -162,13 +162,13 @@
     const after = Number(url.searchParams.get("after"));
     const waitMs = Math.min(Number(url.searchParams.get("waitMs")), maxWaitMs);
     const list = () => this.objects.listChanges(kind, after);
-    if (list().length === 0) await this.waitChange(request, () => list().length > 0, waitMs);
+    if (list().length === 0) await this.waitForChange(request, () => list().length > 0, waitMs);
     return { status: 200, body: { changes: list(), version: this.objects.version } };
   }
 
-  private waitChange(
+  private waitForChange(
     request: IncomingMessage,
-    isMet: () => boolean,
+    hasChanges: () => boolean,
     waitMs: number,
   ): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -176,7 +176,7 @@
         clearTimeout(timer);
         unsubscribe();
         this.watches.delete(drop);
-        // The connection serves further calls, each of which waits with a listener of its own.
+        // A kept-alive connection serves more requests, each with its own listener.
         request.socket.off("close", drop);
         resolve();
       };
@@ -186,7 +186,7 @@
       };
       const timer = setTimeout(end, waitMs);
       const unsubscribe = this.objects.subscribe(() => {
-        if (isMet()) end();
+        if (hasChanges()) end();
       });
       this.watches.add(drop);
       request.socket.once("close", drop);
@@ -205,22 +205,22 @@
     return { status: 200, body: { groups: this.groups } };
   }
 
-  /** `PUT /faults` with any of `slowMs`, `listLagMs`, `loseWriteAnswers`, `dropWatches`, `downMs`. */
+  /** Handles `PUT /faults` with any of `slowMs`, `listLagMs`, `loseWriteAnswers`, `dropWatches`, `downMs`. */
   private async handleFaults(request: IncomingMessage): Promise<Reply> {
-    const wanted = (await readJson(request)) as Readonly<Record<string, number | undefined>>;
-    this.faults.slowMs = wanted.slowMs ?? this.faults.slowMs;
-    this.faults.listLagMs = wanted.listLagMs ?? this.faults.listLagMs;
-    this.faults.loseWriteAnswers(wanted.loseWriteAnswers ?? 0);
-    if (wanted.dropWatches !== undefined) this.dropWatches();
-    if (wanted.downMs !== undefined) {
+    const requested = (await readJson(request)) as Readonly<Record<string, number | undefined>>;
+    this.faults.slowMs = requested.slowMs ?? this.faults.slowMs;
+    this.faults.listLagMs = requested.listLagMs ?? this.faults.listLagMs;
+    this.faults.loseWriteAnswers(requested.loseWriteAnswers ?? 0);
+    if (requested.dropWatches !== undefined) this.dropWatches();
+    if (requested.downMs !== undefined) {
       setImmediate(() => this.setDown(true));
-      setTimeout(() => this.setDown(false), wanted.downMs);
+      setTimeout(() => this.setDown(false), requested.downMs);
     }
     return { status: 200, body: {} };
   }
 
-  private count(sort: keyof CallCounts): void {
-    this.counts = { ...this.counts, [sort]: this.counts[sort] + 1 };
+  private count(type: keyof CallCounts): void {
+    this.counts = { ...this.counts, [type]: this.counts[type] + 1 };
   }
 }
 
