--- a/standin/processes/children.ts
+++ b/standin/processes/children.ts
@@ -3,13 +3,13 @@
 import { fileURLToPath } from "node:url";
 import type { Disposable } from "../../src/model/index.js";
 
-/** One line of a program's standard output. */
+/** A line of a program's standard output, parsed as JSON; other text gives `{ name: "text", text }`. */
 export interface LogLine {
   readonly name: string;
   readonly [field: string]: unknown;
 }
 
-/** How a process ended. */
+/** The exit code of a process, or the signal that ended it. */
 export interface ProcessExit {
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
@@ -18,14 +18,14 @@
 type Listener = (line: LogLine) => void;
 
 const maxLines = 100_000;
-const stopMs = 8000;
+const stopTimeoutMs = 8000;
 
-/** A started program; signals go to its process id alone. */
+/** A started program. Signals go to its process id only, never to a process group. */
 export class Child {
   readonly lines: LogLine[] = [];
   readonly ended: Promise<ProcessExit>;
   private readonly listeners = new Set<Listener>();
-  private ending: ProcessExit | undefined;
+  private exit: ProcessExit | undefined;
 
   constructor(
     readonly name: string,
@@ -33,13 +33,13 @@
   ) {
     this.ended = new Promise((resolve) => {
       process.once("close", (code, signal) => {
-        this.ending = { code, signal };
-        resolve(this.ending);
+        this.exit = { code, signal };
+        resolve(this.exit);
       });
     });
     if (process.stdout === null) return;
     createInterface({ input: process.stdout }).on("line", (text) => {
-      this.hear(text);
+      this.handleLine(text);
     });
   }
 
@@ -51,44 +51,44 @@
   }
 
   get isRunning(): boolean {
-    return this.ending === undefined;
+    return this.exit === undefined;
   }
 
-  /** Sends a signal, unless the process has ended and its id may be another's. */
+  /** Sends a signal unless the process has ended, as its id may have been reused by then. */
   send(signal: NodeJS.Signals): void {
     if (this.isRunning) this.process.kill(signal);
   }
 
-  /** Asks the process to end and kills it when it doesn't within a while. */
+  /** Sends SIGTERM, then SIGKILL if the process has not ended within `stopTimeoutMs`. Resumes a paused process first. */
   async stop(): Promise<void> {
     this.send("SIGCONT");
     this.send("SIGTERM");
     const timer = setTimeout(() => {
       this.send("SIGKILL");
-    }, stopMs);
+    }, stopTimeoutMs);
     await this.ended;
     clearTimeout(timer);
   }
 
-  /** Resolves with the first line, past or to come, that fits. Rejects when the process ends. */
-  async waitForLine(fits: (line: LogLine) => boolean): Promise<LogLine> {
-    const known = this.lines.find(fits);
-    if (known !== undefined) return known;
+  /** Resolves with the first line, past or future, that `matches` accepts. Rejects when the process ends first. */
+  async waitForLine(matches: (line: LogLine) => boolean): Promise<LogLine> {
+    const seen = this.lines.find(matches);
+    if (seen !== undefined) return seen;
     return new Promise((resolve, reject) => {
       const listener: Listener = (line) => {
-        if (!fits(line)) return;
+        if (!matches(line)) return;
         this.listeners.delete(listener);
         resolve(line);
       };
       this.listeners.add(listener);
       void this.ended.then(({ code }) => {
         const last = JSON.stringify(this.lines.at(-1));
-        reject(new Error(`${this.name} ended with ${code ?? "a signal"}: ${last}`));
+        reject(new Error(`${this.name} exited with ${code ?? "a signal"}; its last line: ${last}`));
       });
     });
   }
 
-  private hear(text: string): void {
+  private handleLine(text: string): void {
     const line = parseLine(text);
     if (this.lines.length < maxLines) this.lines.push(line);
     for (const listener of this.listeners) listener(line);
@@ -104,8 +104,8 @@
 }
 
 /**
- * Programs that this process starts. Should it die without disposing of them, by SIGKILL too, the
- * guard sees its pipe close and kills them: the pipe closes however a process ends.
+ * Programs that this process starts. If this process ends without disposing of them, even by SIGKILL,
+ * its pipe to the guard process closes and the guard kills them.
  */
 export class Children implements Disposable {
   private readonly started: Child[] = [];
@@ -118,17 +118,17 @@
     args: readonly string[],
     flags: readonly string[] = [],
   ): Child {
-    const path = locate(script);
+    const path = resolveBuiltPath(script);
     const process_ = spawn(process.execPath, [...flags, path, ...args], {
       stdio: ["ignore", "pipe", "inherit"],
     });
     const child = new Child(name, process_);
     this.started.push(child);
-    this.watch(child);
+    this.registerWithGuard(child);
     return child;
   }
 
-  /** Ends all, those started last first. */
+  /** Stops all programs, in reverse order of their start. */
   async dispose(): Promise<void> {
     for (let child = this.started.pop(); child !== undefined; child = this.started.pop()) {
       await child.stop();
@@ -137,7 +137,7 @@
     this.guard = undefined;
   }
 
-  private watch(child: Child): void {
+  private registerWithGuard(child: Child): void {
     this.guard ??= startGuard();
     const { stdin } = this.guard;
     stdin?.write(`+${child.id}\n`);
@@ -148,7 +148,7 @@
 }
 
 function startGuard(): ChildProcess {
-  const guard = spawn(process.execPath, [locate("./guard.js")], {
+  const guard = spawn(process.execPath, [resolveBuiltPath("./guard.js")], {
     stdio: ["pipe", "ignore", "inherit"],
     detached: true,
   });
@@ -156,10 +156,10 @@
   return guard;
 }
 
-/** Tests run from the sources: what they start is the built program of the same place. */
-function locate(script: string): string {
-  const here = new URL(".", import.meta.url).href;
-  const isBuilt = here.endsWith("/dist/standin/processes/");
-  const base = isBuilt ? here : new URL("../../dist/standin/processes/", here).href;
+/** Returns the path of a built program. Tests run from the sources, but start the programs in `dist`. */
+function resolveBuiltPath(script: string): string {
+  const ownFolder = new URL(".", import.meta.url).href;
+  const isBuilt = ownFolder.endsWith("/dist/standin/processes/");
+  const base = isBuilt ? ownFolder : new URL("../../dist/standin/processes/", ownFolder).href;
   return fileURLToPath(new URL(script, base));
 }
--- a/standin/processes/guard.ts
+++ b/standin/processes/guard.ts
@@ -1,8 +1,8 @@
 import { createInterface } from "node:readline";
 
 /*
- * Reads ids of processes from its parent, `+1234` when one starts and `-1234` when it has ended, and
- * kills those that are left once the parent's end of the pipe closes.
+ * Reads process ids from its parent, `+1234` when a process starts and `-1234` when it has ended.
+ * Once the parent's end of the pipe closes, it kills the remaining processes.
  */
 
 const running = new Set<number>();
@@ -23,6 +23,6 @@
   try {
     process.kill(id, "SIGKILL");
   } catch {
-    // It ended by itself meanwhile.
+    // The process has already ended.
   }
 }
--- a/standin/processes/port.ts
+++ b/standin/processes/port.ts
@@ -1,23 +1,23 @@
 import { createServer } from "node:net";
 
-/** The address that every process of a system listens on. */
+/** The address that all processes of a system listen on. */
 export const host = "127.0.0.1";
 
-// Below the ports that the kernel gives to outgoing connections: one that was free a moment ago
-// may be such a connection's when the program comes to listen on it, and the program would end.
+// Below the kernel's ephemeral port range: a free port in that range may be assigned to an outgoing
+// connection before the program listens on it, and the program would exit.
 const firstPort = 10_000;
 const portCount = 20_000;
-const step = 97;
+const offsetPerProcess = 97;
 
-let next = (process.pid * step) % portCount;
+let offset = (process.pid * offsetPerProcess) % portCount;
 
-/** Finds a port of loopback that nobody listens on now, another one with each call. */
+/** Finds a loopback port that is not in use; each call returns another one. */
 export async function findFreePort(): Promise<number> {
   for (let tries = 0; tries < portCount; tries += 1) {
-    next = (next + 1) % portCount;
-    if (await canListen(firstPort + next)) return firstPort + next;
+    offset = (offset + 1) % portCount;
+    if (await canListen(firstPort + offset)) return firstPort + offset;
   }
-  throw new Error("no port is free");
+  throw new Error(`no port between ${firstPort} and ${firstPort + portCount - 1} is free`);
 }
 
 function canListen(port: number): Promise<boolean> {
--- a/standin/processes/system.ts
+++ b/standin/processes/system.ts
@@ -12,12 +12,12 @@
 import { Children, type Child } from "./children.js";
 import { findFreePort, host } from "./port.js";
 
-/** What a system consists of. Times in milliseconds. */
+/** The parts of a system and their settings. Times are in milliseconds. */
 export interface SystemOptions {
   readonly group: string;
   readonly targets: readonly string[];
   readonly proxies: number;
-  /** YAML, as operators write it. */
+  /** The rules as YAML, in the format of `radishwalk apply`. */
   readonly rules: string;
   readonly slots?: number;
   readonly connections?: number;
@@ -25,13 +25,13 @@
   readonly serviceMs?: number;
   readonly lagMs?: number;
   readonly drainLimitMs?: number;
-  /** Further lines of each proxy's settings. */
+  /** YAML lines to append to the settings of each proxy. */
   readonly settings?: string;
-  /** Flags of the runtime for proxies, such as `--cpu-prof`. */
+  /** Node.js flags for the proxies, such as `--cpu-prof`. */
   readonly proxyFlags?: readonly string[];
 }
 
-/** A proxy's process and where it listens. */
+/** A proxy process and its listening addresses. */
 export interface RunningProxy {
   readonly vm: Vm;
   readonly child: Child;
@@ -39,13 +39,13 @@
   readonly health: Address;
 }
 
-/** A started target. */
+/** A target process. */
 export interface RunningTarget {
   readonly target: Target;
   readonly child: Child;
 }
 
-/** The processes of a system; disposing of it ends them. */
+/** The processes of a system; disposing of it stops them and removes `folder`. */
 export interface RunningSystem extends Disposable {
   readonly platform: Child;
   readonly group: Group;
@@ -55,33 +55,33 @@
   readonly children: Children;
 }
 
-type Planned = Omit<RunningProxy, "child">;
+type PlannedProxy = Omit<RunningProxy, "child">;
 
-/** Starts every process; resolves when the rules are in force on each proxy. */
+/** Starts all processes; resolves when the rules are in force on every proxy. */
 export async function startSystem(options: SystemOptions): Promise<RunningSystem> {
-  const owned = new DisposableStore();
+  const disposables = new DisposableStore();
   const folder = mkdtempSync(join(tmpdir(), "radishwalk-"));
-  owned.defer(() => {
+  disposables.defer(() => {
     rmSync(folder, { recursive: true });
   });
-  const children = owned.add(new Children());
+  const children = disposables.add(new Children());
   try {
     const platform = children.start("platform", "../platform/main.js", []);
-    const at = await readAddress(platform);
+    const platformAddress = await readAddress(platform);
     const targets = await startTargets(children, options);
     const group = { name: options.group, targets: targets.map((t) => t.target) };
-    await putList(at, "groups", [group]);
-    const proxies = await startProxies(children, folder, at, options);
-    await applyRules(children, folder, at, proxies, options.rules);
-    const dispose = () => owned.dispose();
+    await putList(platformAddress, "groups", [group]);
+    const proxies = await startProxies(children, folder, platformAddress, options);
+    await applyRules(children, folder, platformAddress, proxies, options.rules);
+    const dispose = () => disposables.dispose();
     return { platform, group, targets, proxies, folder, children, dispose };
   } catch (error) {
-    await owned.dispose();
+    await disposables.dispose();
     throw error;
   }
 }
 
-/** A stand-in prints its address once it listens. */
+/** Waits for the line with its address that a stand-in prints once it listens. */
 async function readAddress(child: Child): Promise<Address> {
   const line = await child.waitForLine(({ port }) => typeof port === "number");
   return { host, port: Number(line.port) };
@@ -94,7 +94,7 @@
   const { slots = 2, connections = 16 } = options;
   const targets: RunningTarget[] = [];
   for (const name of options.targets) {
-    const args = ["--name", name, ...listFlags(options), ...listFollow(targets[0])];
+    const args = ["--name", name, ...formatTargetFlags(options), ...formatFollowFlag(targets[0])];
     const child = children.start(name, "../target/main.js", args);
     const address = await readAddress(child);
     targets.push({ child, target: { name, dataCentre: name, address, slots, connections } });
@@ -102,7 +102,7 @@
   return targets;
 }
 
-function listFlags(options: SystemOptions): readonly string[] {
+function formatTargetFlags(options: SystemOptions): readonly string[] {
   const { slots = 2, connections = 16, connectMs = 12, serviceMs = 1, lagMs = 0 } = options;
   const flags = {
     "--slots": slots,
@@ -114,7 +114,7 @@
   return Object.entries(flags).flatMap(([flag, value]) => [flag, String(value)]);
 }
 
-function listFollow(first: RunningTarget | undefined): readonly string[] {
+function formatFollowFlag(first: RunningTarget | undefined): readonly string[] {
   if (first === undefined) return [];
   const { name, address } = first.target;
   return ["--follow", `${name}@${formatAddress(address)}`];
@@ -125,7 +125,8 @@
     method: "PUT",
     body: JSON.stringify(value),
   });
-  if (!response.ok) throw new Error(`the platform refused the ${list}: ${response.status}`);
+  if (!response.ok)
+    throw new Error(`the platform refused the list of ${list} with status ${response.status}`);
 }
 
 async function startProxies(
@@ -134,8 +135,8 @@
   platform: Address,
   options: SystemOptions,
 ): Promise<readonly RunningProxy[]> {
-  const planned: Planned[] = [];
-  for (let i = 1; i <= options.proxies; i += 1) planned.push(await planProxy(i));
+  const planned: PlannedProxy[] = [];
+  for (let i = 1; i <= options.proxies; i += 1) planned.push(await allocateProxy(i));
   await putList(
     platform,
     "vms",
@@ -151,14 +152,14 @@
   return proxies;
 }
 
-async function planProxy(index: number): Promise<Planned> {
-  const take = async () => ({ host, port: await findFreePort() });
+async function allocateProxy(index: number): Promise<PlannedProxy> {
+  const allocateAddress = async () => ({ host, port: await findFreePort() });
   const name = `vm-${index}`;
-  const vm: Vm = { name, dataCentre: `dc-${index}`, peer: await take(), state: "live" };
-  return { vm, callers: await take(), health: await take() };
+  const vm: Vm = { name, dataCentre: `dc-${index}`, peer: await allocateAddress(), state: "live" };
+  return { vm, callers: await allocateAddress(), health: await allocateAddress() };
 }
 
-function formatSettings(proxy: Planned, platform: Address, options: SystemOptions): string {
+function formatSettings(proxy: PlannedProxy, platform: Address, options: SystemOptions): string {
   return `vm: ${proxy.vm.name}
 dataCentre: ${proxy.vm.dataCentre}
 listen:
@@ -174,7 +175,7 @@
 `;
 }
 
-/** Runs `radishwalk apply`, as an operator does. */
+/** Applies the rules with `radishwalk apply`, as an operator does. */
 async function applyRules(
   children: Children,
   folder: string,
@@ -184,11 +185,11 @@
 ): Promise<void> {
   const path = join(folder, "rules.yaml");
   writeFileSync(path, rules);
-  const places = proxies.flatMap(({ health }) => ["--proxy", formatAddress(health)]);
+  const proxyArgs = proxies.flatMap(({ health }) => ["--proxy", formatAddress(health)]);
   const args = ["apply", path, "--platform", `http://${formatAddress(platform)}`, "--base", "0"];
-  const child = children.start("apply", "../../src/bin/radishwalk.js", [...args, ...places]);
+  const child = children.start("apply", "../../src/bin/radishwalk.js", [...args, ...proxyArgs]);
   const { code } = await child.ended;
-  if (code !== 0) throw new Error(`radishwalk apply ended with ${code ?? "a signal"}`);
+  if (code !== 0) throw new Error(`radishwalk apply exited with ${code ?? "a signal"}`);
 }
 
 function formatAddress(address: Address): string {
