--- a/standin/cluster.ts
+++ b/standin/cluster.ts
@@ -2,14 +2,14 @@
 import { StandinPlatform } from "./platform/index.js";
 import { StandinTarget, type StandinTargetOptions } from "./target/index.js";
 
-/** One group of a cluster. Times and limits hold for each of its targets. */
+/** Options of a group. Times and limits apply to each of its targets. */
 export interface GroupOptions extends Omit<StandinTargetOptions, "name" | "dataCentre" | "port"> {
   readonly name: string;
-  /** Each target stands in the next one; the first target starts as primary. Three by default. */
+  /** The data centre of each target, of which the first starts as primary. Three by default. */
   readonly dataCentres?: readonly string[];
 }
 
-/** What a cluster consists of. */
+/** Options of a cluster. */
 export interface ClusterOptions {
   /** One group named `ledger` by default. */
   readonly groups?: readonly GroupOptions[];
@@ -20,11 +20,11 @@
 export interface RunningGroup {
   readonly name: string;
   readonly targets: readonly StandinTarget[];
-  /** What the platform says of it. */
+  /** The group as the platform describes it. */
   readonly group: Group;
 }
 
-/** A stand-in platform and its groups, released together. */
+/** A stand-in platform and its groups; disposing of it stops all of them. */
 export interface Cluster extends Disposable {
   readonly platform: StandinPlatform;
   readonly groups: readonly RunningGroup[];
@@ -32,7 +32,7 @@
 
 const defaultDataCentres = ["dc-1", "dc-2", "dc-3"];
 
-/** Sizes of today, from the brief; use with `buildGroups`. */
+/** Sizes of real groups, for `buildGroups`. */
 export const sizes = {
   ferrante: {
     prefix: "libro-alquiler",
@@ -48,7 +48,7 @@
   },
 } as const;
 
-/** Builds the options of `count` groups of one of the sizes of today. */
+/** Builds the options of `count` groups of one of the `sizes`. */
 export function buildGroups(
   size: (typeof sizes)[keyof typeof sizes],
   count: number,
@@ -62,7 +62,7 @@
   }));
 }
 
-/** Starts a platform and groups in this process, with the replicas following their primaries. */
+/** Starts a platform and groups in this process; replicas follow their primaries. */
 export async function startCluster(options: ClusterOptions = {}): Promise<Cluster> {
   const { groups = [{ name: "ledger" }], host = "127.0.0.1" } = options;
   const store = new DisposableStore();
@@ -78,7 +78,7 @@
   }
 }
 
-/** Starts one group without a platform; `store` takes its targets over. */
+/** Starts one group without a platform; disposing of `store` stops its targets. */
 export async function startGroup(
   store: DisposableStore,
   options: GroupOptions,
--- a/standin/demo.ts
+++ b/standin/demo.ts
@@ -3,8 +3,8 @@
 import { startSystem, type RunningProxy } from "./processes/index.js";
 
 /*
- * The whole path on the stand-ins, as separate processes: a platform, one group of three targets,
- * two proxies, the operators' `apply`, and an ordinary PostgreSQL client.
+ * Runs the system with stand-ins as separate processes: a platform, a group of three targets, two
+ * proxies, `radishwalk apply`, and an unmodified PostgreSQL client.
  */
 
 const groupName = "libro-alquiler-1";
@@ -40,7 +40,7 @@
   return client;
 }
 
-/** Watches for the session token, which the proxy sends as a parameter. */
+/** Keeps the latest session token, which the proxy sends as a ParameterStatus message. */
 function followToken(client: pg.Client): { token: string | undefined } {
   const holder: { token: string | undefined } = { token: undefined };
   const { connection } = client as unknown as {
@@ -73,13 +73,13 @@
   const logDelayMs = 700;
   await sleep(logDelayMs);
   const placed = proxies.flatMap((p, i) => listPlacements(p).slice(before[i]));
-  const where = placed.map((p) => `${p.target}, placed by ${p.vm} (${p.reason})`).join("; ");
-  console.log(`${title}\n  -> ${JSON.stringify(result.rows)} from ${where}`);
+  const placements = placed.map((p) => `${p.target}, placed by ${p.vm} (${p.reason})`).join("; ");
+  console.log(`${title}\n  -> ${JSON.stringify(result.rows)} from ${placements}`);
 }
 
 async function runSession(proxies: readonly RunningProxy[]): Promise<void> {
   const [first, second] = proxies;
-  if (first === undefined || second === undefined) throw new Error("the demo wants two proxies");
+  if (first === undefined || second === undefined) throw new Error("the demo needs two proxies");
   const here = await connect(first);
   const session = followToken(here);
   const step = (title: string, run: () => Promise<pg.QueryResult>) => runStep(proxies, title, run);
@@ -98,11 +98,13 @@
   await step("move to vm-2 with the session's token and read", () =>
     there.query("SELECT family FROM reservation WHERE id = 1"),
   );
-  await step("repeat the write under the same key (vm-2): the first answer, nothing runs", () =>
-    there.query(
-      "/* kind='reservation',idempotency_key='rossi-cello-1' */ INSERT INTO reservation VALUES ($1, $2, $3) RETURNING id",
-      [1, "cello", "Rossi"],
-    ),
+  await step(
+    "repeat the write with the same key (vm-2): returns the first answer, runs nothing",
+    () =>
+      there.query(
+        "/* kind='reservation',idempotency_key='rossi-cello-1' */ INSERT INTO reservation VALUES ($1, $2, $3) RETURNING id",
+        [1, "cello", "Rossi"],
+      ),
   );
   await there.end();
 }
@@ -117,20 +119,20 @@
   });
   try {
     await runSession(system.proxies);
-    if (isStaying) await stayUp(system.proxies);
+    if (isStaying) await waitForSignal(system.proxies);
   } finally {
     await system.dispose();
   }
 }
 
-async function stayUp(proxies: readonly RunningProxy[]): Promise<void> {
+async function waitForSignal(proxies: readonly RunningProxy[]): Promise<void> {
   const [first] = proxies;
   if (first === undefined) return;
   const { host, port } = first.callers;
   const flags = proxies.map(({ health }) => `--proxy ${health.host}:${health.port}`).join(" ");
-  console.log(`\nstaying up: psql -h ${host} -p ${port} -U ${teamName} ${groupName}`);
+  console.log(`\nstill running: psql -h ${host} -p ${port} -U ${teamName} ${groupName}`);
   console.log(`operators: npx radishwalk status ${flags}`);
-  console.log("Ctrl-C ends it");
+  console.log("press Ctrl-C to stop");
   await new Promise<void>((resolve) => {
     process.once("SIGINT", () => {
       resolve();
--- a/standin/fleet.ts
+++ b/standin/fleet.ts
@@ -20,7 +20,7 @@
 
 const host = "127.0.0.1";
 
-/** What a fleet in one process consists of. */
+/** Options of a fleet. */
 export interface FleetOptions {
   readonly vms?: number;
   readonly groups?: readonly GroupOptions[];
@@ -28,26 +28,26 @@
   readonly logger?: Logger;
 }
 
-/** One proxy of the fleet, with the link by which the others reach it. */
+/** A member of the fleet: a VM whose proxy can be replaced, and the link by which peers connect to it. */
 export interface FleetMember {
   readonly vm: Vm;
   readonly proxy: Proxy;
   readonly callers: Address;
   readonly link: FaultyLink;
-  /** Ends it without any farewell. */
+  /** Stops the proxy without a drain and makes its link refuse connections. */
   kill(): Promise<void>;
-  /** Starts a fresh proxy in the place of one that was killed, under the same name and link. */
+  /** Kills the proxy if it still runs, and starts a new one with the same name and link. */
   restart(): Promise<void>;
 }
 
-/** Stand-ins and proxies in one process, joined by links that can be cut. */
+/** Stand-ins and proxies in one process, connected through links that can be cut. */
 export interface Fleet extends Disposable {
   readonly cluster: Cluster;
   readonly members: readonly FleetMember[];
-  /** Links to the targets by name; the owner's and the replicas' connections pass them. */
+  /** Links to the targets by target name. The connections of the owner and those to replicas pass through them. */
   readonly targetLinks: ReadonlyMap<string, FaultyLink>;
   readonly platformLink: FaultyLink;
-  /** Every broken invariant that a part of the program noticed. */
+  /** The violated invariants that the program reported so far. */
   readonly violations: readonly string[];
 }
 
@@ -59,33 +59,33 @@
   rules: [],
 };
 
-/** Starts a platform, groups, and proxies that know each other; all are ready when it resolves. */
+/** Starts a platform, groups and proxies; resolves when all are ready. */
 export async function startFleet(options: FleetOptions = {}): Promise<Fleet> {
   const store = new DisposableStore();
   const clusterOptions = options.groups === undefined ? {} : { groups: options.groups };
   const cluster = await startCluster(clusterOptions);
   store.add(cluster);
   try {
-    return await joinFleet(store, cluster, options);
+    return await connectFleet(store, cluster, options);
   } catch (error) {
     await store.dispose();
     throw error;
   }
 }
 
-async function joinFleet(
+async function connectFleet(
   store: DisposableStore,
   cluster: Cluster,
   options: FleetOptions,
 ): Promise<Fleet> {
   const { platform } = cluster;
-  const { configuration = defaultConfiguration, vms: count = 3, logger = silentLogger } = options;
+  const { configuration = defaultConfiguration, vms: vmCount = 3, logger = silentLogger } = options;
   const platformLink = store.add(new FaultyLink(() => platform.address));
   await platformLink.start();
-  const targetLinks = await linkTargets(store, cluster);
-  await applyFirst(store, platform.url, configuration);
+  const targetLinks = await createTargetLinks(store, cluster);
+  await applyFirstConfiguration(store, platform.url, configuration);
   const planned = await Promise.all(
-    Array.from({ length: count }, (_, i) => planMember(store, i, platformLink.address, logger)),
+    Array.from({ length: vmCount }, (_, i) => planMember(store, i, platformLink.address, logger)),
   );
   platform.setVms(planned.map((m) => m.vm));
   const violations: string[] = [];
@@ -100,18 +100,23 @@
   return { cluster, members, targetLinks, platformLink, violations, dispose };
 }
 
-async function applyFirst(store: DisposableStore, url: string, draft: Draft): Promise<void> {
+async function applyFirstConfiguration(
+  store: DisposableStore,
+  url: string,
+  draft: Draft,
+): Promise<void> {
   const editor = new ConfigurationEditor({
     store: store.add(new HttpObjectStore({ url })),
     clock: createSystemClock(),
     random: createSystemRandom(),
   });
   const result = await editor.apply({ changeId: "first", draft }, 0);
-  if (result.type !== "applied") throw new Error(`the first configuration: ${result.type}`);
+  if (result.type !== "applied")
+    throw new Error(`the first configuration was not applied: ${result.type}`);
 }
 
-/** Puts a link before each target and tells the platform the links' addresses. */
-async function linkTargets(
+/** Puts a link in front of each target and gives the platform the addresses of the links. */
+async function createTargetLinks(
   store: DisposableStore,
   cluster: Cluster,
 ): Promise<ReadonlyMap<string, FaultyLink>> {
@@ -119,11 +124,11 @@
   const groups: Group[] = [];
   for (const { name, targets } of cluster.groups) {
     const linked: Group["targets"][number][] = [];
-    for (const standin of targets) {
-      const link = store.add(new FaultyLink(() => standin.address));
+    for (const target of targets) {
+      const link = store.add(new FaultyLink(() => target.address));
       const address = await link.start();
-      links.set(standin.name, link);
-      linked.push({ ...standin.target, address });
+      links.set(target.name, link);
+      linked.push({ ...target.target, address });
     }
     groups.push({ name, targets: linked });
   }
@@ -131,7 +136,7 @@
   return links;
 }
 
-interface Planned {
+interface PlannedMember {
   readonly vm: Vm;
   readonly link: FaultyLink;
   readonly listening: { address: Address | undefined };
@@ -143,7 +148,7 @@
   index: number,
   platform: Address,
   logger: Logger,
-): Promise<Planned> {
+): Promise<PlannedMember> {
   const name = `vm-${index + 1}`;
   const create = () =>
     Proxy.create({
@@ -153,14 +158,14 @@
       random: createSystemRandom(),
       incarnation: openIncarnation(Date.now()),
     });
-  const listening: Planned["listening"] = { address: undefined };
+  const listening: PlannedMember["listening"] = { address: undefined };
   const link = store.add(new FaultyLink(() => listening.address ?? { host, port: 1 }));
   const peer = await link.start();
   const vm: Vm = { name, dataCentre: `dc-${index + 1}`, peer, state: "live" };
   return { vm, link, listening, create };
 }
 
-/** A place of the fleet: one proxy after the other runs in it. */
+/** A member of the fleet that runs one proxy at a time. */
 class RunningMember implements FleetMember {
   private running: { readonly proxy: Proxy; readonly callers: Address } | undefined;
   private isKilled = false;
@@ -168,7 +173,7 @@
 
   constructor(
     store: DisposableStore,
-    private readonly planned: Planned,
+    private readonly planned: PlannedMember,
     private readonly handleViolation: ViolationHandler,
   ) {
     store.defer(() => this.kill());
@@ -193,7 +198,7 @@
   async start(): Promise<void> {
     const proxy = await this.planned.create();
     this.planned.listening.address = (await proxy.listen()).peers;
-    // A member may be killed before it is ready; callers find nobody there then.
+    // The member may be killed before it is ready; callers are then refused at port 1.
     this.running = { proxy, callers: { host, port: 1 } };
     const { callers } = await proxy.start();
     if (this.running.proxy === proxy) this.running = { proxy, callers };
@@ -205,11 +210,11 @@
     this.isKilled = true;
     this.link.setRefusing(true);
     await this.running.proxy.dispose();
-    // A proxy that ends puts back the handler from before its start: nobody would hear any more.
+    // A proxy that stops restores the handler from before its start, so violations would be missed.
     setViolationHandler(this.handleViolation);
   }
 
-  /** One restart after the other: two at once would leave two proxies in one place. */
+  /** Restarts run one after the other: two at once would leave two proxies in one member. */
   restart(): Promise<void> {
     this.restarted = this.restarted.then(() => this.replace());
     return this.restarted;
@@ -240,6 +245,6 @@
 `;
   const loaded = loadProxySettings(text, "settings of the fleet");
   if (loaded.type === "faulty") throw new Error(JSON.stringify(loaded.faults));
-  const any: Address = { host, port: 0 };
-  return { ...loaded.value, listen: { callers: any, peers: any, health: any } };
+  const anyPort: Address = { host, port: 0 };
+  return { ...loaded.value, listen: { callers: anyPort, peers: anyPort, health: anyPort } };
 }
--- a/standin/link.ts
+++ b/standin/link.ts
@@ -1,57 +1,57 @@
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { Address, Disposable } from "../src/model/index.js";
 
-/** What a link does with bytes of one direction. `hold` keeps them, as a cut whose ends do not notice. */
+/** What a link does with the bytes of one direction. `hold` stops reading, like a cut that neither end notices. */
 export type Flow = "pass" | "hold";
 
 interface Pair {
   readonly near: Socket;
   readonly far: Socket;
-  /** Everything on it is held for good, though new connections work. */
-  isForgotten: boolean;
+  /** Whether both directions are held permanently, while new connections work. */
+  isStalled: boolean;
 }
 
-/** A TCP link to one address with switches for what a network does to it. */
+/** A TCP relay to one address that injects network faults. */
 export class FaultyLink implements Disposable {
   private readonly pairs = new Set<Pair>();
   private readonly server: Server;
-  private listening: Address = { host: "127.0.0.1", port: 0 };
-  private there: Flow = "pass";
-  private back: Flow = "pass";
+  private listenAddress: Address = { host: "127.0.0.1", port: 0 };
+  private forwardFlow: Flow = "pass";
+  private returnFlow: Flow = "pass";
   private isRefusing = false;
 
-  constructor(private readonly to: () => Address) {
+  constructor(private readonly getDestination: () => Address) {
     this.server = createServer((near) => {
       this.accept(near);
     });
   }
 
   get address(): Address {
-    return this.listening;
+    return this.listenAddress;
   }
 
   async start(): Promise<Address> {
-    await new Promise<void>((resolve) => this.server.listen(0, this.listening.host, resolve));
-    const bound = this.server.address();
-    const port = typeof bound === "object" && bound !== null ? bound.port : 0;
-    this.listening = { host: this.listening.host, port };
-    return this.listening;
+    await new Promise<void>((resolve) => this.server.listen(0, this.listenAddress.host, resolve));
+    const boundAddress = this.server.address();
+    const port = typeof boundAddress === "object" && boundAddress !== null ? boundAddress.port : 0;
+    this.listenAddress = { host: this.listenAddress.host, port };
+    return this.listenAddress;
   }
 
-  /** Sets what becomes of bytes towards the address, and of those that come back. */
-  setFlow(there: Flow, back: Flow): void {
-    this.there = there;
-    this.back = back;
+  /** Sets the flow towards the address and the flow back from it, for current and new connections. */
+  setFlow(forwardFlow: Flow, returnFlow: Flow): void {
+    this.forwardFlow = forwardFlow;
+    this.returnFlow = returnFlow;
     for (const pair of this.pairs) this.updatePair(pair);
   }
 
-  /** Breaks every connection and refuses new ones, or ends that. */
+  /** With true, closes all connections and refuses new ones until it is called with false. */
   setRefusing(isRefusing: boolean): void {
     this.isRefusing = isRefusing;
     if (isRefusing) this.breakAll();
   }
 
-  /** Breaks every connection; new ones work. */
+  /** Closes all connections; new ones work. */
   breakAll(): void {
     for (const { near, far } of this.pairs) {
       near.destroy();
@@ -59,15 +59,15 @@
     }
   }
 
-  /** Lets every connection of now go silent for good; new ones work. */
+  /** Stalls the current connections permanently; new ones work. */
   stallAll(): void {
     for (const pair of this.pairs) {
-      pair.isForgotten = true;
+      pair.isStalled = true;
       this.updatePair(pair);
     }
   }
 
-  /** Ends every fault that can end. */
+  /** Ends all faults except those of connections that were stalled by `stallAll`. */
   heal(): void {
     this.isRefusing = false;
     this.setFlow("pass", "pass");
@@ -87,9 +87,9 @@
       near.destroy();
       return;
     }
-    const far = connect({ ...this.to(), noDelay: true });
+    const far = connect({ ...this.getDestination(), noDelay: true });
     near.setNoDelay(true);
-    const pair: Pair = { near, far, isForgotten: false };
+    const pair: Pair = { near, far, isStalled: false };
     this.pairs.add(pair);
     const end = () => {
       near.destroy();
@@ -98,15 +98,15 @@
     };
     for (const socket of [near, far]) socket.on("error", end).on("close", end);
     near.on("data", (chunk) => {
-      this.pass(chunk, near, far);
+      this.relay(chunk, near, far);
     });
     far.on("data", (chunk) => {
-      this.pass(chunk, far, near);
+      this.relay(chunk, far, near);
     });
     this.updatePair(pair);
   }
 
-  private pass(chunk: Buffer, from: Socket, to: Socket): void {
+  private relay(chunk: Buffer, from: Socket, to: Socket): void {
     if (to.write(chunk)) return;
     from.pause();
     to.once("drain", () => {
@@ -118,9 +118,9 @@
     for (const pair of this.pairs) this.updatePair(pair);
   }
 
-  private updatePair({ near, far, isForgotten }: Pair): void {
-    setReading(near, !isForgotten && this.there === "pass" && !far.writableNeedDrain);
-    setReading(far, !isForgotten && this.back === "pass" && !near.writableNeedDrain);
+  private updatePair({ near, far, isStalled }: Pair): void {
+    setReading(near, !isStalled && this.forwardFlow === "pass" && !far.writableNeedDrain);
+    setReading(far, !isStalled && this.returnFlow === "pass" && !near.writableNeedDrain);
   }
 }
 
