--- a/test/path/caller.ts
+++ b/test/path/caller.ts
@@ -1,15 +1,15 @@
 import pg from "pg";
 import type { Address } from "../../src/model/index.js";
 
-/** What a caller learnt of one statement. */
+/** The outcome of a statement as its caller sees it. */
 export type StatementOutcome =
   | { readonly type: "answered"; readonly rows: readonly unknown[] }
-  /** By SQLSTATE and the verdict in the error's detail. */
+  /** These are told apart by the SQLSTATE and the verdict in the error's detail. */
   | { readonly type: "notRun"; readonly code: string; readonly message: string }
   | { readonly type: "mayHaveRun"; readonly code: string; readonly message: string }
   | { readonly type: "error"; readonly code: string; readonly message: string };
 
-/** Connects an ordinary PostgreSQL client, with a session's token when it roams. */
+/** Connects an unmodified PostgreSQL client, which presents a session token when one is given. */
 export async function connectCaller(
   { host, port }: Address,
   options: { readonly group?: string; readonly team?: string; readonly token?: string } = {},
@@ -26,7 +26,7 @@
   return client;
 }
 
-/** Follows the session's token, which the proxy sends as a parameter. */
+/** Keeps the latest session token, which the proxy sends as a ParameterStatus message. */
 export function followToken(client: pg.Client): { token: string | undefined } {
   const holder: { token: string | undefined } = { token: undefined };
   const { connection } = client as unknown as {
@@ -43,21 +43,21 @@
   return holder;
 }
 
-/** Runs one statement and sorts what the caller hears by its verdict. */
+/** Runs a statement and classifies its result by the verdict. */
 export async function runStatement(client: pg.Client, sql: string): Promise<StatementOutcome> {
   try {
     const result = await client.query(sql);
     return { type: "answered", rows: result.rows };
   } catch (error) {
-    return sortError(error as pg.DatabaseError);
+    return classifyError(error as pg.DatabaseError);
   }
 }
 
-function sortError({ code, detail, message }: pg.DatabaseError): StatementOutcome {
-  const said = { code: code ?? "", message: `${message} ${detail ?? ""}` };
-  if (detail?.includes("verdict: notRun") === true) return { type: "notRun", ...said };
-  if (code === "08007") return { type: "mayHaveRun", ...said };
-  // A caller whose connection broke heard no verdict: it must take it that the statement may have run.
-  if (code === undefined || code === "") return { type: "mayHaveRun", ...said };
-  return { type: "error", ...said };
+function classifyError({ code, detail, message }: pg.DatabaseError): StatementOutcome {
+  const fields = { code: code ?? "", message: `${message} ${detail ?? ""}` };
+  if (detail?.includes("verdict: notRun") === true) return { type: "notRun", ...fields };
+  if (code === "08007") return { type: "mayHaveRun", ...fields };
+  // A caller whose connection broke received no verdict, so the statement may have run.
+  if (code === undefined || code === "") return { type: "mayHaveRun", ...fields };
+  return { type: "error", ...fields };
 }
--- a/test/path/matrix.ts
+++ b/test/path/matrix.ts
@@ -8,20 +8,20 @@
 import type { StandinTarget } from "../../standin/target/index.js";
 import { runStatement, connectCaller, type StatementOutcome } from "./caller.js";
 
-/** The parts of a fleet that a fault strikes. */
+/** A fleet of three proxies and one group, with the parts that faults affect. */
 export interface FaultScenario {
   readonly fleet: Fleet;
   readonly primary: StandinTarget;
   readonly primaryLink: FaultyLink;
   readonly owner: FleetMember;
-  /** The proxy that the caller is on; not the owner. */
+  /** The proxy that the caller is connected to; not the owner. */
   readonly entry: FleetMember;
-  /** A proxy that no fault strikes. */
+  /** A proxy that no fault affects. */
   readonly other: FleetMember;
 }
 
-/** Switches a fault on, and gives what ends it. */
-export type FaultInjector = (scene: FaultScenario) => void | Promise<void>;
+/** Injects a fault. */
+export type FaultInjector = (scenario: FaultScenario) => void | Promise<void>;
 
 export const faults: Readonly<Record<string, FaultInjector>> = {
   "kill the primary": ({ primary }) => primary.kill(),
@@ -82,7 +82,7 @@
 const deadline = "2500ms";
 const rowId = 7;
 
-async function startScene(): Promise<FaultScenario> {
+async function startScenario(): Promise<FaultScenario> {
   const fleet = await startFleet({
     groups: [{ name: "ledger", lagMs: 20, connectMs: 2 }],
     configuration: {
@@ -112,11 +112,12 @@
   const [entry, other] = fleet.members.filter((m) => m !== owner);
   const primary = fleet.cluster.groups[0]?.targets[0];
   const primaryLink = primary && fleet.targetLinks.get(primary.name);
-  if (!owner || !entry || !other || !primary || !primaryLink) throw new Error("no scene");
+  if (!owner || !entry || !other || !primary || !primaryLink)
+    throw new Error("the fleet lacks an owner, another proxy, a primary or its link");
   return { fleet, primary, primaryLink, owner, entry, other };
 }
 
-/** Ends all faults that can end: killed targets come back, killed proxies do not. */
+/** Ends the faults and restarts a killed primary. Killed proxies and stalled connections stay as they are. */
 async function heal({ fleet, primary, primaryLink, owner }: FaultScenario): Promise<void> {
   fleet.cluster.platform.setDown(false);
   primary.faults.endAll();
@@ -125,14 +126,14 @@
   await primary.start().catch(() => undefined);
 }
 
-/** How a write is sent, and when the fault strikes. */
+/** How a write is sent and when the fault is injected. */
 export interface Step {
   readonly name: string;
   readonly isKeyed: boolean;
   run(
-    scene: FaultScenario,
+    scenario: FaultScenario,
     client: pg.Client,
-    strike: () => Promise<void>,
+    inject: () => Promise<void>,
   ): Promise<StatementOutcome>;
 }
 
@@ -141,16 +142,16 @@
   return `${tag}INSERT INTO seat VALUES (${rowId}, 'Ana')`;
 }
 
-async function strikeWithin(
+async function injectDuring(
   client: pg.Client,
   sql: string,
   afterMs: number,
-  strike: () => Promise<void>,
+  inject: () => Promise<void>,
 ): Promise<StatementOutcome> {
-  const asked = runStatement(client, sql);
+  const running = runStatement(client, sql);
   await sleep(afterMs);
-  await strike();
-  return asked;
+  await inject();
+  return running;
 }
 
 function buildSteps(isKeyed: boolean): readonly Step[] {
@@ -160,25 +161,25 @@
     {
       name: `${label}, before it is sent`,
       isKeyed,
-      run: async (_, client, strike) => {
-        await strike();
+      run: async (_, client, inject) => {
+        await inject();
         return runStatement(client, sql);
       },
     },
     {
       name: `${label}, while it runs`,
       isKeyed,
-      run: (scene, client, strike) => {
-        scene.primary.faults.slowFactor = 150;
-        return strikeWithin(client, sql, 60, strike);
+      run: (scenario, client, inject) => {
+        scenario.primary.faults.slowFactor = 150;
+        return injectDuring(client, sql, 60, inject);
       },
     },
     {
       name: `${label}, while it is confirmed`,
       isKeyed,
-      run: (scene, client, strike) => {
-        for (const target of scene.fleet.cluster.groups[0]?.targets ?? []) target.setLag(400);
-        return strikeWithin(client, sql, 150, strike);
+      run: (scenario, client, inject) => {
+        for (const target of scenario.fleet.cluster.groups[0]?.targets ?? []) target.setLag(400);
+        return injectDuring(client, sql, 150, inject);
       },
     },
   ];
@@ -187,18 +188,18 @@
 const transactionStep: Step = {
   name: "transaction, before its commit",
   isKeyed: false,
-  run: async (_, client, strike) => {
+  run: async (_, client, inject) => {
     await runStatement(client, "BEGIN");
     await runStatement(client, buildInsert(false));
-    await strike();
+    await inject();
     return runStatement(client, "COMMIT");
   },
 };
 
 export const steps: readonly Step[] = [...buildSteps(true), ...buildSteps(false), transactionStep];
 
-/** Asks at a proxy that no fault strikes until it is answered. */
-async function askUntilAnswered(
+/** Repeats a statement on the proxy that no fault affects until it succeeds. */
+async function repeatUntilAnswered(
   { other }: FaultScenario,
   sql: string,
 ): Promise<readonly unknown[]> {
@@ -210,22 +211,22 @@
     if (last.type === "answered") return last.rows;
     await sleep(100);
   }
-  throw new Error(`no answer after healing: ${JSON.stringify(last)}`);
+  throw new Error(`the statement did not succeed: ${JSON.stringify(last)}`);
 }
 
-async function countRows(scene: FaultScenario): Promise<number> {
-  const rows = await askUntilAnswered(scene, `SELECT id FROM seat WHERE id = ${rowId}`);
+async function countRows(scenario: FaultScenario): Promise<number> {
+  const rows = await repeatUntilAnswered(scenario, `SELECT id FROM seat WHERE id = ${rowId}`);
   return rows.length;
 }
 
-function checkVerdict(told: StatementOutcome, rows: number): void {
-  switch (told.type) {
+function checkVerdict(outcome: StatementOutcome, rows: number): void {
+  switch (outcome.type) {
     case "answered":
-      expect({ told, rows }).toEqual({ told, rows: 1 });
+      expect({ outcome, rows }).toEqual({ outcome, rows: 1 });
       break;
     case "notRun":
     case "error":
-      expect({ told, rows }).toEqual({ told, rows: 0 });
+      expect({ outcome, rows }).toEqual({ outcome, rows: 0 });
       break;
     case "mayHaveRun":
       expect([0, 1]).toContain(rows);
@@ -234,46 +235,46 @@
 }
 
 /** Keeps a cell for the table in docs/PROOF.md, which `npm run proof` makes. */
-function recordCell(fault: string, step: Step, told: StatementOutcome, rows: number): void {
+function recordCell(fault: string, step: Step, outcome: StatementOutcome, rows: number): void {
   const file = process.env.RADISHWALK_CELLS;
   if (file === undefined) return;
-  const cell = { fault, step: step.name, heard: told.type, rows };
+  const cell = { fault, step: step.name, heard: outcome.type, rows };
   appendFileSync(file, `${JSON.stringify(cell)}\n`);
 }
 
-/** One cell: what the caller hears against what the group holds once all is well again. */
+/** Runs one cell: compares the outcome that the caller received with the stored rows once the fault has ended. */
 export async function runCell(fault: string, step: Step): Promise<void> {
-  const scene = await startScene();
+  const scenario = await startScenario();
   try {
-    // On a busy machine its first try may be answered as one that may have run; it is asked again then.
-    await askUntilAnswered(scene, "CREATE TABLE IF NOT EXISTS seat (id int, child text)");
-    // The table of keys is made with the first keyed write; the faults are to meet later ones.
-    await askUntilAnswered(
-      scene,
+    // On a busy machine the first try may be answered as one that may have run, and is repeated.
+    await repeatUntilAnswered(scenario, "CREATE TABLE IF NOT EXISTS seat (id int, child text)");
+    // The first keyed write creates the table of keys; faults are injected into later ones.
+    await repeatUntilAnswered(
+      scenario,
       "/* idempotency_key='first' */ INSERT INTO seat VALUES (1, 'Ion')",
     );
-    const client = await connectCaller(scene.entry.callers);
+    const client = await connectCaller(scenario.entry.callers);
     await runStatement(client, "SELECT id FROM seat");
-    const told = await step.run(scene, client, async () => {
-      await faults[fault]?.(scene);
+    const outcome = await step.run(scenario, client, async () => {
+      await faults[fault]?.(scenario);
     });
-    await heal(scene);
-    await askUntilAnswered(scene, "INSERT INTO seat VALUES (1000, 'after')");
-    const rows = await countRows(scene);
-    checkVerdict(told, rows);
+    await heal(scenario);
+    await repeatUntilAnswered(scenario, "INSERT INTO seat VALUES (1000, 'after')");
+    const rows = await countRows(scenario);
+    checkVerdict(outcome, rows);
     if (step.isKeyed) {
-      await askUntilAnswered(scene, buildInsert(true));
-      expect(await countRows(scene)).toBe(1);
+      await repeatUntilAnswered(scenario, buildInsert(true));
+      expect(await countRows(scenario)).toBe(1);
     }
-    expect(scene.fleet.violations).toEqual([]);
-    recordCell(fault, step, told, rows);
+    expect(scenario.fleet.violations).toEqual([]);
+    recordCell(fault, step, outcome, rows);
     await client.end().catch(() => undefined);
   } finally {
-    await scene.fleet.dispose();
+    await scenario.fleet.dispose();
   }
 }
 
-/** Declares the cells of some faults as tests. */
+/** Declares a test for each combination of the given faults with a step. */
 export function declareCells(names: readonly string[]): void {
   for (const fault of names) {
     for (const step of steps) {
--- a/test/path/pairs.matrix.test.ts
+++ b/test/path/pairs.matrix.test.ts
@@ -1,6 +1,6 @@
 import { declareCells, faults } from "./matrix.js";
 
-// Each cell strikes one fault, or a pair, at one step of a write's way. The caller hears an answer, a
-// refusal that did not run, or that it may have run; once all is well again the group must hold the
-// row once, never, or either. A keyed write repeated until answered is there exactly once.
+// Each cell injects one fault, or two, at one step of a write. The caller is told that the write
+// succeeded, did not run, or may have run; once the faults have ended, the group must store the row
+// once, never, or either. A keyed write that is repeated until it succeeds is stored exactly once.
 declareCells(Object.keys(faults).slice(14, 18));
--- a/test/path/path.test.ts
+++ b/test/path/path.test.ts
@@ -15,11 +15,11 @@
 
 function getCallers(index: number) {
   const member = fleet.members[index];
-  if (member === undefined) throw new Error("no such member");
+  if (member === undefined) throw new Error(`no member with index ${index}`);
   return member.callers;
 }
 
-test("a session reads its own writes at every proxy that it moves to", async () => {
+test("a session reads its own writes on every proxy that it reconnects to", async () => {
   let token: string | undefined;
   for (let round = 0; round < 6; round += 1) {
     const client = await connectCaller(getCallers(round % 3), token === undefined ? {} : { token });
@@ -37,10 +37,10 @@
   }
 });
 
-// A caller reconnects through the balancer without its token, as an ordinary driver does.
-// The replicas lag; the proxy can't know what this caller wrote a moment ago on another connection,
-// so its first read must reflect every write acknowledged before.
-test("a caller without a token sees what was acknowledged before it came", async () => {
+// An unmodified driver reconnects through the load balancer without a session token while the replicas
+// lag. The proxy can't know what this caller wrote on another connection, so the first read must
+// reflect every write that was acknowledged before it.
+test("a caller without a token sees every write acknowledged before it connected", async () => {
   const first = await connectCaller(getCallers(0));
   await runStatement(first, "CREATE TABLE seat (id int PRIMARY KEY, child text)");
   for (let id = 0; id < 5; id += 1) {
@@ -55,7 +55,7 @@
   await first.end();
 });
 
-test("an interactive transaction through another proxy than the owner commits whole", async () => {
+test("an interactive transaction through a proxy other than the owner commits completely", async () => {
   const clients = await Promise.all([0, 1, 2].map((i) => connectCaller(getCallers(i))));
   const [first] = clients;
   if (first === undefined) throw new Error("no client");
--- a/test/process/build.ts
+++ b/test/process/build.ts
@@ -16,10 +16,10 @@
     then: { serve: { route: primary, class: critical, deadline: 8s, queue: 8s, retry: 10 } }
 `;
 
-const stepMs = 50;
-const agreeMs = 8000;
+const pollIntervalMs = 50;
+const conditionTimeoutMs = 8000;
 
-/** What a caller heard of the write of one seat. */
+/** The outcome of writing one seat, as its caller saw it. */
 export interface Written {
   readonly id: number;
   readonly outcome: StatementOutcome;
@@ -37,11 +37,11 @@
 
 export function getProxy(system: RunningSystem, index: number): RunningProxy {
   const proxy = system.proxies[index];
-  if (proxy === undefined) throw new Error(`no proxy ${index}`);
+  if (proxy === undefined) throw new Error(`no proxy with index ${index}`);
   return proxy;
 }
 
-/** The proxy that runs the group's statements, by the placements in its log, and the others. */
+/** Finds the owner, the proxy that logs the placements of the group's statements, and the others. */
 export async function findOwner(
   system: RunningSystem,
 ): Promise<{ readonly owner: RunningProxy; readonly others: readonly RunningProxy[] }> {
@@ -52,7 +52,7 @@
   return { owner, others: system.proxies.filter((p) => p !== owner) };
 }
 
-/** Writes one seat; with a key, where `isKeyed`. */
+/** Writes one seat, with an idempotency key when `isKeyed`. */
 export async function writeSeat(client: pg.Client, id: number, isKeyed: boolean): Promise<Written> {
   const tag = isKeyed ? `/* kind='reservation',idempotency_key='seat-${id}' */ ` : "";
   return {
@@ -61,16 +61,16 @@
   };
 }
 
-/** How often the running targets hold each seat, once they all hold the same. */
+/** Counts the rows of each seat, once all running targets hold the same rows. */
 export async function readSeats(system: RunningSystem): Promise<ReadonlyMap<number, number>> {
   const targets = system.targets.filter((t) => t.child.isRunning);
-  let held: readonly string[] = [];
+  let stored: readonly string[] = [];
   await waitFor(async () => {
-    held = await Promise.all(targets.map((t) => readTarget(t.target.address)));
-    return new Set(held).size === 1;
+    stored = await Promise.all(targets.map((t) => readTarget(t.target.address)));
+    return new Set(stored).size === 1;
   });
   const counts = new Map<number, number>();
-  for (const id of JSON.parse(held[0] ?? "[]") as number[]) {
+  for (const id of JSON.parse(stored[0] ?? "[]") as number[]) {
     counts.set(id, (counts.get(id) ?? 0) + 1);
   }
   return counts;
@@ -84,31 +84,32 @@
   return JSON.stringify(rows.map((r) => r.id));
 }
 
-/** What callers heard that the targets don't bear out; empty when every verdict was true. */
+/** Lists the outcomes that contradict the stored rows; empty when every verdict was true. */
 export function listFalseOutcomes(
   written: readonly Written[],
-  held: ReadonlyMap<number, number>,
+  stored: ReadonlyMap<number, number>,
 ): readonly string[] {
-  return written.flatMap(({ id, outcome: told }) => {
-    const count = held.get(id) ?? 0;
+  return written.flatMap(({ id, outcome }) => {
+    const count = stored.get(id) ?? 0;
     const isTrue =
       count <= 1 &&
-      (told.type !== "answered" || count === 1) &&
-      (told.type !== "notRun" || count === 0);
-    return isTrue ? [] : [`seat ${id}: ${JSON.stringify(told)}, held ${count} times`];
+      (outcome.type !== "answered" || count === 1) &&
+      (outcome.type !== "notRun" || count === 0);
+    return isTrue ? [] : [`seat ${id}: ${JSON.stringify(outcome)}, stored ${count} times`];
   });
 }
 
-/** The broken invariants that the children logged. */
+/** Lists the log lines of the children about broken invariants. */
 export function listViolations(children: readonly Child[]): readonly unknown[] {
   return children.flatMap((c) => c.lines.filter((l) => l.name === "invariantBroken"));
 }
 
-export async function waitFor(holds: () => boolean | Promise<boolean>): Promise<void> {
-  const endAt = Date.now() + agreeMs;
-  while (!(await holds())) {
-    if (Date.now() > endAt) throw new Error("what was waited for did not come about");
-    await sleep(stepMs);
+export async function waitFor(isMet: () => boolean | Promise<boolean>): Promise<void> {
+  const endAt = Date.now() + conditionTimeoutMs;
+  while (!(await isMet())) {
+    if (Date.now() > endAt)
+      throw new Error(`the condition was not met within ${conditionTimeoutMs} ms`);
+    await sleep(pollIntervalMs);
   }
 }
 
--- a/test/process/end.test.ts
+++ b/test/process/end.test.ts
@@ -29,10 +29,10 @@
   });
 }
 
-// The owner itself is asked to end with a transaction open, a statement under way and a caller that
-// does nothing. The idle caller is told to go elsewhere and no new one is let in; the statement gets
-// its whole answer and the transaction goes on to its commit; then the process ends by itself.
-test("a proxy that is asked to end cuts nothing off", async () => {
+// The owner gets SIGTERM while it has an open transaction, a running statement and an idle caller. It
+// closes the idle caller's connection and refuses new ones; the statement gets its complete answer and
+// the transaction can commit; then the process exits by itself.
+test("a proxy that gets SIGTERM interrupts no statement or transaction", async () => {
   system = await startLedger();
   const { owner } = await findOwner(system);
   const [writer, slow, idle] = await Promise.all([1, 2, 3].map(() => connectCaller(owner.callers)));
@@ -54,10 +54,10 @@
   expect([...(await readSeats(system)).keys()]).toEqual([1, 2]);
 });
 
-// What reads a proxy's log dies, and with it the other end of the pipe; then the proxy is asked to
-// end. The last lines can't be written: trying that for ever would keep the VM from being replaced.
-// They are dropped instead, and the process ends as usual.
-test("a proxy whose log has no reader any more ends all the same", async () => {
+// The reader of a proxy's log dies and its end of the pipe closes; then the proxy gets SIGTERM. The last
+// lines can't be written, and retrying them forever would keep the VM from being replaced. They are
+// dropped instead, and the process exits as usual.
+test("a proxy whose log has lost its reader still exits on SIGTERM", async () => {
   system = await startLedger({ proxies: 2 });
   const { child } = getProxy(system, 1);
   child.process.stdout?.destroy();
@@ -65,10 +65,10 @@
   expect(await child.ended).toEqual({ code: 0, signal: null });
 });
 
-// Two callers of different proxies write without a pause when the primary is killed. Writes wait for
-// the promotion; one in flight at that moment is sent again under its key. Both callers go on to the
-// end, and the targets that are left hold each acknowledged seat once.
-test("a killed primary loses no acknowledged write and writes go on", async () => {
+// The primary is killed while two callers write through different proxies without a pause. Writes wait
+// for the promotion; one that was in flight is sent again with its key. Both callers finish, and the
+// remaining targets store each acknowledged seat once.
+test("a killed primary loses no acknowledged write, and writes continue", async () => {
   system = await startLedger({ lagMs: 50 });
   const clients = await Promise.all([0, 1].map((i) => connectCaller(getProxy(system, i).callers)));
   const written: Written[] = [];
@@ -79,7 +79,7 @@
   await waitFor(() => count(0) > 20);
   system.targets[0]?.child.send("SIGKILL");
   await Promise.all(writing);
-  expect(written.filter(({ outcome: told }) => told.type !== "answered")).toEqual([]);
+  expect(written.filter(({ outcome }) => outcome.type !== "answered")).toEqual([]);
   expect(listFalseOutcomes(written, await readSeats(system))).toEqual([]);
   await Promise.all(clients.map((c) => c.end()));
 });
--- a/test/process/owner.test.ts
+++ b/test/process/owner.test.ts
@@ -31,11 +31,11 @@
   await Promise.all(clients.map((c) => c.end()));
 }
 
-// Eight callers of another proxy each write one seat, half of them under a key; the replicas lag, so
-// that a write waits for its confirmation. Then the owner is killed and its peers take over.
-// Nobody can tell what became of a write that the owner had begun: a keyed one is sent again and
-// lands once; one without hears that it may have run, or is promised that it has not.
-test("a killed owner leaves no caller with an untrue verdict", async () => {
+// Eight callers of another proxy each write one seat, half of them with an idempotency key; the replicas
+// lag, so that writes wait for their confirmation. Then the owner is killed and its peers take over.
+// The result of a write that the owner had started is unknown: a keyed one is sent again and stored
+// once; the caller of one without a key is told that it may have run, or truthfully that it has not.
+test("no caller gets a false verdict when the owner is killed", async () => {
   system = await startLedger({ lagMs: 300 });
   const { owner, others } = await findOwner(system);
   const [near] = others;
@@ -45,18 +45,18 @@
   await waitFor(() => owner.child.lines.filter((l) => l.name === "requestPlaced").length > 1);
   owner.child.send("SIGKILL");
   const written = await Promise.all(writing);
-  const held = await readSeats(system);
-  expect(listFalseOutcomes(written, held)).toEqual([]);
+  const stored = await readSeats(system);
+  expect(listFalseOutcomes(written, stored)).toEqual([]);
   const keyed = written.filter(({ id }) => id % 2 === 0);
-  expect(keyed.map(({ outcome: told }) => told.type)).toEqual(keyed.map(() => "answered"));
+  expect(keyed.map(({ outcome }) => outcome.type)).toEqual(keyed.map(() => "answered"));
   await closeAll(clients);
 });
 
-// The owner is paused for longer than its peers' patience with writes of its own callers under way.
-// Another takes the group over, opens a term of its own and lands writes. Then the paused one goes
-// on as if nothing had happened: it may acknowledge nothing that is not kept, cut nothing of the new
-// owner's work off, and must serve its callers again.
-test("an owner that was paused acknowledges nothing stale and cuts nothing", async () => {
+// The owner is paused for longer than its peers wait, while writes of its own callers are running.
+// Another proxy takes over the group, starts a new term and commits writes. Then the paused owner
+// resumes: it must not acknowledge a write that is not stored, must not interrupt the work of the new
+// owner, and must serve its callers again.
+test("a resumed owner acknowledges no lost write and interrupts nothing", async () => {
   system = await startLedger({ lagMs: 100 });
   const { owner, others } = await findOwner(system);
   const [near] = others;
@@ -66,25 +66,28 @@
   const early = paused.map((client, id) => writeSeat(client, id, id % 2 === 0));
   await sleep(20);
   owner.child.send("SIGSTOP");
-  const during = await writeUntilTaken(clients, 100);
+  const during = await writeUntilAcknowledged(clients, 100);
   owner.child.send("SIGCONT");
   const after = await writeMany(clients, 200, 10);
   const late = await writeMany(paused, 300, writers);
-  const held = await readSeats(system);
+  const stored = await readSeats(system);
   const written = [...(await Promise.all(early)), ...during, ...after, ...late];
-  expect(listFalseOutcomes(written, held)).toEqual([]);
-  expect(during.some(({ outcome: told }) => told.type === "answered")).toBe(true);
-  expect([...after, ...late].filter(({ outcome: told }) => told.type !== "answered")).toEqual([]);
+  expect(listFalseOutcomes(written, stored)).toEqual([]);
+  expect(during.some(({ outcome }) => outcome.type === "answered")).toBe(true);
+  expect([...after, ...late].filter(({ outcome }) => outcome.type !== "answered")).toEqual([]);
   await closeAll([...paused, ...clients]);
 });
 
-/** Writes keyed seats until one is acknowledged, which another proxy must have done. */
-async function writeUntilTaken(clients: readonly pg.Client[], from: number): Promise<Written[]> {
+/** Writes keyed seats until one is acknowledged, which only a new owner can do. */
+async function writeUntilAcknowledged(
+  clients: readonly pg.Client[],
+  from: number,
+): Promise<Written[]> {
   const written: Written[] = [];
   await waitFor(async () => {
     const round = clients.map((c, i) => writeSeat(c, from + written.length + i, true));
     written.push(...(await Promise.all(round)));
-    return written.some(({ outcome: told }) => told.type === "answered");
+    return written.some(({ outcome }) => outcome.type === "answered");
   });
   return written;
 }
