--- a/standin/processes/children.ts
+++ b/standin/processes/children.ts
@@ -59,7 +59,7 @@
     if (this.isRunning) this.process.kill(signal);
   }
 
-  /** Sends SIGTERM, then SIGKILL if the process has not ended within `stopTimeoutMs`. Resumes a paused process first. */
+  /** Resumes a paused process and sends SIGTERM, then SIGKILL after `stopTimeoutMs`. */
   async stop(): Promise<void> {
     this.send("SIGCONT");
     this.send("SIGTERM");
@@ -70,7 +70,7 @@
     clearTimeout(timer);
   }
 
-  /** Resolves with the first line, past or future, that `matches` accepts. Rejects when the process ends first. */
+  /** Resolves with the first line, past or future, that matches. Rejects when the process ends first. */
   async waitForLine(matches: (line: LogLine) => boolean): Promise<LogLine> {
     const seen = this.lines.find(matches);
     if (seen !== undefined) return seen;
--- a/standin/soak/caller.ts
+++ b/standin/soak/caller.ts
@@ -2,7 +2,10 @@
 import pg from "pg";
 import type { Address } from "../../src/model/index.js";
 
-/** The outcome of a statement as its caller sees it. `broken` (no reply) says nothing about whether it ran. */
+/**
+ * The outcome of a statement as its caller sees it. `broken`, a lost connection or a timeout, says
+ * nothing about whether it ran.
+ */
 export type StatementOutcome =
   | { readonly type: "answered"; readonly tag: string; readonly rows: readonly Row[] }
   | { readonly type: "notRun"; readonly reason: string }
@@ -118,7 +121,10 @@
   };
 }
 
-/** Classifies an error by the verdict in its detail. One that no server sent says nothing about the request. */
+/**
+ * Classifies an error by the verdict in its detail. An error that no server sent says nothing about
+ * whether the statement ran.
+ */
 function classifyError(error: unknown): StatementOutcome {
   if (!(error instanceof pg.DatabaseError)) return { type: "broken", reason: String(error) };
   const { code = "", detail = "", message } = error;
--- a/standin/soak/run.ts
+++ b/standin/soak/run.ts
@@ -47,7 +47,10 @@
 const setupTries = 30;
 const teams = ["ferrante", "school"] as const;
 
-/** Runs rounds of faults under load; after each, compares the stored data with what callers were told. Stops at the first breach. */
+/**
+ * Runs rounds of faults under load and, after each round, compares the stored data with what callers
+ * were told. Stops after the first round with a breach.
+ */
 export async function runSoak(options: SoakOptions): Promise<SoakReport> {
   const { seed, groups: groupCount = seed % 2 === 0 ? 2 : 1 } = options;
   const trace = new Trace();
@@ -154,7 +157,7 @@
     onRound?.(`round ${round}: ${faultText}; settled in ${tookMs} ms`);
   }
 
-  /** Sessions, operators and faults at once; all faults are over when it resolves. */
+  /** Runs sessions, operators and faults concurrently; all faults have ended when it resolves. */
   private async runSessions(plan: RoundPlan, round: number, table: string): Promise<void> {
     const { seed } = this.options;
     let isOver = false;
@@ -201,7 +204,7 @@
     });
   }
 
-  /** Checks that once the faults have ended, a write succeeds in each group within a bounded number of tries. */
+  /** Checks that after the faults a write succeeds in each group within `progressTries` tries. */
   private async checkProgress(table: string): Promise<void> {
     for (const group of this.groups) {
       const text = `UPDATE ${table} SET confirmed = confirmed WHERE id = 'none'`;
@@ -213,7 +216,7 @@
     }
   }
 
-  /** Repeats an idempotent statement on each proxy until it succeeds; returns whether all of them succeeded. */
+  /** Repeats an idempotent statement on each proxy until it succeeds; false when one never did. */
   private async repeat(group: string, text: string, tries: number): Promise<boolean> {
     const results = await Promise.all(
       this.fleet.members.map((_, i) => this.repeatOn(i, group, text, tries)),
--- a/standin/soak/session.ts
+++ b/standin/soak/session.ts
@@ -17,7 +17,10 @@
 const connectPauseMs = 100;
 const reconnectProbability = 0.12;
 
-/** A session that reconnects to random proxies, and records the outcome of each statement in the trace and the counts. */
+/**
+ * A session that reconnects to random proxies. Records the outcome of each statement in the trace and
+ * the counts.
+ */
 export class Session {
   private caller: Caller | undefined;
   private proxy: Proxy | undefined;
--- a/standin/soak/work.ts
+++ b/standin/soak/work.ts
@@ -288,7 +288,10 @@
   }
 }
 
-/** Whether an SQLSTATE means that the statement had no effect. Errors of the connection or the server don't. */
+/**
+ * Whether an SQLSTATE means that the statement had no effect. Errors of the connection (08), of operator
+ * intervention (57) and of the system (58) don't.
+ */
 function isStatementError(code: string): boolean {
   return !code.startsWith("08") && !code.startsWith("57") && !code.startsWith("58");
 }
