--- a/standin/link.ts
+++ b/standin/link.ts
@@ -68,7 +68,7 @@
   }
 
   /** Ends all faults except those of connections that were stalled by `stallAll`. */
-  heal(): void {
+  clearFaults(): void {
     this.isRefusing = false;
     this.setFlow("pass", "pass");
   }
--- a/test/path/matrix.ts
+++ b/test/path/matrix.ts
@@ -118,11 +118,11 @@
 }
 
 /** Ends the faults and restarts a killed primary. Killed proxies and stalled connections stay as they are. */
-async function heal({ fleet, primary, primaryLink, owner }: FaultScenario): Promise<void> {
+async function endFaults({ fleet, primary, primaryLink, owner }: FaultScenario): Promise<void> {
   fleet.cluster.platform.setDown(false);
   primary.faults.endAll();
-  primaryLink.heal();
-  owner.link.heal();
+  primaryLink.clearFaults();
+  owner.link.clearFaults();
   await primary.start().catch(() => undefined);
 }
 
@@ -258,7 +258,7 @@
     const outcome = await step.run(scenario, client, async () => {
       await faults[fault]?.(scenario);
     });
-    await heal(scenario);
+    await endFaults(scenario);
     await repeatUntilAnswered(scenario, "INSERT INTO seat VALUES (1000, 'after')");
     const rows = await countRows(scenario);
     checkVerdict(outcome, rows);
