--- a/scripts/safeguards.mjs
+++ b/scripts/safeguards.mjs
@@ -23,7 +23,7 @@
     invariant: "No write is acknowledged by a superseded primary",
     safeguard: "confirmations are asked for after the commit",
     file: "src/controller/acknowledge/acknowledgement.ts",
-    find: "const isFresh = evidence.askedAt >= closing.since || !state.safeguards.freshness;",
+    find: "const isFresh = answer.askedAt >= round.since || !state.safeguards.freshness;",
     put: "const isFresh = true;",
     tests: "test/failover",
   },
--- a/src/capacity/pool.ts
+++ b/src/capacity/pool.ts
@@ -94,7 +94,7 @@
 
   /** Follows a change of this process's part of the target's connections. */
   resize(limit: number, largestShare: number): void {
-    this.apply({ type: "resize", at: this.clock.now(), limit, largestShare });
+    this.apply({ type: "resize", at: this.clock.now(), limit, maxShare: largestShare });
   }
 
   /** Notes that the target turned work away because all its slots were taken. */
--- a/src/capacity/slots.ts
+++ b/src/capacity/slots.ts
@@ -2,15 +2,15 @@
   applyAdmission,
   countFreeSlots,
   createAdmission,
-  listWaitingFor,
-  measureWait,
+  listWaitingOnlyFor,
+  estimateWait,
   summariseAdmission,
   type Admission,
   type AdmissionEffect,
   type AdmissionEvent,
   type AdmissionRequest,
   type AdmissionSummary,
-  type WaitQuestion,
+  type RequestProfile,
 } from "../controller/admission/index.js";
 import type { Clock, Disposable, NotRunReason } from "../model/index.js";
 import { Ticker } from "./ticker.js";
@@ -70,7 +70,7 @@
 
   /** Refuses what waits for a target alone, so that it may be placed anew. */
   evict(target: string): void {
-    for (const id of listWaitingFor(this.admission, target)) {
+    for (const id of listWaitingOnlyFor(this.admission, target)) {
       this.refuse(id, "noPrimary", 0);
       this.apply({ type: "cancel", at: this.clock.now(), id });
     }
@@ -78,7 +78,7 @@
 
   /** Requests that wait for a target alone. */
   countWaitingFor(target: string): number {
-    return listWaitingFor(this.admission, target).length;
+    return listWaitingOnlyFor(this.admission, target).length;
   }
 
   countFree(target: string): number {
@@ -86,8 +86,8 @@
   }
 
   /** The wait that the queue implies, in milliseconds. */
-  measureWaitMs(question: WaitQuestion): number {
-    return measureWait(this.admission, question, this.clock.now()).waitMs;
+  measureWaitMs(question: RequestProfile): number {
+    return estimateWait(this.admission, question, this.clock.now()).waitMs;
   }
 
   summarise(): AdmissionSummary {
--- a/src/controller/acknowledge/acknowledgement.ts
+++ b/src/controller/acknowledge/acknowledgement.ts
@@ -29,9 +29,9 @@
  * unfenced in an answer to a request sent after `since` was unfenced at `since`: once a majority
  * has answered so, no other majority was fenced at that instant.
  */
-interface Closing {
+interface ConfirmationRound {
   readonly since: number;
-  readonly closers: readonly string[];
+  readonly confirmers: readonly string[];
 }
 
 /** What is known of a write that waits. */
@@ -41,14 +41,14 @@
   safeguards: AcknowledgeSafeguards;
   /** Replicas that hold the write in its term. */
   holders: readonly string[];
-  closing?: Closing;
+  confirmationRound?: ConfirmationRound;
   outcome: "waiting" | "confirmed" | "superseded";
   /** Targets that were seen fenced past the term. */
-  past: readonly string[];
+  fencedPastTerm: readonly string[];
 }>;
 
 /** An answer of a target, and when it was asked for and came. */
-export interface Evidence {
+export interface StatusAnswer {
   readonly status: TargetStatus;
   readonly askedAt: number;
   readonly answeredAt: number;
@@ -75,46 +75,47 @@
     safeguards,
     holders: [],
     outcome: "waiting",
-    past: [],
+    fencedPastTerm: [],
   };
-  const isAlone = write.mode === "replicated" && countNeeded(state) === 1;
-  if (write.mode === "replicated" && !isAlone) return succeed(state);
-  return beginClosing(state, write.committedAt, []);
+  const isPrimaryEnough = write.mode === "replicated" && countRequired(state) === 1;
+  if (write.mode === "replicated" && !isPrimaryEnough) return succeed(state);
+  return beginConfirmationRound(state, write.committedAt, []);
 }
 
 /** Takes an answer into account. */
-export function applyEvidence(state: AcknowledgementState, evidence: Evidence): Result {
+export function applyStatusAnswer(state: AcknowledgementState, answer: StatusAnswer): Result {
   if (state.outcome !== "waiting") return succeed(state);
-  const { status } = evidence;
+  const { status } = answer;
   const { term, primary } = state.write;
-  if (compareTerms(status.fencedAt, term) > 0) return notePast(state, status.target);
+  if (compareTerms(status.fencedAt, term) > 0) return recordFencedTarget(state, status.target);
   if (status.target === primary && status.role === "replica") {
     return succeed({ ...state, outcome: "superseded" });
   }
-  if (state.closing !== undefined) return noteCloser(state, state.closing, evidence);
-  return noteHolder(state, evidence);
+  if (state.confirmationRound !== undefined)
+    return recordConfirmation(state, state.confirmationRound, answer);
+  return recordHolder(state, answer);
 }
 
 /**
  * The primary itself, or so many targets that no majority can confirm, are past the term. What
  * becomes of the write is the next primary's to tell; this one must not vouch for it.
  */
-function notePast(state: AcknowledgementState, target: string): Result {
-  const past = [...state.past.filter((t) => t !== target), target];
-  const spare = state.targets.length - countMajority(state.targets.length);
-  const isOver = target === state.write.primary || past.length > spare;
-  return succeed({ ...state, past, outcome: isOver ? "superseded" : "waiting" });
+function recordFencedTarget(state: AcknowledgementState, target: string): Result {
+  const fencedPastTerm = [...state.fencedPastTerm.filter((t) => t !== target), target];
+  const toleratedCount = state.targets.length - countMajority(state.targets.length);
+  const isSuperseded = target === state.write.primary || fencedPastTerm.length > toleratedCount;
+  return succeed({ ...state, fencedPastTerm, outcome: isSuperseded ? "superseded" : "waiting" });
 }
 
 /** What a replica holds it held when it answered, whenever it was asked: the mark is the proof. */
-function noteHolder(state: AcknowledgementState, { status, answeredAt }: Evidence): Result {
+function recordHolder(state: AcknowledgementState, { status, answeredAt }: StatusAnswer): Result {
   const { write } = state;
   const reach = compareMarks(status.lineage, status.mark, write.mark);
   if (status.role === "primary" || reach.type !== "reached") return succeed(state);
   const holders = [...state.holders.filter((t) => t !== status.target), status.target];
   const next = { ...state, holders };
-  if (holders.length + 1 < countNeeded(state)) return succeed(next);
-  return beginClosing(next, answeredAt, [status.target]);
+  if (holders.length + 1 < countRequired(state)) return succeed(next);
+  return beginConfirmationRound(next, answeredAt, [status.target]);
 }
 
 /**
@@ -122,31 +123,40 @@
  * replica may have been fenced between that reply and the last replica's answer, and a superseded
  * primary would acknowledge. So the primary is asked again after that answer.
  */
-function beginClosing(
+function beginConfirmationRound(
   state: AcknowledgementState,
   since: number,
-  closers: readonly string[],
+  confirmers: readonly string[],
 ): Result {
   if (!state.safeguards.freshness && state.write.mode === "replicated") {
     return succeed({ ...state, outcome: "confirmed" });
   }
-  const targets = state.targets.filter((t) => !closers.includes(t) && !state.past.includes(t));
-  return succeed({ ...state, closing: { since, closers } }, [{ type: "ask", targets }]);
+  const targets = state.targets.filter(
+    (t) => !confirmers.includes(t) && !state.fencedPastTerm.includes(t),
+  );
+  return succeed({ ...state, confirmationRound: { since, confirmers } }, [
+    { type: "ask", targets },
+  ]);
 }
 
-function noteCloser(state: AcknowledgementState, closing: Closing, evidence: Evidence): Result {
-  const { target } = evidence.status;
-  const isFresh = evidence.askedAt >= closing.since || !state.safeguards.freshness;
-  if (!isFresh || closing.closers.includes(target)) return succeed(state);
-  const closers = [...closing.closers, target];
-  const isConfirmed = closers.length >= countNeeded(state) && closers.includes(state.write.primary);
+function recordConfirmation(
+  state: AcknowledgementState,
+  round: ConfirmationRound,
+  answer: StatusAnswer,
+): Result {
+  const { target } = answer.status;
+  const isFresh = answer.askedAt >= round.since || !state.safeguards.freshness;
+  if (!isFresh || round.confirmers.includes(target)) return succeed(state);
+  const confirmers = [...round.confirmers, target];
+  const isConfirmed =
+    confirmers.length >= countRequired(state) && confirmers.includes(state.write.primary);
   return succeed({
     ...state,
-    closing: { ...closing, closers },
+    confirmationRound: { ...round, confirmers },
     outcome: isConfirmed ? "confirmed" : "waiting",
   });
 }
 
-function countNeeded(state: AcknowledgementState): number {
+function countRequired(state: AcknowledgementState): number {
   return state.safeguards.confirmMajority ? countMajority(state.targets.length) : 1;
 }
--- a/src/controller/acknowledge/index.ts
+++ b/src/controller/acknowledge/index.ts
@@ -1,9 +1,9 @@
 export {
   type AcknowledgementState,
-  applyEvidence,
+  applyStatusAnswer,
   type AskEffect,
   beginAcknowledgement,
-  type Evidence,
+  type StatusAnswer,
   type PendingWrite,
 } from "./acknowledgement.js";
 export { type AcknowledgeSafeguards, allAcknowledgeSafeguards } from "./options.js";
--- a/src/controller/admission/capacity.ts
+++ b/src/controller/admission/capacity.ts
@@ -1,60 +1,63 @@
 import { isBackgroundWork } from "./queue.js";
-import { countUsableSlots, measureUseAbove } from "./slots.js";
+import { countUsableSlots, computeHigherClassShare } from "./slots.js";
 import { listValues } from "./tree.js";
 import type { Admission, AdmissionRequest, TargetSlots } from "./types.js";
 
 /** What some targets have for one class. Infinity stands for never. */
 export interface Capacity {
   /** Milliseconds between two starts by what more important classes leave. */
-  readonly leftEveryMs: number;
+  readonly residualIntervalMs: number;
   /** The share of the slots that they leave. */
-  readonly leftShare: number;
+  readonly residualShare: number;
   /** Milliseconds between two starts by the guaranteed share alone. */
-  readonly owedEveryMs: number;
-  readonly owedShare: number;
+  readonly guaranteedIntervalMs: number;
+  readonly guaranteedShare: number;
   readonly serviceMs: number;
   /** When slots come back, where there are none now or stalled statements hold all of them. */
-  readonly backInMs: number | undefined;
+  readonly slotsExpectedInMs: number | undefined;
 }
 
 /**
  * A statement that holds its slot this many times the usual time no longer counts as about to end; it
  * is expected to last as long again.
  */
-const stalledFactor = 20;
-const stalledAfterMs = 1000;
-const smallestShare = 1e-6;
+const stalledServiceTimes = 20;
+const minStalledMs = 1000;
+const minResidualShare = 1e-6;
 
 /** Measures what the targets of a request have for its class. */
-export function measureCapacity(
+export function estimateCapacity(
   admission: Admission,
-  question: Pick<AdmissionRequest, "plan" | "priority" | "candidates">,
+  request: Pick<AdmissionRequest, "plan" | "priority" | "candidates">,
   at: number,
 ): Capacity {
-  const { priority, candidates } = question;
+  const { priority, candidates } = request;
   const stalled = countStalled(admission, at);
   let all = 0;
   let left = 0;
   let serviceMs = 0;
-  let backAt = Infinity;
+  let slotsExpectedAt = Infinity;
   for (const target of listTargets(admission, candidates)) {
     serviceMs = Math.max(serviceMs, target.serviceMs);
-    if (target.slots === 0) backAt = Math.min(backAt, target.backAt ?? Infinity);
-    const usable = countUsableSlots(target, isBackgroundWork(question));
+    if (target.slots === 0)
+      slotsExpectedAt = Math.min(slotsExpectedAt, target.slotsExpectedAt ?? Infinity);
+    const usable = countUsableSlots(target, isBackgroundWork(request));
     const held = stalled.get(target.target);
     const rate = Math.max(0, usable - (held?.count ?? 0)) / target.serviceMs;
-    if (rate === 0 && held !== undefined) backAt = Math.min(backAt, at + held.shortestMs);
+    if (rate === 0 && held !== undefined)
+      slotsExpectedAt = Math.min(slotsExpectedAt, at + held.shortestMs);
     all += rate;
-    left += rate * (1 - measureUseAbove(target, priority, at));
+    left += rate * (1 - computeHigherClassShare(target, priority, at));
   }
-  const owedShare = admission.settings.guaranteedShare[priority];
+  const guaranteedShare = admission.settings.guaranteedShare[priority];
   return {
-    leftEveryMs: 1 / left,
-    leftShare: Math.max(smallestShare, left / all || 0),
-    owedEveryMs: 1 / (all * owedShare),
-    owedShare,
+    residualIntervalMs: 1 / left,
+    residualShare: Math.max(minResidualShare, left / all || 0),
+    guaranteedIntervalMs: 1 / (all * guaranteedShare),
+    guaranteedShare,
     serviceMs,
-    backInMs: all === 0 && backAt < Infinity ? Math.max(0, backAt - at) : undefined,
+    slotsExpectedInMs:
+      all === 0 && slotsExpectedAt < Infinity ? Math.max(0, slotsExpectedAt - at) : undefined,
   };
 }
 
@@ -78,7 +81,7 @@
   for (const { target, startedAt } of listValues(admission.running)) {
     const serviceMs = admission.targets[target]?.serviceMs ?? 0;
     const heldMs = at - startedAt;
-    if (heldMs <= Math.max(stalledAfterMs, stalledFactor * serviceMs)) continue;
+    if (heldMs <= Math.max(minStalledMs, stalledServiceTimes * serviceMs)) continue;
     const { count, shortestMs } = stalled.get(target) ?? { count: 0, shortestMs: Infinity };
     stalled.set(target, { count: count + 1, shortestMs: Math.min(shortestMs, heldMs) });
   }
--- a/src/controller/admission/index.ts
+++ b/src/controller/admission/index.ts
@@ -15,7 +15,7 @@
 export {
   type AdmissionSummary,
   countFreeSlots,
-  listWaitingFor,
+  listWaitingOnlyFor,
   summariseAdmission,
 } from "./view.js";
-export { type WaitEstimate, type WaitQuestion, measureWait } from "./wait.js";
+export { type WaitEstimate, type RequestProfile, estimateWait } from "./wait.js";
--- a/src/controller/admission/queue.ts
+++ b/src/controller/admission/queue.ts
@@ -1,6 +1,6 @@
 import type { Plan, Priority } from "../../model/index.js";
 import { findFirstEntry, getEntry, listValues, putEntry, removeEntry } from "./tree.js";
-import type { ClassQueue, Lane, TeamQueue, Waiting } from "./types.js";
+import type { ClassQueue, Lane, TeamQueue, WaitingRequest } from "./types.js";
 
 /** A class in which nothing waits. */
 export const emptyClass: ClassQueue = {
@@ -8,8 +8,8 @@
   credit: 0,
   virtualTime: 0,
   teams: undefined,
-  sets: undefined,
-  comeBackAt: 0,
+  candidateSets: undefined,
+  lastRetryAt: 0,
 };
 
 /** Whether a request counts as background work: by its team's plan, or by the class a rule gave it. */
@@ -22,50 +22,50 @@
 }
 
 /** Puts a request into its team's lane, by order of arrival. */
-export function addToClass(queue: ClassQueue, waiting: Waiting): ClassQueue {
+export function addToClass(queue: ClassQueue, waiting: WaitingRequest): ClassQueue {
   const key = makeLaneKey(waiting);
   const { candidates } = waiting;
-  const team = getEntry(queue.teams, waiting.team) ?? makeTeam(waiting.team);
+  const team = getEntry(queue.teams, waiting.team) ?? createTeamQueue(waiting.team);
   const lane = getEntry(team.lanes, key) ?? {
     key,
     candidates,
     isBackground: isBackgroundWork(waiting),
     queue: undefined,
   };
-  const longer = { ...lane, queue: putEntry(lane.queue, waiting.seq, waiting) };
-  const count = 1 + (getEntry(queue.sets, key)?.count ?? 0);
-  const grown: TeamQueue = {
+  const grownLane = { ...lane, queue: putEntry(lane.queue, waiting.seq, waiting) };
+  const count = 1 + (getEntry(queue.candidateSets, key)?.count ?? 0);
+  const grownTeam: TeamQueue = {
     ...team,
-    tag: Math.max(team.tag, queue.virtualTime),
+    startTag: Math.max(team.startTag, queue.virtualTime),
     size: team.size + 1,
-    lanes: putEntry(team.lanes, key, longer),
+    lanes: putEntry(team.lanes, key, grownLane),
   };
   return {
     ...queue,
     size: queue.size + 1,
-    teams: putEntry(queue.teams, team.team, grown),
-    sets: putEntry(queue.sets, key, { candidates, count }),
+    teams: putEntry(queue.teams, team.team, grownTeam),
+    candidateSets: putEntry(queue.candidateSets, key, { candidates, count }),
   };
 }
 
 /** Takes a request out of its lane. */
-export function removeFromClass(queue: ClassQueue, waiting: Waiting): ClassQueue {
+export function removeFromClass(queue: ClassQueue, waiting: WaitingRequest): ClassQueue {
   const key = makeLaneKey(waiting);
   const team = getEntry(queue.teams, waiting.team);
   const lane = team === undefined ? undefined : getEntry(team.lanes, key);
   if (team === undefined || lane === undefined) return queue;
-  if (queue.size === 1) return { ...queue, ...emptyClass, comeBackAt: queue.comeBackAt };
-  const left = removeEntry(lane.queue, waiting.seq);
+  if (queue.size === 1) return { ...queue, ...emptyClass, lastRetryAt: queue.lastRetryAt };
+  const remaining = removeEntry(lane.queue, waiting.seq);
   const lanes =
-    left === undefined
+    remaining === undefined
       ? removeEntry(team.lanes, key)
-      : putEntry(team.lanes, key, { ...lane, queue: left });
-  const shrunk = { ...team, size: team.size - 1, lanes };
+      : putEntry(team.lanes, key, { ...lane, queue: remaining });
+  const shrunkTeam = { ...team, size: team.size - 1, lanes };
   return {
     ...queue,
     size: queue.size - 1,
-    teams: keepTeam(queue, shrunk),
-    sets: decrementSet(queue.sets, key),
+    teams: putOrDropTeam(queue, shrunkTeam),
+    candidateSets: decrementCandidateSet(queue.candidateSets, key),
   };
 }
 
@@ -74,12 +74,15 @@
   queue: ClassQueue,
   team: string,
   slotMs: number,
-  isTurn: boolean,
+  isStart: boolean,
 ): ClassQueue {
   const known = getEntry(queue.teams, team);
   if (known === undefined) return queue;
-  const virtualTime = isTurn ? Math.max(queue.virtualTime, known.tag) : queue.virtualTime;
-  const teams = keepTeam({ ...queue, virtualTime }, { ...known, tag: known.tag + slotMs });
+  const virtualTime = isStart ? Math.max(queue.virtualTime, known.startTag) : queue.virtualTime;
+  const teams = putOrDropTeam(
+    { ...queue, virtualTime },
+    { ...known, startTag: known.startTag + slotMs },
+  );
   return { ...queue, virtualTime, teams };
 }
 
@@ -87,48 +90,50 @@
 export function dropIdleTeams(queue: ClassQueue): ClassQueue {
   let teams = queue.teams;
   for (const team of listValues(queue.teams)) {
-    if (team.size === 0 && team.tag <= queue.virtualTime) teams = removeEntry(teams, team.team);
+    if (team.size === 0 && team.startTag <= queue.virtualTime)
+      teams = removeEntry(teams, team.team);
   }
   return teams === queue.teams ? queue : { ...queue, teams };
 }
 
 /** The request of a class that a target serves next: the team with the least tag, oldest first. */
-export function findNext(
+export function findNextRequest(
   queue: ClassQueue,
   target: string,
   isBackgroundAllowed: boolean,
-): Waiting | undefined {
+): WaitingRequest | undefined {
   if (!hasWorkFor(queue, target)) return undefined;
-  let best: { readonly tag: number; readonly waiting: Waiting } | undefined;
+  let best: { readonly startTag: number; readonly waiting: WaitingRequest } | undefined;
   for (const team of listValues(queue.teams)) {
-    if (best !== undefined && team.tag > best.tag) continue;
-    const waiting = findHead(team, target, isBackgroundAllowed);
+    if (best !== undefined && team.startTag > best.startTag) continue;
+    const waiting = findOldestRequest(team, target, isBackgroundAllowed);
     if (waiting === undefined) continue;
-    const isSooner = best === undefined || team.tag < best.tag || waiting.seq < best.waiting.seq;
-    if (isSooner) best = { tag: team.tag, waiting };
+    const isSooner =
+      best === undefined || team.startTag < best.startTag || waiting.seq < best.waiting.seq;
+    if (isSooner) best = { startTag: team.startTag, waiting };
   }
   return best?.waiting;
 }
 
 /** Whether a class has a request that names a target. */
 export function hasWorkFor(queue: ClassQueue, target: string): boolean {
-  for (const set of listValues(queue.sets)) {
+  for (const set of listValues(queue.candidateSets)) {
     if (set.candidates.includes(target)) return true;
   }
   return false;
 }
 
 /** The key of the lane that a request belongs to. */
-export function makeLaneKey(waiting: Waiting): string {
+export function makeLaneKey(waiting: WaitingRequest): string {
   return `${isBackgroundWork(waiting) ? "background" : "other"} ${waiting.candidates.join(" ")}`;
 }
 
-function findHead(
+function findOldestRequest(
   team: TeamQueue,
   target: string,
   isBackgroundAllowed: boolean,
-): Waiting | undefined {
-  let head: Waiting | undefined;
+): WaitingRequest | undefined {
+  let head: WaitingRequest | undefined;
   for (const lane of listValues(team.lanes)) {
     if (!canServeLane(lane, target, isBackgroundAllowed)) continue;
     const first = findFirstEntry(lane.queue)?.value;
@@ -145,18 +150,21 @@
  * An idle team stays known while its tag is ahead. Forgetting it at once would let a team that sends
  * one request at a time come back at the head of the line each time, and the others would starve.
  */
-function keepTeam(queue: ClassQueue, team: TeamQueue): ClassQueue["teams"] {
-  return team.size === 0 && team.tag <= queue.virtualTime
+function putOrDropTeam(queue: ClassQueue, team: TeamQueue): ClassQueue["teams"] {
+  return team.size === 0 && team.startTag <= queue.virtualTime
     ? removeEntry(queue.teams, team.team)
     : putEntry(queue.teams, team.team, team);
 }
 
-function decrementSet(sets: ClassQueue["sets"], key: string): ClassQueue["sets"] {
-  const known = getEntry(sets, key);
-  if (known === undefined || known.count <= 1) return removeEntry(sets, key);
-  return putEntry(sets, key, { ...known, count: known.count - 1 });
+function decrementCandidateSet(
+  candidateSets: ClassQueue["candidateSets"],
+  key: string,
+): ClassQueue["candidateSets"] {
+  const known = getEntry(candidateSets, key);
+  if (known === undefined || known.count <= 1) return removeEntry(candidateSets, key);
+  return putEntry(candidateSets, key, { ...known, count: known.count - 1 });
 }
 
-function makeTeam(team: string): TeamQueue {
-  return { team, tag: 0, size: 0, lanes: undefined };
+function createTeamQueue(team: string): TeamQueue {
+  return { team, startTag: 0, size: 0, lanes: undefined };
 }
--- a/src/controller/admission/refusal.ts
+++ b/src/controller/admission/refusal.ts
@@ -1,34 +1,34 @@
-import type { Admission, AdmissionEffect, ClassQueue, Waiting } from "./types.js";
-import { findCarefulWait, measureWait, type WaitEstimate } from "./wait.js";
+import type { Admission, AdmissionEffect, ClassQueue, WaitingRequest } from "./types.js";
+import { computePessimisticWaitMs, estimateWait, type WaitEstimate } from "./wait.js";
 
 type Refusal = Extract<AdmissionEffect, { type: "refuse" }>;
 
-const shortestRetryMs = 10;
-const longestRetryMs = 10_000;
+const minRetryMs = 10;
+const maxRetryMs = 10_000;
 /** Told where nothing is known of when a target will serve again. */
-const unknownRetryMs = 1000;
+const unknownOutageRetryMs = 1000;
 
 /** The longest that a request may still wait: by its rule, and so that it ends before its deadline. */
-export function findPatience(waiting: Waiting, serviceMs: number, at: number): number {
+export function computeMaxWaitMs(waiting: WaitingRequest, serviceMs: number, at: number): number {
   const byRule = waiting.arrivedAt + waiting.maxQueueMs - at;
   return Math.min(byRule, waiting.deadlineAt - serviceMs - at);
 }
 
 /** Why a request that would wait this long must go, or `undefined` when it may stay. */
-export function findRefusal(
+export function findRefusalReason(
   admission: Admission,
-  waiting: Waiting,
+  waiting: WaitingRequest,
   estimate: WaitEstimate,
   at: number,
 ): Refusal["reason"] | undefined {
-  if (estimate.waitMs === Infinity) return findOutage(admission, waiting);
-  const patience = findPatience(waiting, estimate.serviceMs, at);
+  if (estimate.waitMs === Infinity) return classifyOutage(admission, waiting);
+  const maxWaitMs = computeMaxWaitMs(waiting, estimate.serviceMs, at);
   const isPastDeadline = waiting.deadlineAt <= at + estimate.serviceMs && estimate.waitMs > 0;
   if (waiting.deadlineAt <= at || isPastDeadline) return "deadline";
-  if (estimate.waitMs <= Math.max(0, patience)) return undefined;
-  const isDeadline =
+  if (estimate.waitMs <= Math.max(0, maxWaitMs)) return undefined;
+  const isDeadlineFirst =
     waiting.deadlineAt - estimate.serviceMs < waiting.arrivedAt + waiting.maxQueueMs;
-  return isDeadline ? "deadline" : "queueFull";
+  return isDeadlineFirst ? "deadline" : "queueFull";
 }
 
 /**
@@ -38,18 +38,18 @@
  */
 export function refuse(
   queue: ClassQueue,
-  waiting: Waiting,
+  waiting: WaitingRequest,
   reason: Refusal["reason"],
   estimate: WaitEstimate,
   at: number,
 ): { readonly queue: ClassQueue; readonly effect: Refusal } {
-  const excess = findExcess(waiting, estimate, at);
-  const step = Number.isFinite(estimate.startEveryMs) ? estimate.startEveryMs : 0;
-  const earliest = Math.max(queue.comeBackAt, at + excess) + step;
-  const comeBackAt = Math.min(earliest, at + longestRetryMs);
-  const retryAfterMs = Math.max(shortestRetryMs, Math.ceil(comeBackAt - at));
+  const excessMs = computeExcessMs(waiting, estimate, at);
+  const spacingMs = Number.isFinite(estimate.startIntervalMs) ? estimate.startIntervalMs : 0;
+  const earliest = Math.max(queue.lastRetryAt, at + excessMs) + spacingMs;
+  const retryAt = Math.min(earliest, at + maxRetryMs);
+  const retryAfterMs = Math.max(minRetryMs, Math.ceil(retryAt - at));
   return {
-    queue: { ...queue, comeBackAt },
+    queue: { ...queue, lastRetryAt: retryAt },
     effect: { type: "refuse", id: waiting.id, reason, retryAfterMs },
   };
 }
@@ -58,20 +58,20 @@
  * Estimates the wait of an arrival and tells whether it is too long, with a margin. Admitted up to
  * the limit itself, half of the last ones would be refused after having waited almost all of it.
  */
-export function checkWait(admission: Admission, waiting: Waiting, at: number) {
-  const estimate = measureWait(admission, waiting, at);
-  const waitMs = findCarefulWait(estimate);
-  const reason = findRefusal(admission, waiting, { ...estimate, waitMs }, at);
+export function checkWait(admission: Admission, waiting: WaitingRequest, at: number) {
+  const estimate = estimateWait(admission, waiting, at);
+  const waitMs = computePessimisticWaitMs(estimate);
+  const reason = findRefusalReason(admission, waiting, { ...estimate, waitMs }, at);
   return { estimate, reason };
 }
 
-function findExcess(waiting: Waiting, estimate: WaitEstimate, at: number): number {
-  if (!Number.isFinite(estimate.waitMs)) return unknownRetryMs;
-  const patience = Math.max(0, findPatience(waiting, estimate.serviceMs, at));
-  return Math.max(0, findCarefulWait(estimate) - patience);
+function computeExcessMs(waiting: WaitingRequest, estimate: WaitEstimate, at: number): number {
+  if (!Number.isFinite(estimate.waitMs)) return unknownOutageRetryMs;
+  const maxWaitMs = Math.max(0, computeMaxWaitMs(waiting, estimate.serviceMs, at));
+  return Math.max(0, computePessimisticWaitMs(estimate) - maxWaitMs);
 }
 
-function findOutage(admission: Admission, waiting: Waiting): "noPrimary" | "overloaded" {
+function classifyOutage(admission: Admission, waiting: WaitingRequest): "noPrimary" | "overloaded" {
   const needsPrimary = waiting.candidates.every((name) => {
     const target = admission.targets[name];
     return target === undefined || target.role === "primary";
--- a/src/controller/admission/slots.ts
+++ b/src/controller/admission/slots.ts
@@ -1,11 +1,11 @@
 import { priorities, type Priority } from "../../model/index.js";
-import type { Running, TargetSlots } from "./types.js";
+import type { RunningRequest, TargetSlots } from "./types.js";
 
-const serviceWeight = 0.05;
+const serviceTimeWeight = 0.05;
 /** The span over which the use of slots by each class is averaged. */
-const usedSpanMs = 1000;
+const usageTimeConstantMs = 1000;
 
-const nothingUsed: Readonly<Record<Priority, number>> = {
+const noUsage: Readonly<Record<Priority, number>> = {
   critical: 0,
   normal: 0,
   browsing: 0,
@@ -13,17 +13,17 @@
 };
 
 /** A target of which nothing is known yet. */
-export function makeTarget(target: string, serviceMs: number, at: number): TargetSlots {
+export function createTargetSlots(target: string, serviceMs: number, at: number): TargetSlots {
   return {
     target,
     role: "replica",
     slots: 0,
-    backAt: undefined,
+    slotsExpectedAt: undefined,
     running: 0,
     runningBackground: 0,
     serviceMs,
-    used: nothingUsed,
-    usedAt: at,
+    usageMs: noUsage,
+    usageAt: at,
   };
 }
 
@@ -55,29 +55,34 @@
 }
 
 /** A target after a statement has left its slot, with what its time there tells. */
-export function releaseSlot(target: TargetSlots, running: Running, at: number): TargetSlots {
+export function releaseSlot(target: TargetSlots, running: RunningRequest, at: number): TargetSlots {
   const heldMs = Math.max(0, at - running.startedAt);
-  const used = decayUse(target, at);
+  const usageMs = decayUsage(target, at);
   return {
     ...target,
     running: target.running - 1,
     runningBackground: target.runningBackground - (running.isBackground ? 1 : 0),
-    serviceMs: target.serviceMs + serviceWeight * (heldMs - target.serviceMs),
-    used: { ...used, [running.priority]: used[running.priority] + heldMs },
-    usedAt: at,
+    serviceMs: target.serviceMs + serviceTimeWeight * (heldMs - target.serviceMs),
+    usageMs: { ...usageMs, [running.priority]: usageMs[running.priority] + heldMs },
+    usageAt: at,
   };
 }
 
 /** The share of a target's slot time that classes more important than `priority` use, 0 to 1. */
-export function measureUseAbove(target: TargetSlots, priority: Priority, at: number): number {
+export function computeHigherClassShare(
+  target: TargetSlots,
+  priority: Priority,
+  at: number,
+): number {
   const above = priorities.slice(0, priorities.indexOf(priority));
-  const used = above.reduce((sum, p) => sum + target.used[p], 0) * findDecay(target, at);
-  return Math.min(1, used / (usedSpanMs * Math.max(1, target.slots)));
+  const usedMs =
+    above.reduce((sum, p) => sum + target.usageMs[p], 0) * computeDecayFactor(target, at);
+  return Math.min(1, usedMs / (usageTimeConstantMs * Math.max(1, target.slots)));
 }
 
-function decayUse(target: TargetSlots, at: number): Readonly<Record<Priority, number>> {
-  const factor = findDecay(target, at);
-  const { critical, normal, browsing, trial } = target.used;
+function decayUsage(target: TargetSlots, at: number): Readonly<Record<Priority, number>> {
+  const factor = computeDecayFactor(target, at);
+  const { critical, normal, browsing, trial } = target.usageMs;
   return {
     critical: critical * factor,
     normal: normal * factor,
@@ -86,6 +91,6 @@
   };
 }
 
-function findDecay(target: TargetSlots, at: number): number {
-  return Math.exp(-Math.max(0, at - target.usedAt) / usedSpanMs);
+function computeDecayFactor(target: TargetSlots, at: number): number {
+  return Math.exp(-Math.max(0, at - target.usageAt) / usageTimeConstantMs);
 }
--- a/src/controller/admission/start.ts
+++ b/src/controller/admission/start.ts
@@ -1,23 +1,23 @@
 import { assertInvariant, priorities, succeed, type Applied } from "../../model/index.js";
-import { chargeTeam, findNext, hasWorkFor, isBackgroundWork } from "./queue.js";
+import { chargeTeam, findNextRequest, hasWorkFor, isBackgroundWork } from "./queue.js";
 import { checkWait, refuse } from "./refusal.js";
 import { canRunBackground, hasFreeSlot, takeSlot } from "./slots.js";
-import { dropWaiting, withClass } from "./state.js";
+import { removeWaiting, withClass } from "./state.js";
 import { getEntry, putEntry } from "./tree.js";
-import type { Admission, AdmissionEffect, Running, Waiting } from "./types.js";
+import type { Admission, AdmissionEffect, RunningRequest, WaitingRequest } from "./types.js";
 
-type Started = Extract<Applied<Admission, AdmissionEffect, never>, { type: "applied" }>;
+type StartResult = Extract<Applied<Admission, AdmissionEffect, never>, { type: "applied" }>;
 
 /** Starts what waits for a target until its slots are taken or nobody who may have one waits. */
-export function fillSlots(admission: Admission, target: string, at: number): Started {
+export function fillSlots(admission: Admission, target: string, at: number): StartResult {
   let state = admission;
   const effects: AdmissionEffect[] = [];
   for (;;) {
-    const waiting = pickNext(state, target);
+    const waiting = pickNextRequest(state, target);
     if (waiting === undefined) return succeed(state, effects);
     const step =
       waiting.deadlineAt <= at
-        ? refuseLate(state, waiting, at)
+        ? refuseExpired(state, waiting, at)
         : startWaiting(state, waiting, target, at);
     state = step.state;
     effects.push(...step.effects);
@@ -27,42 +27,44 @@
 /** Starts a request on a target that has a slot for it. */
 export function startWaiting(
   admission: Admission,
-  waiting: Waiting,
+  waiting: WaitingRequest,
   name: string,
   at: number,
-): Started {
+): StartResult {
   const target = admission.targets[name];
   if (target === undefined) return succeed(admission);
   assertInvariant("noWorkForLeaving", hasFreeSlot(target), () => `${waiting.id} on full ${name}`);
   const isBackground = isBackgroundWork(waiting);
   const isQueued = getEntry(admission.waiting, waiting.id) !== undefined;
-  const running: Running = {
+  const running: RunningRequest = {
     id: waiting.id,
     target: name,
     team: waiting.team,
     priority: waiting.priority,
     isBackground,
     startedAt: at,
-    charged: isQueued ? target.serviceMs : 0,
+    chargedMs: isQueued ? target.serviceMs : 0,
     isAbandoned: false,
   };
-  const settled = isQueued ? settleQueues(admission, waiting, name, target.serviceMs) : admission;
+  const dequeued = isQueued
+    ? dequeueAndCharge(admission, waiting, name, target.serviceMs)
+    : admission;
   const next = {
-    ...settled,
-    running: putEntry(settled.running, running.id, running),
-    targets: { ...settled.targets, [name]: takeSlot(target, isBackground) },
+    ...dequeued,
+    running: putEntry(dequeued.running, running.id, running),
+    targets: { ...dequeued.targets, [name]: takeSlot(target, isBackground) },
   };
   return succeed(next, [{ type: "start", id: waiting.id, target: name }]);
 }
 
 /** The request that a target serves next: of a class that is owed a start, else by importance. */
-function pickNext(admission: Admission, name: string): Waiting | undefined {
+function pickNextRequest(admission: Admission, name: string): WaitingRequest | undefined {
   const target = admission.targets[name];
   if (target === undefined || !hasFreeSlot(target)) return undefined;
   const isBackgroundAllowed = canRunBackground(target);
-  const owed = priorities.filter((p) => admission.classes[p].credit >= 1);
-  for (const priority of [...owed, ...priorities]) {
-    const waiting = findNext(admission.classes[priority], name, isBackgroundAllowed);
+  const withCredit = priorities.filter((p) => admission.classes[p].credit >= 1);
+  for (const priority of [...withCredit, ...priorities]) {
+    const waiting = findNextRequest(admission.classes[priority], name, isBackgroundAllowed);
     if (waiting !== undefined) return waiting;
   }
   return undefined;
@@ -72,14 +74,14 @@
  * Takes a request out of the queue, charges its team, and gives the less important classes that the
  * target could have served their share of the start.
  */
-function settleQueues(
+function dequeueAndCharge(
   admission: Admission,
-  waiting: Waiting,
+  waiting: WaitingRequest,
   target: string,
   serviceMs: number,
 ): Admission {
   const charged = chargeTeam(admission.classes[waiting.priority], waiting.team, serviceMs, true);
-  let state = dropWaiting(withClass(admission, waiting.priority, charged), waiting);
+  let state = removeWaiting(withClass(admission, waiting.priority, charged), waiting);
   const below = priorities.slice(priorities.indexOf(waiting.priority) + 1);
   for (const priority of below) {
     const queue = state.classes[priority];
@@ -92,8 +94,8 @@
   return withClass(state, waiting.priority, { ...served, credit });
 }
 
-function refuseLate(admission: Admission, waiting: Waiting, at: number): Started {
-  const without = dropWaiting(admission, waiting);
+function refuseExpired(admission: Admission, waiting: WaitingRequest, at: number): StartResult {
+  const without = removeWaiting(admission, waiting);
   const { estimate } = checkWait(without, waiting, at);
   const queue = without.classes[waiting.priority];
   const refused = refuse(queue, waiting, "deadline", estimate, at);
--- a/src/controller/admission/state.ts
+++ b/src/controller/admission/state.ts
@@ -1,7 +1,7 @@
 import type { Priority } from "../../model/index.js";
 import { addToClass, chargeTeam, removeFromClass } from "./queue.js";
 import { putEntry, removeEntry } from "./tree.js";
-import type { Admission, ClassQueue, Running, Waiting } from "./types.js";
+import type { Admission, ClassQueue, RunningRequest, WaitingRequest } from "./types.js";
 
 /** The state with one class replaced. */
 export function withClass(admission: Admission, priority: Priority, queue: ClassQueue): Admission {
@@ -10,22 +10,26 @@
 }
 
 /** The state with a request in the queue. */
-export function putWaiting(admission: Admission, waiting: Waiting): Admission {
+export function putWaiting(admission: Admission, waiting: WaitingRequest): Admission {
   const queue = addToClass(admission.classes[waiting.priority], waiting);
   const next = withClass(admission, waiting.priority, queue);
   return { ...next, waiting: putEntry(admission.waiting, waiting.id, waiting) };
 }
 
 /** The state without a request in the queue. */
-export function dropWaiting(admission: Admission, waiting: Waiting): Admission {
+export function removeWaiting(admission: Admission, waiting: WaitingRequest): Admission {
   const queue = removeFromClass(admission.classes[waiting.priority], waiting);
   const next = withClass(admission, waiting.priority, queue);
   return { ...next, waiting: removeEntry(admission.waiting, waiting.id) };
 }
 
 /** Replaces the slot time that a team was charged in advance by what its statement took. */
-export function correctCharge(admission: Admission, running: Running, at: number): ClassQueue {
+export function correctCharge(
+  admission: Admission,
+  running: RunningRequest,
+  at: number,
+): ClassQueue {
   const queue = admission.classes[running.priority];
-  if (running.charged === 0) return queue;
-  return chargeTeam(queue, running.team, at - running.startedAt - running.charged, false);
+  if (running.chargedMs === 0) return queue;
+  return chargeTeam(queue, running.team, at - running.startedAt - running.chargedMs, false);
 }
--- a/src/controller/admission/step.ts
+++ b/src/controller/admission/step.ts
@@ -3,11 +3,11 @@
 import { refuseLeastImportant } from "./displace.js";
 import { emptyClass, makeLaneKey } from "./queue.js";
 import { checkWait, refuse } from "./refusal.js";
-import { makeTarget, releaseSlot } from "./slots.js";
+import { createTargetSlots, releaseSlot } from "./slots.js";
 import { fillSlots, startWaiting } from "./start.js";
-import { correctCharge, dropWaiting, putWaiting, withClass } from "./state.js";
+import { correctCharge, removeWaiting, putWaiting, withClass } from "./state.js";
 import { countEntries, getEntry, putEntry, removeEntry } from "./tree.js";
-import { trimQueue } from "./trim.js";
+import { refuseOverdueRequests } from "./overdue.js";
 import type {
   Admission,
   AdmissionEffect,
@@ -15,7 +15,7 @@
   AdmissionFailure,
   AdmissionRequest,
   AdmissionSettings,
-  Waiting,
+  WaitingRequest,
 } from "./types.js";
 import { canStartOn } from "./wait.js";
 
@@ -26,7 +26,7 @@
 export const defaultAdmissionSettings: AdmissionSettings = {
   guaranteedShare: { critical: 1, normal: 0.1, browsing: 0.05, trial: 0.05 },
   maxWaiting: 4096,
-  firstServiceMs: 5,
+  initialServiceMs: 5,
 };
 
 /** A queue without targets; `resize` brings them. */
@@ -70,7 +70,7 @@
     case "resize":
       return resize(admission, event);
     case "tick":
-      return trimQueue(admission, event.at);
+      return refuseOverdueRequests(admission, event.at);
   }
 }
 
@@ -80,7 +80,7 @@
     getEntry(admission.waiting, request.id) !== undefined ||
     getEntry(admission.running, request.id) !== undefined;
   if (isKnown) return fail("duplicateRequest");
-  const waiting: Waiting = { ...request, seq: admission.nextSeq, arrivedAt: at };
+  const waiting: WaitingRequest = { ...request, seq: admission.nextSeq, arrivedAt: at };
   const next = { ...admission, nextSeq: admission.nextSeq + 1 };
   const { estimate, reason } = checkWait(next, waiting, at);
   if (reason !== undefined) {
@@ -96,7 +96,7 @@
 }
 
 /** Nobody waits for a free slot that may have it, so an arrival takes one at once. */
-function pickFreeTarget(admission: Admission, waiting: Waiting): string | undefined {
+function pickFreeTarget(admission: Admission, waiting: WaitingRequest): string | undefined {
   const free = listTargets(admission, waiting.candidates)
     .filter((t) => canStartOn(admission, waiting, t.target))
     .sort((a, b) => b.slots - b.running - (a.slots - a.running));
@@ -119,7 +119,7 @@
 
 function cancel(admission: Admission, id: string): AdmissionResult {
   const waiting = getEntry(admission.waiting, id);
-  if (waiting !== undefined) return succeed(dropWaiting(admission, waiting));
+  if (waiting !== undefined) return succeed(removeWaiting(admission, waiting));
   const running = getEntry(admission.running, id);
   if (running === undefined) return fail("unknownRequest");
   const abandoned = { ...running, isAbandoned: true };
@@ -141,7 +141,7 @@
   }
   const moved = { ...waiting, candidates };
   if (makeLaneKey(moved) === makeLaneKey(waiting)) return succeed(admission);
-  const without = dropWaiting(admission, waiting);
+  const without = removeWaiting(admission, waiting);
   const target = pickFreeTarget(without, moved);
   if (target !== undefined) return startWaiting(without, moved, target, at);
   return succeed(putWaiting(without, moved));
@@ -153,9 +153,9 @@
 ): AdmissionResult {
   const { target, role, slots, at } = event;
   const known =
-    admission.targets[target] ?? makeTarget(target, admission.settings.firstServiceMs, at);
-  const backAt = event.backInMs === undefined ? undefined : at + event.backInMs;
-  const resized = { ...known, role, slots, backAt };
+    admission.targets[target] ?? createTargetSlots(target, admission.settings.initialServiceMs, at);
+  const slotsExpectedAt = event.backInMs === undefined ? undefined : at + event.backInMs;
+  const resized = { ...known, role, slots, slotsExpectedAt };
   const next = { ...admission, targets: { ...admission.targets, [target]: resized } };
   return fillSlots(next, target, at);
 }
--- a/src/controller/admission/types.ts
+++ b/src/controller/admission/types.ts
@@ -61,11 +61,11 @@
   /** Bounds the state, whatever the waits. */
   readonly maxWaiting: number;
   /** The service time that is assumed before any was seen. */
-  readonly firstServiceMs: number;
+  readonly initialServiceMs: number;
 }
 
 /** A request in the queue. */
-export interface Waiting extends AdmissionRequest {
+export interface WaitingRequest extends AdmissionRequest {
   /** Order of arrival. */
   readonly seq: number;
   readonly arrivedAt: number;
@@ -76,19 +76,19 @@
   readonly key: string;
   readonly candidates: readonly string[];
   readonly isBackground: boolean;
-  readonly queue: Tree<number, Waiting>;
+  readonly queue: Tree<number, WaitingRequest>;
 }
 
 /** The lanes of one team in one class. `tag` is the slot time it was given, for fairness. */
 export interface TeamQueue {
   readonly team: string;
-  readonly tag: number;
+  readonly startTag: number;
   readonly size: number;
   readonly lanes: Tree<string, Lane>;
 }
 
 /** How many requests of a class wait for the same targets. */
-export interface SetCount {
+export interface CandidateSetCount {
   readonly candidates: readonly string[];
   readonly count: number;
 }
@@ -101,13 +101,13 @@
   /** The tag of the team that was served last: a team that comes back starts here. */
   readonly virtualTime: number;
   readonly teams: Tree<string, TeamQueue>;
-  readonly sets: Tree<string, SetCount>;
+  readonly candidateSets: Tree<string, CandidateSetCount>;
   /** The time that the last refused request was told to come back. */
-  readonly comeBackAt: number;
+  readonly lastRetryAt: number;
 }
 
 /** A statement in a slot. */
-export interface Running {
+export interface RunningRequest {
   readonly id: string;
   readonly target: string;
   readonly team: string;
@@ -115,7 +115,7 @@
   readonly isBackground: boolean;
   readonly startedAt: number;
   /** Slot time charged to its team in advance; 0 when it started without waiting. */
-  readonly charged: number;
+  readonly chargedMs: number;
   /** Its caller gave up; the slot is still taken. */
   readonly isAbandoned: boolean;
 }
@@ -125,14 +125,14 @@
   readonly target: string;
   readonly role: "primary" | "replica";
   readonly slots: number;
-  readonly backAt: number | undefined;
+  readonly slotsExpectedAt: number | undefined;
   readonly running: number;
   readonly runningBackground: number;
   /** Moving average of the time that a statement holds its slot. */
   readonly serviceMs: number;
   /** Slot time used by each class, decaying, as of `usedAt`. */
-  readonly used: Readonly<Record<Priority, number>>;
-  readonly usedAt: number;
+  readonly usageMs: Readonly<Record<Priority, number>>;
+  readonly usageAt: number;
 }
 
 /** The admission queue of one group. */
@@ -140,7 +140,7 @@
   readonly settings: AdmissionSettings;
   readonly classes: Readonly<Record<Priority, ClassQueue>>;
   readonly targets: Readonly<Record<string, TargetSlots | undefined>>;
-  readonly waiting: Tree<string, Waiting>;
-  readonly running: Tree<string, Running>;
+  readonly waiting: Tree<string, WaitingRequest>;
+  readonly running: Tree<string, RunningRequest>;
   readonly nextSeq: number;
 }
--- a/src/controller/admission/view.ts
+++ b/src/controller/admission/view.ts
@@ -29,7 +29,7 @@
 }
 
 /** The requests that only one target may serve, by id. */
-export function listWaitingFor(admission: Admission, target: string): readonly string[] {
+export function listWaitingOnlyFor(admission: Admission, target: string): readonly string[] {
   return [...listValues(admission.waiting)]
     .filter(({ candidates }) => candidates.every((name) => name === target))
     .map(({ id }) => id);
--- a/src/controller/admission/wait.ts
+++ b/src/controller/admission/wait.ts
@@ -1,13 +1,13 @@
 import { priorities, type Plan, type Priority } from "../../model/index.js";
-import { measureCapacity, type Capacity } from "./capacity.js";
+import { estimateCapacity, type Capacity } from "./capacity.js";
 import { isBackgroundWork } from "./queue.js";
 import { canRunBackground, hasFreeSlot } from "./slots.js";
 import { listValues } from "./tree.js";
-import { findOverlap, foreseeTurns } from "./turns.js";
+import { computeOverlap, predictServiceOrder } from "./order.js";
 import type { Admission } from "./types.js";
 
 /** What decides how long a request would wait. */
-export interface WaitQuestion {
+export interface RequestProfile {
   readonly team: string;
   readonly plan: Plan;
   readonly priority: Priority;
@@ -19,63 +19,78 @@
   /** Infinity when none of its targets has slots and none is expected back. */
   readonly waitMs: number;
   /** The standard deviation of the wait. */
-  readonly spreadMs: number;
+  readonly deviationMs: number;
   /** Milliseconds between two starts that its class gets on these targets. */
-  readonly startEveryMs: number;
+  readonly startIntervalMs: number;
   readonly serviceMs: number;
 }
 
-const carefulSpreads = 2;
+const pessimisticDeviations = 2;
 
 /** Estimates the wait of a request that would arrive now. */
-export function measureWait(
+export function estimateWait(
   admission: Admission,
-  question: WaitQuestion,
+  request: RequestProfile,
   at: number,
 ): WaitEstimate {
-  const isFree = question.candidates.some((name) => canStartOn(admission, question, name));
+  const isFree = request.candidates.some((name) => canStartOn(admission, request, name));
   if (isFree) {
-    const { leftEveryMs, serviceMs } = measureCapacity(admission, question, at);
-    return { waitMs: 0, spreadMs: 0, startEveryMs: leftEveryMs, serviceMs };
+    const { residualIntervalMs, serviceMs } = estimateCapacity(admission, request, at);
+    return { waitMs: 0, deviationMs: 0, startIntervalMs: residualIntervalMs, serviceMs };
   }
-  const line = measureLine(admission, question, at);
-  return line.estimate(question.team, line.findPlace(question.team) + 1);
+  const estimator = createWaitEstimator(admission, request, at);
+  return estimator.estimate(request.team, estimator.countWaiting(request.team) + 1);
 }
 
 /** The line before some targets for one class. */
-export interface Line {
+export interface WaitEstimator {
   /** How many requests of a team stand in it. */
-  readonly findPlace: (team: string) => number;
-  /** Estimates the wait of the `place`-th request of a team. */
-  readonly estimate: (team: string, place: number) => WaitEstimate;
+  readonly countWaiting: (team: string) => number;
+  /** Estimates the wait of the `position`-th request of a team. */
+  readonly estimate: (team: string, position: number) => WaitEstimate;
 }
 
 /** Measures the line that a request's class forms before its targets, for many questions. */
-export function measureLine(admission: Admission, question: WaitQuestion, at: number): Line {
-  const capacity = measureCapacity(admission, question, at);
-  const queue = admission.classes[question.priority];
-  const turns = foreseeTurns(queue, question.candidates, capacity.serviceMs);
-  const above = countAbove(admission, question);
+export function createWaitEstimator(
+  admission: Admission,
+  request: RequestProfile,
+  at: number,
+): WaitEstimator {
+  const capacity = estimateCapacity(admission, request, at);
+  const queue = admission.classes[request.priority];
+  const order = predictServiceOrder(queue, request.candidates, capacity.serviceMs);
+  const higherClassCount = countHigherClassRequests(admission, request);
   return {
-    findPlace: turns.findPlace,
-    estimate: (team, place) => {
-      const { backInMs, serviceMs } = capacity;
-      if (backInMs !== undefined) {
-        return { waitMs: backInMs, spreadMs: 0, startEveryMs: capacity.leftEveryMs, serviceMs };
+    countWaiting: order.countWaiting,
+    estimate: (team, position) => {
+      const { slotsExpectedInMs, serviceMs } = capacity;
+      if (slotsExpectedInMs !== undefined) {
+        return {
+          waitMs: slotsExpectedInMs,
+          deviationMs: 0,
+          startIntervalMs: capacity.residualIntervalMs,
+          serviceMs,
+        };
       }
-      const own = turns.countUntil(team, place);
-      return pickSooner(foreseeLeft(capacity, above + own), foreseeOwed(capacity, own));
+      const ownClassCount = order.countServedUntil(team, position);
+      return pickShorterWait(
+        estimateResidualWait(capacity, higherClassCount + ownClassCount),
+        estimateGuaranteedWait(capacity, ownClassCount),
+      );
     },
   };
 }
 
 /** A wait by what more important classes leave. Their bursts make it vary the more they use. */
-function foreseeLeft({ leftEveryMs, leftShare, serviceMs }: Capacity, ahead: number): WaitEstimate {
-  const burstiness = Math.sqrt((2 - leftShare) / leftShare);
+function estimateResidualWait(
+  { residualIntervalMs, residualShare, serviceMs }: Capacity,
+  countAhead: number,
+): WaitEstimate {
+  const burstiness = Math.sqrt((2 - residualShare) / residualShare);
   return {
-    waitMs: ahead * leftEveryMs,
-    spreadMs: Math.sqrt(ahead) * leftEveryMs * burstiness,
-    startEveryMs: leftEveryMs,
+    waitMs: countAhead * residualIntervalMs,
+    deviationMs: Math.sqrt(countAhead) * residualIntervalMs * burstiness,
+    startIntervalMs: residualIntervalMs,
     serviceMs,
   };
 }
@@ -85,42 +100,45 @@
  * of others, so that it varies little. Without it a class beside a flood of a more important one
  * would be refused for the wait behind that flood, and never use its share.
  */
-function foreseeOwed({ owedEveryMs, owedShare, serviceMs }: Capacity, ahead: number): WaitEstimate {
+function estimateGuaranteedWait(
+  { guaranteedIntervalMs, guaranteedShare, serviceMs }: Capacity,
+  countAhead: number,
+): WaitEstimate {
   return {
-    waitMs: ahead * owedEveryMs,
-    spreadMs: Math.sqrt(ahead * owedShare) * owedEveryMs,
-    startEveryMs: owedEveryMs,
+    waitMs: countAhead * guaranteedIntervalMs,
+    deviationMs: Math.sqrt(countAhead * guaranteedShare) * guaranteedIntervalMs,
+    startIntervalMs: guaranteedIntervalMs,
     serviceMs,
   };
 }
 
-function pickSooner(a: WaitEstimate, b: WaitEstimate): WaitEstimate {
-  return findCarefulWait(a) <= findCarefulWait(b) ? a : b;
+function pickShorterWait(a: WaitEstimate, b: WaitEstimate): WaitEstimate {
+  return computePessimisticWaitMs(a) <= computePessimisticWaitMs(b) ? a : b;
 }
 
 /** The wait that one in some forty is longer than. */
-export function findCarefulWait({ waitMs, spreadMs }: WaitEstimate): number {
-  return waitMs === Infinity ? Infinity : waitMs + carefulSpreads * spreadMs;
+export function computePessimisticWaitMs({ waitMs, deviationMs }: WaitEstimate): number {
+  return waitMs === Infinity ? Infinity : waitMs + pessimisticDeviations * deviationMs;
 }
 
 /** Whether a target has a slot for a request, whoever else waits. */
 export function canStartOn(
   admission: Admission,
-  question: { readonly plan: Plan; readonly priority: Priority },
+  request: { readonly plan: Plan; readonly priority: Priority },
   name: string,
 ): boolean {
   const target = admission.targets[name];
   if (target === undefined) return false;
-  return isBackgroundWork(question) ? canRunBackground(target) : hasFreeSlot(target);
+  return isBackgroundWork(request) ? canRunBackground(target) : hasFreeSlot(target);
 }
 
 /** Requests of more important classes that some targets serve first. */
-function countAbove(admission: Admission, question: WaitQuestion): number {
-  const above = priorities.slice(0, priorities.indexOf(question.priority));
+function countHigherClassRequests(admission: Admission, request: RequestProfile): number {
+  const higherClasses = priorities.slice(0, priorities.indexOf(request.priority));
   let count = 0;
-  for (const priority of above) {
-    for (const set of listValues(admission.classes[priority].sets)) {
-      count += set.count * findOverlap(set.candidates, question.candidates);
+  for (const priority of higherClasses) {
+    for (const set of listValues(admission.classes[priority].candidateSets)) {
+      count += set.count * computeOverlap(set.candidates, request.candidates);
     }
   }
   return count;
--- a/src/controller/connections/grant.ts
+++ b/src/controller/connections/grant.ts
@@ -5,42 +5,42 @@
   closeConnection,
   countLive,
   listConnections,
-  listUnmet,
+  listUnservedWaiters,
   putConnection,
-  withPool,
+  updatePool,
   type Draft,
 } from "./pool.js";
-import { checkIdle } from "./silence.js";
+import { checkIdle } from "./liveness.js";
 import type { Connection, ConnectionEffect, Pool, Waiter } from "./types.js";
 
-const shortestRetryMs = 10;
+const minRetryMs = 10;
 const drainingRetryMs = 100;
 
 /** Gives free connections to those who wait, checks or opens more, refuses who waits in vain. */
 export function serveWaiters(draft: Draft, at: number): Draft {
   let next = draft;
   for (const waiter of draft.pool.waiters) {
-    const connection = findFresh(next.pool, waiter.team, at);
-    if (connection !== undefined) next = grant(next, waiter, connection, at);
+    const connection = findUsableIdle(next.pool, waiter.team, at);
+    if (connection !== undefined) next = grantConnection(next, waiter, connection, at);
   }
-  next = openForWaiters(checkForWaiters(next, at), at);
-  return refuseHopeless(next, at);
+  next = openForWaiters(checkIdleForWaiters(next, at), at);
+  return refuseUnservable(next, at);
 }
 
 /** The idle connection of a team that was used last: the others may grow old and be closed. */
-function findFresh(pool: Pool, team: string, at: number) {
+function findUsableIdle(pool: Pool, team: string, at: number) {
   return listConnections(pool, "idle")
-    .filter((c) => c.team === team && at - c.lastSignAt < pool.settings.checkAfterIdleMs)
-    .sort((a, b) => b.lastSignAt - a.lastSignAt)[0];
+    .filter((c) => c.team === team && at - c.lastActivityAt < pool.settings.checkAfterIdleMs)
+    .sort((a, b) => b.lastActivityAt - a.lastActivityAt)[0];
 }
 
-function grant(
+function grantConnection(
   draft: Draft,
   waiter: Waiter,
   connection: Extract<Connection, { type: "idle" }>,
   at: number,
 ): Draft {
-  const { id, team, lastSignAt } = connection;
+  const { id, team, lastActivityAt } = connection;
   const holder = draft.pool.connections[id];
   assertInvariant(
     "oneTransactionPerConnection",
@@ -52,17 +52,19 @@
     id,
     team,
     waiter: waiter.id,
-    lastSignAt: Math.max(lastSignAt, at),
+    lastActivityAt: Math.max(lastActivityAt, at),
   };
   const held = putConnection(draft, active);
-  const left = withPool(held, { waiters: draft.pool.waiters.filter(({ id }) => id !== waiter.id) });
+  const left = updatePool(held, {
+    waiters: draft.pool.waiters.filter(({ id }) => id !== waiter.id),
+  });
   return addEffect(left, { type: "grant", waiter: waiter.id, connection: id });
 }
 
 /** A check takes a round trip, opening about 12 ms: old idle connections are tried first. */
-function checkForWaiters(draft: Draft, at: number): Draft {
+function checkIdleForWaiters(draft: Draft, at: number): Draft {
   let next = draft;
-  for (const { team } of listUnmet(draft.pool, ["suspect"])) {
+  for (const { team } of listUnservedWaiters(draft.pool, ["suspect"])) {
     const old = listConnections(next.pool, "idle").find((c) => c.team === team);
     if (old !== undefined) next = checkIdle(next, old, at);
   }
@@ -70,12 +72,12 @@
 }
 
 /** Refuses at once those whom no connection can reach in time. */
-function refuseHopeless(draft: Draft, at: number): Draft {
+function refuseUnservable(draft: Draft, at: number): Draft {
   const refusals = draft.pool.waiters.flatMap((w) => findRefusal(draft.pool, w, at) ?? []);
   if (refusals.length === 0) return draft;
   const refused = new Set(refusals.map((r) => r.waiter));
   const waiters = draft.pool.waiters.filter((w) => !refused.has(w.id));
-  return refusals.reduce(addEffect, withPool(draft, { waiters }));
+  return refusals.reduce(addEffect, updatePool(draft, { waiters }));
 }
 
 type Refusal = Extract<ConnectionEffect, { type: "refuse" }>;
@@ -84,12 +86,12 @@
   const base = { type: "refuse", waiter: waiter.id } as const;
   if (pool.isDraining) return { ...base, reason: "draining", retryAfterMs: drainingRetryMs };
   if (waiter.deadlineAt <= at) {
-    return { ...base, reason: "deadline", retryAfterMs: shortestRetryMs };
+    return { ...base, reason: "deadline", retryAfterMs: minRetryMs };
   }
-  if (countLive(pool) > 0 || pool.lastFailure === undefined || at >= pool.openNotBefore)
+  if (countLive(pool) > 0 || pool.lastFailure === undefined || at >= pool.nextOpenAt)
     return undefined;
   const reason = pool.lastFailure === "tooMany" ? "tooManyConnections" : "noConnection";
-  const retryAfterMs = Math.max(shortestRetryMs, Math.ceil(pool.openNotBefore - at));
+  const retryAfterMs = Math.max(minRetryMs, Math.ceil(pool.nextOpenAt - at));
   return { ...base, reason, retryAfterMs };
 }
 
@@ -100,8 +102,8 @@
   if (isDraining) {
     return idle.reduce((next, c) => closeConnection(next, c.id, "draining", at), draft);
   }
-  const surplus = idle.slice(0, Math.max(0, idle.length - settings.keptIdle));
-  const old = surplus.filter((c) => at - c.idleSince >= settings.idleCloseMs);
+  const surplus = idle.slice(0, Math.max(0, idle.length - settings.minIdle));
+  const old = surplus.filter((c) => at - c.idleSince >= settings.idleTimeoutMs);
   const isOver = countLive(draft.pool) > draft.pool.share;
   const over = isOver ? surplus : old;
   const closed = over.reduce((next, c) => closeConnection(next, c.id, "surplus", at), draft);
@@ -110,6 +112,8 @@
 
 /** The share falls back with what was grown and is not needed: others may need the places. */
 function shrinkShare(draft: Draft): Draft {
-  const { firstShare, share } = draft.pool;
-  return withPool(draft, { share: Math.min(share, Math.max(firstShare, countLive(draft.pool))) });
+  const { initialShare, share } = draft.pool;
+  return updatePool(draft, {
+    share: Math.min(share, Math.max(initialShare, countLive(draft.pool))),
+  });
 }
--- a/src/controller/connections/index.ts
+++ b/src/controller/connections/index.ts
@@ -1,4 +1,9 @@
-export { countHeld, createPool, defaultConnectionSettings, listConnections } from "./pool.js";
+export {
+  countAgainstLimit,
+  createPool,
+  defaultConnectionSettings,
+  listConnections,
+} from "./pool.js";
 export { applyConnections, type ConnectionResult } from "./step.js";
 export {
   type CloseReason,
--- a/src/controller/connections/silence.ts
+++ b/src/controller/connections/liveness.ts
@@ -1,4 +1,4 @@
-import { noteOpenFailure } from "./open.js";
+import { recordOpenFailure } from "./open.js";
 import {
   addEffect,
   closeConnection,
@@ -15,7 +15,7 @@
   connection: Extract<Connection, { type: "idle" }>,
   at: number,
 ): Draft {
-  const suspect = putConnection(draft, { ...connection, type: "suspect", checkedAt: at });
+  const suspect = putConnection(draft, { ...connection, type: "suspect", checkStartedAt: at });
   return addEffect(suspect, { type: "check", connection: connection.id });
 }
 
@@ -24,22 +24,22 @@
  * began. Something between the two ends loses track of connections by age, many at once: the next
  * callers would each wait for the timeout. One that answered later is known to be alive.
  */
-export function checkPeers(draft: Draft, since: number, at: number): Draft {
+export function checkStaleIdle(draft: Draft, since: number, at: number): Draft {
   return listConnections(draft.pool, "idle")
-    .filter((c) => c.lastSignAt <= since)
+    .filter((c) => c.lastActivityAt <= since)
     .reduce((next, c) => checkIdle(next, c, at), draft);
 }
 
 /** Finds what has been silent for too long, and forgets what is gone. */
-export function closeSilent(draft: Draft, at: number): Draft {
+export function applyTimeouts(draft: Draft, at: number): Draft {
   let next = draft;
   for (const connection of Object.values(draft.pool.connections)) {
-    next = closeIfSilent(next, connection.id, at);
+    next = applyTimeout(next, connection.id, at);
   }
   return next;
 }
 
-function closeIfSilent(draft: Draft, id: string, at: number): Draft {
+function applyTimeout(draft: Draft, id: string, at: number): Draft {
   const { settings, connections } = draft.pool;
   const connection = connections[id];
   switch (connection?.type) {
@@ -47,20 +47,24 @@
       return draft;
     case "opening": {
       if (at - connection.since < settings.openTimeoutMs) return draft;
-      return noteOpenFailure(closeConnection(draft, id, "openTimeout", at), "failed", at);
+      return recordOpenFailure(closeConnection(draft, id, "openTimeout", at), "failed", at);
     }
     case "active": {
-      if (at - connection.lastSignAt < settings.progressTimeoutMs) return draft;
+      if (at - connection.lastActivityAt < settings.progressTimeoutMs) return draft;
       const closed = closeConnection(draft, id, "silent", at);
       const lost = addEffect(closed, { type: "lose", waiter: connection.waiter, connection: id });
-      return checkPeers(lost, connection.lastSignAt, at);
+      return checkStaleIdle(lost, connection.lastActivityAt, at);
     }
     case "suspect": {
-      if (at - connection.checkedAt < settings.checkTimeoutMs) return draft;
-      return checkPeers(closeConnection(draft, id, "silent", at), connection.checkedAt, at);
+      if (at - connection.checkStartedAt < settings.checkTimeoutMs) return draft;
+      return checkStaleIdle(
+        closeConnection(draft, id, "silent", at),
+        connection.checkStartedAt,
+        at,
+      );
     }
     case "idle":
-      return at - connection.lastSignAt < settings.checkAfterIdleMs
+      return at - connection.lastActivityAt < settings.checkAfterIdleMs
         ? draft
         : checkIdle(draft, connection, at);
     case "closed":
--- a/src/controller/connections/open.ts
+++ b/src/controller/connections/open.ts
@@ -1,11 +1,11 @@
 import {
   addEffect,
-  countHeld,
+  countAgainstLimit,
   listConnections,
-  listUnmet,
+  listUnservedWaiters,
   putConnection,
   removeConnection,
-  withPool,
+  updatePool,
   type Draft,
 } from "./pool.js";
 import type { Pool } from "./types.js";
@@ -15,13 +15,13 @@
  * queue up at the target, and each would take the longer to open.
  */
 export function openForWaiters(draft: Draft, at: number): Draft {
-  let next = grow(draft, at);
+  let next = growShare(draft, at);
   for (;;) {
-    const [waiter] = listUnmet(next.pool, ["opening", "suspect"]);
+    const [waiter] = listUnservedWaiters(next.pool, ["opening", "suspect"]);
     if (waiter === undefined || !canOpen(next.pool, at)) return next;
-    const placed = makePlace(next);
+    const placed = makeRoom(next);
     if (placed === undefined) return next;
-    next = openOne(placed, waiter.team, at);
+    next = openConnection(placed, waiter.team, at);
   }
 }
 
@@ -30,39 +30,43 @@
  * often that happened. After 53300 the share falls back to what is open: a dead owner's connections
  * still count at the target, and asking faster than they close gets nothing but refusals.
  */
-export function noteOpenFailure(draft: Draft, reason: "tooMany" | "failed", at: number): Draft {
+export function recordOpenFailure(draft: Draft, reason: "tooMany" | "failed", at: number): Draft {
   const { settings, backoffMs, share } = draft.pool;
-  const held = Math.max(1, countHeld(draft.pool));
-  return withPool(draft, {
-    share: reason === "tooMany" ? Math.min(share, held) : share,
-    growAt: at + backoffMs,
-    openNotBefore: at + backoffMs,
+  const counted = Math.max(1, countAgainstLimit(draft.pool));
+  return updatePool(draft, {
+    share: reason === "tooMany" ? Math.min(share, counted) : share,
+    nextGrowthAt: at + backoffMs,
+    nextOpenAt: at + backoffMs,
     backoffMs: Math.min(settings.longestBackoffMs, backoffMs * 2),
     lastFailure: reason,
   });
 }
 
 /** Notes that a connection was opened. */
-export function noteOpenSuccess(draft: Draft): Draft {
-  return withPool(draft, {
+export function recordOpenSuccess(draft: Draft): Draft {
+  return updatePool(draft, {
     backoffMs: draft.pool.settings.firstBackoffMs,
     lastFailure: undefined,
   });
 }
 
 /** While somebody waits for what the share forbids, the share grows by one from time to time. */
-function grow(draft: Draft, at: number): Draft {
+function growShare(draft: Draft, at: number): Draft {
   const { pool } = draft;
   const [first] = pool.waiters;
   const hasWaited = first !== undefined && at - first.since >= pool.settings.growAfterMs;
-  const isBound = hasWaited && countHeld(pool) >= pool.share;
-  if (!isBound || at < pool.growAt || pool.share >= pool.settings.largestShare) return draft;
-  return withPool(draft, { share: pool.share + 1, growAt: at + pool.settings.growEveryMs });
+  const isLimitedByShare = hasWaited && countAgainstLimit(pool) >= pool.share;
+  if (!isLimitedByShare || at < pool.nextGrowthAt || pool.share >= pool.settings.maxShare)
+    return draft;
+  return updatePool(draft, {
+    share: pool.share + 1,
+    nextGrowthAt: at + pool.settings.growIntervalMs,
+  });
 }
 
 function canOpen(pool: Pool, at: number): boolean {
   const opening = listConnections(pool, "opening").length;
-  return !pool.isDraining && opening < pool.settings.openingAtOnce && at >= pool.openNotBefore;
+  return !pool.isDraining && opening < pool.settings.maxOpening && at >= pool.nextOpenAt;
 }
 
 /**
@@ -70,21 +74,21 @@
  * whose last use is the longest ago. Nothing is in flight on an idle one, and its end reaches the target
  * before the opening that follows on the same way, so that it stops counting at once.
  */
-function makePlace(draft: Draft): Draft | undefined {
+function makeRoom(draft: Draft): Draft | undefined {
   const { pool } = draft;
-  if (countHeld(pool) < pool.share) return draft;
+  if (countAgainstLimit(pool) < pool.share) return draft;
   const wanted = new Set(pool.waiters.map(({ team }) => team));
   const [oldest] = listConnections(pool, "idle")
     .filter(({ team }) => !wanted.has(team))
-    .sort((a, b) => a.lastSignAt - b.lastSignAt);
+    .sort((a, b) => a.lastActivityAt - b.lastActivityAt);
   if (oldest === undefined) return undefined;
   const effect = { type: "close", connection: oldest.id, reason: "replaced" } as const;
   return addEffect(removeConnection(draft, oldest.id), effect);
 }
 
-function openOne(draft: Draft, team: string, at: number): Draft {
+function openConnection(draft: Draft, team: string, at: number): Draft {
   const id = String(draft.pool.nextId);
-  const counted = withPool(draft, { nextId: draft.pool.nextId + 1 });
+  const counted = updatePool(draft, { nextId: draft.pool.nextId + 1 });
   const opening = putConnection(counted, { type: "opening", id, team, since: at });
   return addEffect(opening, { type: "open", connection: id, team });
 }
--- a/src/controller/connections/pool.ts
+++ b/src/controller/connections/pool.ts
@@ -7,20 +7,20 @@
 }
 
 /** What holds unless an owner sets something else. */
-export const defaultConnectionSettings: Omit<ConnectionSettings, "limit" | "largestShare"> = {
+export const defaultConnectionSettings: Omit<ConnectionSettings, "limit" | "maxShare"> = {
   controlReserve: 2,
-  openingAtOnce: 2,
+  maxOpening: 2,
   openTimeoutMs: 1000,
   progressTimeoutMs: 10_000,
-  suspicionMs: 1000,
+  abandonedSilenceMs: 1000,
   checkAfterIdleMs: 15_000,
   checkTimeoutMs: 250,
-  keptIdle: 5,
-  idleCloseMs: 30_000,
+  minIdle: 5,
+  idleTimeoutMs: 30_000,
   lingerMs: 1000,
-  growEveryMs: 250,
+  growIntervalMs: 250,
   growAfterMs: 0,
-  fullMs: 500,
+  growPauseWhenFullMs: 500,
   growNotBefore: 0,
   firstBackoffMs: 100,
   longestBackoffMs: 5000,
@@ -34,16 +34,16 @@
   settings: Partial<ConnectionSettings> & Pick<ConnectionSettings, "limit">,
 ): Pool {
   const known = { ...defaultConnectionSettings, ...settings };
-  const { largestShare, share } = divideLimit(known.limit - known.controlReserve, settings);
+  const { maxShare, share } = computeShares(known.limit - known.controlReserve, settings);
   return {
-    settings: { ...known, largestShare },
+    settings: { ...known, maxShare },
     connections: {},
     waiters: [],
     nextId: 1,
     share,
-    growAt: known.growNotBefore,
-    firstShare: share,
-    openNotBefore: 0,
+    nextGrowthAt: known.growNotBefore,
+    initialShare: share,
+    nextOpenAt: 0,
     backoffMs: known.firstBackoffMs,
     lastFailure: undefined,
     isDraining: false,
@@ -51,19 +51,19 @@
 }
 
 /** The largest share of the free connections, and the one to begin with. */
-function divideLimit(free: number, settings: { readonly largestShare?: number }) {
-  const largestShare = Math.max(1, Math.min(free, settings.largestShare ?? Math.floor(free / 2)));
-  return { largestShare, share: Math.max(1, Math.min(largestShare, free - largestShare)) };
+function computeShares(free: number, settings: { readonly maxShare?: number }) {
+  const maxShare = Math.max(1, Math.min(free, settings.maxShare ?? Math.floor(free / 2)));
+  return { maxShare, share: Math.max(1, Math.min(maxShare, free - maxShare)) };
 }
 
 /** The pool with another limit and largest share. What is open beyond them closes as it comes free. */
-export function resizePool(pool: Pool, limit: number, largestShare: number): Pool {
-  const divided = divideLimit(limit - pool.settings.controlReserve, { largestShare });
+export function resizePool(pool: Pool, limit: number, maxShare: number): Pool {
+  const divided = computeShares(limit - pool.settings.controlReserve, { maxShare });
   return {
     ...pool,
-    settings: { ...pool.settings, limit, largestShare: divided.largestShare },
-    firstShare: divided.share,
-    share: Math.max(divided.share, Math.min(pool.share, divided.largestShare)),
+    settings: { ...pool.settings, limit, maxShare: divided.maxShare },
+    initialShare: divided.share,
+    share: Math.max(divided.share, Math.min(pool.share, divided.maxShare)),
   };
 }
 
@@ -78,13 +78,13 @@
 }
 
 /** Waiters for whom no connection of their team is on its way in one of these states, in their order. */
-export function listUnmet(
+export function listUnservedWaiters(
   pool: Pool,
-  coming: readonly ("opening" | "suspect")[],
+  pendingTypes: readonly ("opening" | "suspect")[],
 ): readonly Waiter[] {
   if (pool.waiters.length === 0) return pool.waiters;
   const counts = new Map<string, number>();
-  for (const { team } of coming.flatMap((type) => listConnections(pool, type))) {
+  for (const { team } of pendingTypes.flatMap((type) => listConnections(pool, type))) {
     counts.set(team, (counts.get(team) ?? 0) + 1);
   }
   return pool.waiters.filter(({ team }) => {
@@ -95,13 +95,13 @@
 }
 
 /** The connections that the target may count against its limit. */
-export function countHeld(pool: Pool): number {
+export function countAgainstLimit(pool: Pool): number {
   return Object.keys(pool.connections).length;
 }
 
 /** The connections that are not closed. */
 export function countLive(pool: Pool): number {
-  return countHeld(pool) - listConnections(pool, "closed").length;
+  return countAgainstLimit(pool) - listConnections(pool, "closed").length;
 }
 
 /** The draft with a connection in a new state. */
@@ -122,7 +122,7 @@
 }
 
 /** The draft with something changed that is no connection. */
-export function withPool(draft: Draft, change: Partial<Pool>): Draft {
+export function updatePool(draft: Draft, change: Partial<Pool>): Draft {
   return { ...draft, pool: { ...draft.pool, ...change } };
 }
 
--- a/src/controller/connections/step.ts
+++ b/src/controller/connections/step.ts
@@ -1,6 +1,6 @@
 import { fail, succeed, type Applied } from "../../model/index.js";
 import { closeSurplus, serveWaiters } from "./grant.js";
-import { noteOpenFailure, noteOpenSuccess } from "./open.js";
+import { recordOpenFailure, recordOpenSuccess } from "./open.js";
 import {
   addEffect,
   closeConnection,
@@ -8,10 +8,10 @@
   putConnection,
   removeConnection,
   resizePool,
-  withPool,
+  updatePool,
   type Draft,
 } from "./pool.js";
-import { checkPeers, closeSilent } from "./silence.js";
+import { checkStaleIdle, applyTimeouts } from "./liveness.js";
 import type {
   Connection,
   ConnectionEffect,
@@ -38,19 +38,21 @@
     case "giveUp":
       return giveUp(draft, event.waiter, event.at);
     case "tick":
-      return closeSilent(draft, event.at);
+      return applyTimeouts(draft, event.at);
     case "full": {
-      const { growAt, settings } = draft.pool;
-      return withPool(draft, { growAt: Math.max(growAt, event.at + settings.fullMs) });
+      const { nextGrowthAt, settings } = draft.pool;
+      return updatePool(draft, {
+        nextGrowthAt: Math.max(nextGrowthAt, event.at + settings.growPauseWhenFullMs),
+      });
     }
     case "resize":
-      return withPool(draft, resizePool(draft.pool, event.limit, event.largestShare));
+      return updatePool(draft, resizePool(draft.pool, event.limit, event.maxShare));
     case "drain":
-      return withPool(draft, { isDraining: true });
+      return updatePool(draft, { isDraining: true });
     case "countOthers": {
-      const { limit, controlReserve, largestShare } = draft.pool.settings;
+      const { limit, controlReserve, maxShare } = draft.pool.settings;
       const free = limit - controlReserve - event.others;
-      return withPool(draft, { share: Math.max(1, Math.min(largestShare, free)) });
+      return updatePool(draft, { share: Math.max(1, Math.min(maxShare, free)) });
     }
     case "opened":
     case "openFailed":
@@ -69,33 +71,37 @@
 
 type LiveConnection = Exclude<Connection, { type: "closed" }>;
 
-type OwnEvent = Extract<ConnectionEvent, { readonly connection: string }>;
+type SingleConnectionEvent = Extract<ConnectionEvent, { readonly connection: string }>;
 
-function handleConnection(draft: Draft, connection: Connection, event: OwnEvent): Draft {
+function handleConnection(
+  draft: Draft,
+  connection: Connection,
+  event: SingleConnectionEvent,
+): Draft {
   if (connection.type === "closed") return handleClosed(draft, connection.id, event);
   switch (event.type) {
     case "opened":
-      return connection.type === "opening" ? noteOpened(draft, connection, event.at) : draft;
+      return connection.type === "opening" ? handleOpened(draft, connection, event.at) : draft;
     case "openFailed":
       return connection.type === "opening"
-        ? noteOpenFailure(removeConnection(draft, connection.id), event.reason, event.at)
-        : noteBroken(draft, connection, event.at);
+        ? recordOpenFailure(removeConnection(draft, connection.id), event.reason, event.at)
+        : handleBroken(draft, connection, event.at);
     case "progress":
       return connection.type === "active"
-        ? putConnection(draft, { ...connection, lastSignAt: event.at })
+        ? putConnection(draft, { ...connection, lastActivityAt: event.at })
         : draft;
     case "ready":
-      return noteReady(draft, connection, event);
+      return handleReady(draft, connection, event);
     case "broken":
     case "gone":
-      return noteBroken(draft, connection, event.at);
+      return handleBroken(draft, connection, event.at);
     case "checked":
-      return noteChecked(draft, connection, event);
+      return handleChecked(draft, connection, event);
   }
 }
 
 /** A late event of a connection that the owner has closed: it only tells when it is gone. */
-function handleClosed(draft: Draft, id: string, event: OwnEvent): Draft {
+function handleClosed(draft: Draft, id: string, event: SingleConnectionEvent): Draft {
   switch (event.type) {
     case "broken":
     case "gone":
@@ -117,7 +123,7 @@
   const { waiters } = draft.pool;
   const isHolder = listConnections(draft.pool, "active").some((c) => c.waiter === id);
   if (isHolder || waiters.some((w) => w.id === id)) return "duplicateWaiter";
-  return withPool(draft, { waiters: [...waiters, { id, team, since: at, deadlineAt }] });
+  return updatePool(draft, { waiters: [...waiters, { id, team, since: at, deadlineAt }] });
 }
 
 /**
@@ -126,27 +132,27 @@
  */
 function giveUp(draft: Draft, waiter: string, at: number): Draft | ConnectionFailure {
   const { waiters, settings } = draft.pool;
-  const left = waiters.filter((w) => w.id !== waiter);
-  if (left.length < waiters.length) return withPool(draft, { waiters: left });
+  const remaining = waiters.filter((w) => w.id !== waiter);
+  if (remaining.length < waiters.length) return updatePool(draft, { waiters: remaining });
   const held = listConnections(draft.pool, "active").find((c) => c.waiter === waiter);
   if (held === undefined) return "unknownWaiter";
   const closed = closeConnection(draft, held.id, "abandoned", at);
-  const isSuspicious = at - held.lastSignAt >= settings.suspicionMs;
-  return isSuspicious ? checkPeers(closed, held.lastSignAt, at) : closed;
+  const hasBeenSilent = at - held.lastActivityAt >= settings.abandonedSilenceMs;
+  return hasBeenSilent ? checkStaleIdle(closed, held.lastActivityAt, at) : closed;
 }
 
-function noteOpened(draft: Draft, { id, team }: LiveConnection, at: number): Draft {
-  return putConnection(noteOpenSuccess(draft), {
+function handleOpened(draft: Draft, { id, team }: LiveConnection, at: number): Draft {
+  return putConnection(recordOpenSuccess(draft), {
     type: "idle",
     id,
     team,
-    lastSignAt: at,
+    lastActivityAt: at,
     idleSince: at,
   });
 }
 
 /** Only an exchange that is wholly over gives its connection back. */
-function noteReady(
+function handleReady(
   draft: Draft,
   connection: LiveConnection,
   event: Extract<ConnectionEvent, { type: "ready" }>,
@@ -154,17 +160,17 @@
   const { id, team } = connection;
   if (connection.type !== "active") return closeConnection(draft, id, "unexpectedReady", event.at);
   const isOver = event.status === "I" && event.inFlight === 0;
-  if (!isOver) return putConnection(draft, { ...connection, lastSignAt: event.at });
+  if (!isOver) return putConnection(draft, { ...connection, lastActivityAt: event.at });
   return putConnection(draft, {
     type: "idle",
     id,
     team,
-    lastSignAt: event.at,
+    lastActivityAt: event.at,
     idleSince: event.at,
   });
 }
 
-function noteBroken(draft: Draft, connection: Connection, at: number): Draft {
+function handleBroken(draft: Draft, connection: Connection, at: number): Draft {
   const without = removeConnection(draft, connection.id);
   switch (connection.type) {
     case "active":
@@ -174,7 +180,7 @@
         connection: connection.id,
       });
     case "opening":
-      return noteOpenFailure(without, "failed", at);
+      return recordOpenFailure(without, "failed", at);
     case "idle":
     case "suspect":
     case "closed":
@@ -182,15 +188,15 @@
   }
 }
 
-function noteChecked(
+function handleChecked(
   draft: Draft,
   connection: Connection,
   event: Extract<ConnectionEvent, { type: "checked" }>,
 ): Draft {
   if (connection.type !== "suspect") return draft;
-  const { id, team, idleSince, checkedAt } = connection;
+  const { id, team, idleSince, checkStartedAt } = connection;
   if (event.isAlive) {
-    return putConnection(draft, { type: "idle", id, team, lastSignAt: event.at, idleSince });
+    return putConnection(draft, { type: "idle", id, team, lastActivityAt: event.at, idleSince });
   }
-  return checkPeers(closeConnection(draft, id, "silent", event.at), checkedAt, event.at);
+  return checkStaleIdle(closeConnection(draft, id, "silent", event.at), checkStartedAt, event.at);
 }
--- a/src/controller/connections/types.ts
+++ b/src/controller/connections/types.ts
@@ -10,28 +10,28 @@
    * The most that one owner opens. What is left of the limit is the share that is certainly free for
    * a successor; up to half, the two together never reach what control needs.
    */
-  readonly largestShare: number;
+  readonly maxShare: number;
   /** How many are opened at the same time. */
-  readonly openingAtOnce: number;
+  readonly maxOpening: number;
   readonly openTimeoutMs: number;
   /** A statement without a byte of answer for this long sits on a silent connection. */
   readonly progressTimeoutMs: number;
   /** An abandoned statement counts as a sign of silence from this age on. */
-  readonly suspicionMs: number;
+  readonly abandonedSilenceMs: number;
   /** A connection that was idle for longer is checked before it is used. */
   readonly checkAfterIdleMs: number;
   readonly checkTimeoutMs: number;
   /** Idle connections beyond this number are closed after `idleCloseMs`. */
-  readonly keptIdle: number;
-  readonly idleCloseMs: number;
+  readonly minIdle: number;
+  readonly idleTimeoutMs: number;
   /** How long a closed connection still counts, unless it is seen to be gone. */
   readonly lingerMs: number;
   /** While somebody waits, the share grows by one in this time. */
-  readonly growEveryMs: number;
+  readonly growIntervalMs: number;
   /** The share grows only for somebody who has waited for this long, in milliseconds. */
   readonly growAfterMs: number;
   /** After a target was full the share does not grow for this long, in milliseconds. */
-  readonly fullMs: number;
+  readonly growPauseWhenFullMs: number;
   /** Until then the share does not grow, in milliseconds on the owner's clock. */
   readonly growNotBefore: number;
   readonly firstBackoffMs: number;
@@ -54,7 +54,7 @@
       readonly type: "idle";
       readonly id: string;
       readonly team: string;
-      readonly lastSignAt: number;
+      readonly lastActivityAt: number;
       readonly idleSince: number;
     }
   /** Held by one waiter, from its grant to `ReadyForQuery` idle. */
@@ -62,7 +62,7 @@
       readonly type: "active";
       readonly id: string;
       readonly team: string;
-      readonly lastSignAt: number;
+      readonly lastActivityAt: number;
       readonly waiter: string;
     }
   /** Being checked; nobody gets it before it has answered. */
@@ -70,9 +70,9 @@
       readonly type: "suspect";
       readonly id: string;
       readonly team: string;
-      readonly lastSignAt: number;
+      readonly lastActivityAt: number;
       readonly idleSince: number;
-      readonly checkedAt: number;
+      readonly checkStartedAt: number;
     }
   /** Closed by the owner; the target may still count it. */
   | { readonly type: "closed"; readonly id: string; readonly closedAt: number };
@@ -135,7 +135,7 @@
       readonly type: "resize";
       readonly at: number;
       readonly limit: number;
-      readonly largestShare: number;
+      readonly maxShare: number;
     }
   /** No new work; connections close as they come free. */
   | { readonly type: "drain"; readonly at: number }
@@ -177,11 +177,11 @@
   readonly nextId: number;
   /** Connections that may be open at once, those that still count after closing included. */
   readonly share: number;
-  readonly growAt: number;
+  readonly nextGrowthAt: number;
   /** What the share begins with, and falls back to once nobody needs more. */
-  readonly firstShare: number;
+  readonly initialShare: number;
   /** After a failure nothing is opened before this time. */
-  readonly openNotBefore: number;
+  readonly nextOpenAt: number;
   readonly backoffMs: number;
   /** Why the last connection could not be opened; absent after a success. */
   readonly lastFailure: "tooMany" | "failed" | undefined;
--- a/src/direct/group.ts
+++ b/src/direct/group.ts
@@ -232,10 +232,10 @@
     const settings = {
       // The base may be opened from the start.
       limit: base + most,
-      largestShare: most,
+      maxShare: most,
       growAfterMs,
       growNotBefore: clock.now() + lingerMs,
-      idleCloseMs: surplusMs,
+      idleTimeoutMs: surplusMs,
       controlReserve: 0,
       openTimeoutMs,
       firstBackoffMs,
@@ -243,7 +243,7 @@
       checkTimeoutMs,
       checkAfterIdleMs,
       progressTimeoutMs,
-      keptIdle: base,
+      minIdle: base,
     };
     this.pools.set(target.name, new TargetPool(ports, clock, { settings, tickMs: poolTickMs }));
   }
--- a/src/groupwatch/confirmations.ts
+++ b/src/groupwatch/confirmations.ts
@@ -1,9 +1,9 @@
 import {
   type AcknowledgementState,
   type AcknowledgeSafeguards,
-  applyEvidence,
+  applyStatusAnswer,
   beginAcknowledgement,
-  type Evidence,
+  type StatusAnswer,
   type PendingWrite,
 } from "../controller/acknowledge/index.js";
 import { assertInvariant, type Clock, formatMark } from "../model/index.js";
@@ -44,7 +44,7 @@
   /** Waits until the write may be acknowledged or never can be by this primary. */
   wait(
     write: PendingWrite,
-    known: readonly Evidence[],
+    known: readonly StatusAnswer[],
     signal: AbortSignal,
   ): Promise<Confirmation> {
     const begun = beginAcknowledgement(write, this.ports.targets, this.ports.safeguards);
@@ -62,7 +62,7 @@
   }
 
   /** Takes in an answer of a target. */
-  observe(evidence: Evidence): void {
+  observe(evidence: StatusAnswer): void {
     for (const waiter of [...this.waiters]) this.apply(waiter, evidence);
   }
 
@@ -70,8 +70,8 @@
     for (const waiter of [...this.waiters]) this.end(waiter, { type: "timedOut" });
   }
 
-  private apply(waiter: Waiter, evidence: Evidence): void {
-    const applied = applyEvidence(waiter.state, evidence);
+  private apply(waiter: Waiter, evidence: StatusAnswer): void {
+    const applied = applyStatusAnswer(waiter.state, evidence);
     if (applied.type === "failed") return;
     waiter.state = applied.state;
     for (const { targets } of applied.effects) targets.forEach(this.ports.ask);
--- a/test/admission/builders.ts
+++ b/test/admission/builders.ts
@@ -9,7 +9,7 @@
 } from "../../src/controller/admission/index.js";
 import { priorities } from "../../src/model/index.js";
 
-export const strict: Partial<AdmissionSettings> = {
+export const strictPriority: Partial<AdmissionSettings> = {
   guaranteedShare: { critical: 1, normal: 0, browsing: 0, trial: 0 },
 };
 
@@ -25,7 +25,7 @@
 });
 
 /** A group under test: applies events and keeps what came of them. */
-export class Bench {
+export class AdmissionHarness {
   admission: Admission;
   at = 0;
   readonly effects: AdmissionEffect[] = [];
--- a/test/admission/model.test.ts
+++ b/test/admission/model.test.ts
@@ -15,7 +15,7 @@
   removeEntry,
   type Tree,
 } from "../../src/controller/admission/tree.js";
-import { request, strict } from "./builders.js";
+import { request, strictPriority } from "./builders.js";
 
 const names = ["p", "r1", "r2"];
 const sets = fc.subarray(names, { minLength: 1 });
@@ -84,7 +84,7 @@
   fc.assert(
     fc.property(steps, (course) => {
       const reference = new Reference();
-      let state = createAdmission(strict);
+      let state = createAdmission(strictPriority);
       const opening = names.map((target) => ({ type: "resize" as const, target, slots: 2 }));
       [...opening, ...course].forEach((step, at) => {
         const pool = step.type === "finish" ? reference.running : reference.waiting;
--- a/test/admission/queue.test.ts
+++ b/test/admission/queue.test.ts
@@ -1,11 +1,11 @@
 import { expect, test } from "@jest/globals";
-import { Bench, strict } from "./builders.js";
+import { AdmissionHarness, strictPriority } from "./builders.js";
 
 // A trial flood of one team fills the queue; another trial team sends ten statements after it.
 // Served in order of arrival they would wait for all of the flood.
 // Teams take turns instead, so that they are through within twenty starts.
 test("a team's flood does not delay the other teams of its class", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   for (let i = 0; i < 200; i++) bench.arrive(`flood${i}`, { team: "flood", priority: "trial" });
   for (let i = 0; i < 10; i++) bench.arrive(`few${i}`, { team: "few", priority: "trial" });
   const order = bench.serve(22);
@@ -16,7 +16,7 @@
 // Were its use of slots forgotten whenever nothing of it waits, it would always be first.
 // Its tag is kept while it is ahead, so that both get half.
 test("coming back at once is no way to the head of the line", () => {
-  const bench = new Bench(strict);
+  const bench = new AdmissionHarness(strictPriority);
   for (let i = 0; i < 100; i++) bench.arrive(`flood${i}`, { team: "z" });
   bench.arrive("quick0", { team: "a" });
   let sent = 0;
@@ -32,7 +32,7 @@
 // Trial callers would then see nothing but refusals, and a trial that never runs is none.
 // The guaranteed share gives them one start in a hundred.
 test("the guaranteed share keeps trial work from starving", () => {
-  const bench = new Bench({
+  const bench = new AdmissionHarness({
     guaranteedShare: { critical: 1, normal: 0, browsing: 0, trial: 0.01 },
   });
   bench.arrive("trial0", { priority: "critical" });
@@ -46,7 +46,7 @@
 // Behind the whole flood they would wait for longer: refused for that they would never use the share
 // that they are guaranteed. Their wait is foreseen by that share, and one start in twenty is theirs.
 test("trial work is admitted to its guaranteed share beside a flood", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   bench.arrive("first");
   bench.arrive("browse0", { priority: "browsing", team: "b" });
   let sent = 0;
@@ -66,7 +66,7 @@
 // It hears so in the same step, with a time to come back, and not when its patience has run out.
 // Those refused together are told different times, so that they do not return together.
 test("who would wait too long is refused at once, and told when to come back", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   for (let i = 0; i < 6; i++) bench.arrive(`q${i}`, { maxQueueMs: 50 });
   expect(bench.effects).toEqual([{ type: "start", id: "q0", target: "p" }]);
   const [first] = bench.arrive("late1", { maxQueueMs: 50, team: "cello" });
@@ -81,7 +81,7 @@
 // The caller of a running statement gives up; the target still works on it.
 // Counting its slot as free would put more statements on the target than it bears.
 test("an abandoned statement keeps its slot until it has finished", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   bench.arrive("gone");
   bench.arrive("next");
   expect(bench.apply({ type: "cancel", at: 1, id: "gone" })).toEqual([]);
@@ -92,7 +92,7 @@
 // Counted as about to end it would let callers wait to their deadlines; counted as never ending it
 // would turn all of them away. It is expected to last as long again, and callers are told by that.
 test("a statement that lasts is expected to last as long again", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   bench.arrive("report");
   bench.at = 1500;
   expect(bench.arrive("patient", { maxQueueMs: 2000 })).toEqual([]);
@@ -105,7 +105,7 @@
 // Trial requests have filled the queue when a reservation arrives.
 // Refusing whoever comes last would turn it away; the last trial request goes instead.
 test("a full queue gives up its least important request for a more important one", () => {
-  const bench = new Bench({ maxWaiting: 3 });
+  const bench = new AdmissionHarness({ maxWaiting: 3 });
   bench.arrive("running");
   for (let i = 0; i < 3; i++) bench.arrive(`trial${i}`, { priority: "trial", team: "t" });
   expect(bench.arrive("write", { priority: "critical" })).toMatchObject([
@@ -120,7 +120,7 @@
 // Browsing was admitted with a short wait; then more important work arrived and kept arriving.
 // Held, it would hear of it at its deadline. The next tick tells it.
 test("a wait that has grown too long ends with the next tick", () => {
-  const bench = new Bench(strict);
+  const bench = new AdmissionHarness(strictPriority);
   bench.arrive("running");
   bench.arrive("browse", { priority: "browsing", maxQueueMs: 100 });
   for (let i = 0; i < 40; i++) bench.arrive(`write${i}`, { priority: "critical" });
@@ -132,7 +132,7 @@
 // The primary is lost. Nobody knows when there will be another one: writes are told at once.
 // When the owner expects it back in a while, those whose rule allows the wait stay.
 test("writes wait for a lost primary only if it is expected back in time", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   bench.arrive("running");
   bench.arrive("patient", { maxQueueMs: 500 });
   bench.arrive("hasty", { maxQueueMs: 100 });
@@ -146,7 +146,7 @@
 });
 
 test("a waiting request moves to the targets it is given", () => {
-  const bench = new Bench();
+  const bench = new AdmissionHarness();
   bench.apply({ type: "resize", at: 0, target: "r", role: "replica", slots: 1 });
   bench.arrive("a");
   bench.arrive("b");
--- a/test/connections/builders.ts
+++ b/test/connections/builders.ts
@@ -10,7 +10,7 @@
 type Untimed<T> = T extends unknown ? Omit<T, "at"> : never;
 
 /** A pool under test, with a clock that is moved by hand. */
-export class PoolBench {
+export class PoolHarness {
   pool: Pool;
   at = 0;
 
--- a/test/connections/model.test.ts
+++ b/test/connections/model.test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import {
   applyConnections,
-  countHeld,
+  countAgainstLimit,
   createPool,
   type ConnectionEffect,
   type ConnectionEvent,
@@ -84,7 +84,7 @@
   fc.assert(
     fc.property(steps, (course) => {
       const holders = new Holders();
-      let pool = createPool({ limit: 8, largestShare: 5, growEveryMs: 20, keptIdle: 2 });
+      let pool = createPool({ limit: 8, maxShare: 5, growIntervalMs: 20, minIdle: 2 });
       course.forEach(({ kind, pick }, i) => {
         const event = toEvent(kind, pick, i * 40, pool);
         const result = applyConnections(pool, event);
@@ -99,7 +99,7 @@
           c.type === "active" ? [[c.id, c.waiter]] : [],
         );
         expect(active).toEqual([...holders.byConnection].sort(([a], [b]) => Number(a) - Number(b)));
-        expect(countHeld(pool)).toBeLessThanOrEqual(5);
+        expect(countAgainstLimit(pool)).toBeLessThanOrEqual(5);
         expect(pool.waiters.map((w) => w.id).sort()).toEqual([...holders.asking].sort());
       });
     }),
--- a/test/connections/pool.test.ts
+++ b/test/connections/pool.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "@jest/globals";
-import { countHeld, listConnections } from "../../src/controller/connections/index.js";
-import { PoolBench } from "./builders.js";
+import { countAgainstLimit, listConnections } from "../../src/controller/connections/index.js";
+import { PoolHarness } from "./builders.js";
 
 test("a connection is opened for the first waiter and used again by the next", () => {
-  const bench = new PoolBench();
+  const bench = new PoolHarness();
   expect(bench.ask("a")).toEqual([{ type: "open", connection: "1", team: "" }]);
   expect(bench.apply({ type: "opened", connection: "1" })).toEqual([
     { type: "grant", waiter: "a", connection: "1" },
@@ -16,7 +16,7 @@
 // Given back then, the next caller's statement would run inside the first one's transaction,
 // or read its answer. The connection stays with its holder until all is over.
 test("only the end of everything in flight gives a connection back", () => {
-  const bench = new PoolBench();
+  const bench = new PoolHarness();
   bench.hold(1);
   bench.ready("1", "T");
   bench.ready("1", "E");
@@ -29,7 +29,7 @@
 // A caller gives up while its statement runs. The answer comes later, to nobody.
 // Put back into the pool, the connection would hand it to the next caller.
 test("an abandoned statement closes its connection for good", () => {
-  const bench = new PoolBench();
+  const bench = new PoolHarness();
   bench.hold(1);
   bench.apply({ type: "giveUp", waiter: "w1" });
   expect(bench.ready("1")).toEqual([]);
@@ -41,7 +41,7 @@
 // The first caller waits for the progress timeout. The others must not each wait as long:
 // idle connections of the same age are checked at once, and a younger one is known to be alive.
 test("one silent connection brings a check of those of its age", () => {
-  const bench = new PoolBench({ progressTimeoutMs: 500, checkTimeoutMs: 50, keptIdle: 9 });
+  const bench = new PoolHarness({ progressTimeoutMs: 500, checkTimeoutMs: 50, minIdle: 9 });
   bench.hold(3);
   ["1", "2"].forEach((id) => bench.ready(id));
   bench.at = 100;
@@ -59,7 +59,7 @@
 });
 
 test("one that was idle for long answers a check before it is granted", () => {
-  const bench = new PoolBench({ checkAfterIdleMs: 100 });
+  const bench = new PoolHarness({ checkAfterIdleMs: 100 });
   bench.hold(1);
   bench.ready("1");
   bench.at = 100;
@@ -70,10 +70,10 @@
 });
 
 /** Opens what the pool asks for, as a target with a limit of 16 does that counts `others` too. */
-function serveOpenings(bench: PoolBench, others: number): number {
+function serveOpenings(bench: PoolHarness, others: number): number {
   let refusals = 0;
   for (const c of listConnections(bench.pool, "opening")) {
-    const isFull = others + countHeld(bench.pool) > 16;
+    const isFull = others + countAgainstLimit(bench.pool) > 16;
     if (isFull) refusals += 1;
     bench.apply(
       isFull
@@ -88,39 +88,39 @@
 // Were the successor to open as many at once, the target would refuse it, and control with it.
 // Each stays below half of the limit, so that both fit and two are left for control.
 test("an owner and its successor fit below the limit together", () => {
-  const [before, after] = [new PoolBench(), new PoolBench()];
+  const [before, after] = [new PoolHarness(), new PoolHarness()];
   for (let at = 0; at <= 5000; at += 20) {
     for (const bench of [before, after]) {
       bench.ask(`w${at}`);
       bench.tick(at);
     }
     serveOpenings(before, 0);
-    expect(serveOpenings(after, countHeld(before.pool))).toBe(0);
-    expect(countHeld(before.pool) + countHeld(after.pool)).toBeLessThanOrEqual(14);
+    expect(serveOpenings(after, countAgainstLimit(before.pool))).toBe(0);
+    expect(countAgainstLimit(before.pool) + countAgainstLimit(after.pool)).toBeLessThanOrEqual(14);
   }
-  expect(countHeld(after.pool)).toBe(7);
+  expect(countAgainstLimit(after.pool)).toBe(7);
 });
 
 // Operators have let an owner open 14 of 16; it dies, and for 5 s the target still counts them.
 // Its successor must not hammer the target with openings that end in 53300.
 // It starts with one, tries for more later and later, and has all 14 once the dead one's are gone.
 test("a new owner grows into its predecessor's connections without a storm", () => {
-  const bench = new PoolBench({ largestShare: 14, growEveryMs: 100 });
+  const bench = new PoolHarness({ maxShare: 14, growIntervalMs: 100 });
   let refusals = 0;
   for (let at = 0; at <= 20_000; at += 10) {
     bench.ask(`w${at}`);
     bench.tick(at);
     refusals += serveOpenings(bench, at < 5000 ? 14 : 0);
-    if (at === 0) expect(countHeld(bench.pool)).toBe(1);
+    if (at === 0) expect(countAgainstLimit(bench.pool)).toBe(1);
   }
   expect(refusals).toBeLessThan(12);
-  expect(countHeld(bench.pool)).toBe(14);
+  expect(countAgainstLimit(bench.pool)).toBe(14);
 });
 
 // Nothing listens at the target's address. Every try fails, and no connection is open.
 // Callers hear of it at once, with the time of the next try, instead of at their deadline.
 test("waiters are refused at once while no connection can be opened", () => {
-  const bench = new PoolBench({ firstBackoffMs: 100 });
+  const bench = new PoolHarness({ firstBackoffMs: 100 });
   bench.ask("a");
   expect(bench.apply({ type: "openFailed", connection: "1", reason: "failed" })).toEqual([
     { type: "refuse", waiter: "a", reason: "noConnection", retryAfterMs: 100 },
@@ -131,7 +131,7 @@
 });
 
 test("draining closes what is free and lets the rest finish", () => {
-  const bench = new PoolBench();
+  const bench = new PoolHarness();
   bench.hold(2);
   bench.ready("1");
   expect(bench.apply({ type: "drain" })).toEqual([
@@ -144,8 +144,8 @@
 // One proxy gets the callers of others that were cut off, and its one connection does not do. It opens
 // another for what has waited for a while, and closes it soon after, since others may need its place.
 test("a share grows for what has waited, and falls back when nobody needs it", () => {
-  const settings = { controlReserve: 0, growAfterMs: 60, idleCloseMs: 1000, keptIdle: 1 };
-  const bench = new PoolBench({ ...settings, limit: 3, largestShare: 2 });
+  const settings = { controlReserve: 0, growAfterMs: 60, idleTimeoutMs: 1000, minIdle: 1 };
+  const bench = new PoolHarness({ ...settings, limit: 3, maxShare: 2 });
   bench.hold(1);
   bench.ask("a");
   expect(bench.tick(50)).toEqual([]);
@@ -163,7 +163,7 @@
 // opened beyond its base would take the place of another's only connection.
 test("a share does not grow before its time", () => {
   const settings = { controlReserve: 0, growNotBefore: 4000, checkAfterIdleMs: 1e6 };
-  const bench = new PoolBench({ ...settings, limit: 3, largestShare: 2 });
+  const bench = new PoolHarness({ ...settings, limit: 3, maxShare: 2 });
   bench.hold(1);
   bench.ask("a");
   expect(bench.tick(3900)).toEqual([]);
@@ -172,8 +172,8 @@
 
 // The target's slots are all taken, so that more connections would only be turned away more often.
 test("a share does not grow at a target that is full", () => {
-  const settings = { controlReserve: 0, fullMs: 500, checkAfterIdleMs: 1e6 };
-  const bench = new PoolBench({ ...settings, limit: 3, largestShare: 2 });
+  const settings = { controlReserve: 0, growPauseWhenFullMs: 500, checkAfterIdleMs: 1e6 };
+  const bench = new PoolHarness({ ...settings, limit: 3, maxShare: 2 });
   bench.hold(1);
   bench.apply({ type: "full" });
   bench.ask("a");
@@ -182,10 +182,10 @@
 });
 
 test("a pool follows a change of its limits", () => {
-  const bench = new PoolBench({ controlReserve: 0, limit: 4, largestShare: 2, idleCloseMs: 1e6 });
+  const bench = new PoolHarness({ controlReserve: 0, limit: 4, maxShare: 2, idleTimeoutMs: 1e6 });
   bench.hold(2);
   expect(bench.ask("a")).toEqual([]);
-  expect(bench.apply({ type: "resize", limit: 6, largestShare: 3 })).toEqual([
+  expect(bench.apply({ type: "resize", limit: 6, maxShare: 3 })).toEqual([
     { type: "open", connection: "3", team: "" },
   ]);
 });
--- a/test/connections/teams.test.ts
+++ b/test/connections/teams.test.ts
@@ -1,15 +1,15 @@
 import { expect, test } from "@jest/globals";
-import { PoolBench } from "./builders.js";
+import { PoolHarness } from "./builders.js";
 
 /** A pool that may hold two connections and keeps them open. */
 const makeBench = () =>
-  new PoolBench({ limit: 4, controlReserve: 0, largestShare: 2, keptIdle: 2, openingAtOnce: 2 });
+  new PoolHarness({ limit: 4, controlReserve: 0, maxShare: 2, minIdle: 2, maxOpening: 2 });
 
-const ask = (bench: PoolBench, waiter: string, team: string) =>
+const ask = (bench: PoolHarness, waiter: string, team: string) =>
   bench.apply({ type: "ask", waiter, team, deadlineAt: 1e9 });
 
 /** Opens a connection for a team and gives it back at `at`. */
-function open(bench: PoolBench, connection: string, team: string, at: number): void {
+function open(bench: PoolHarness, connection: string, team: string, at: number): void {
   bench.at = at;
   ask(bench, `w${connection}`, team);
   bench.apply({ type: "opened", connection });
--- a/test/failover/acknowledge.test.ts
+++ b/test/failover/acknowledge.test.ts
@@ -2,7 +2,7 @@
 import {
   type AcknowledgementState,
   allAcknowledgeSafeguards,
-  applyEvidence,
+  applyStatusAnswer,
   beginAcknowledgement,
   type PendingWrite,
 } from "../../src/controller/acknowledge/index.js";
@@ -37,7 +37,7 @@
     lineage,
     fencedAt,
   };
-  const heard = applyEvidence(state, { status, askedAt, answeredAt: askedAt + 1 });
+  const heard = applyStatusAnswer(state, { status, askedAt, answeredAt: askedAt + 1 });
   if (heard.type === "failed") throw new Error(heard.failure);
   return heard;
 }
