--- a/src/controller/acknowledge/acknowledgement.ts
+++ b/src/controller/acknowledge/acknowledgement.ts
@@ -12,49 +12,51 @@
 } from "../../model/index.js";
 import type { AcknowledgeSafeguards } from "./options.js";
 
-/** A committed write that waits to be acknowledged. */
+/** A committed write whose acknowledgement to the caller is pending. */
 export interface PendingWrite {
   readonly primary: string;
   /** The term in which the write was sent to the primary. */
   readonly term: Term;
-  /** A position of the primary at or after the write's commit record. */
+  /** A log position of the primary at or after the write's commit record. */
   readonly mark: Mark;
   readonly mode: Acknowledgement;
-  /** When the commit was known here: what is asked from then on is asked after the commit. */
+  /**
+   * When this process learned of the commit. Requests sent from then on are sent after the commit.
+   */
   readonly committedAt: number;
 }
 
 /**
- * Members of a majority that were seen unfenced at `since` or later. Fences only grow, so whoever is
- * unfenced in an answer to a request sent after `since` was unfenced at `since`: once a majority
- * has answered so, no other majority was fenced at that instant.
+ * The targets that were confirmed to be unfenced at `since`. A target's fence only ever grows, so a
+ * target that is unfenced in its answer to a request sent at `since` or later was unfenced at
+ * `since`. Once a majority has answered so, no other majority can have been fenced at that instant.
  */
 interface ConfirmationRound {
   readonly since: number;
   readonly confirmers: readonly string[];
 }
 
-/** What is known of a write that waits. */
+/** The state of a pending acknowledgement. */
 export type AcknowledgementState = Readonly<{
   write: PendingWrite;
   targets: readonly string[];
   safeguards: AcknowledgeSafeguards;
-  /** Replicas that hold the write in its term. */
+  /** Replicas that have been seen to hold the write in its term. */
   holders: readonly string[];
   confirmationRound?: ConfirmationRound;
   outcome: "waiting" | "confirmed" | "superseded";
-  /** Targets that were seen fenced past the term. */
+  /** Targets that have been seen fenced past the term of the write. */
   fencedPastTerm: readonly string[];
 }>;
 
-/** An answer of a target, and when it was asked for and came. */
+/** A target's status, with the times when it was requested and received. */
 export interface StatusAnswer {
   readonly status: TargetStatus;
   readonly askedAt: number;
   readonly answeredAt: number;
 }
 
-/** Asks for fresh answers of targets, in requests sent from now on. */
+/** Asks targets for their status, in requests that are sent from now on. */
 export interface AskEffect {
   readonly type: "ask";
   readonly targets: readonly string[];
@@ -62,13 +64,17 @@
 
 type Result = Applied<AcknowledgementState, AskEffect>;
 
-/** Begins to wait. Fails for a mark of another term, which proves nothing about a write of `term`. */
+/**
+ * Begins an acknowledgement. Fails for a mark of another term, which proves nothing about a write
+ * of `term`.
+ */
 export function beginAcknowledgement(
   write: PendingWrite,
   targets: readonly string[],
   safeguards: AcknowledgeSafeguards,
 ): Result {
-  if (compareTerms(write.mark.term, write.term) !== 0) return fail("the mark is of another term");
+  if (compareTerms(write.mark.term, write.term) !== 0)
+    return fail("the mark is from another term than the write");
   const state: AcknowledgementState = {
     write,
     targets,
@@ -82,7 +88,7 @@
   return beginConfirmationRound(state, write.committedAt, []);
 }
 
-/** Takes an answer into account. */
+/** Applies a target's answer. Once the outcome is settled, further answers are ignored. */
 export function applyStatusAnswer(state: AcknowledgementState, answer: StatusAnswer): Result {
   if (state.outcome !== "waiting") return succeed(state);
   const { status } = answer;
@@ -97,8 +103,9 @@
 }
 
 /**
- * The primary itself, or so many targets that no majority can confirm, are past the term. What
- * becomes of the write is the next primary's to tell; this one must not vouch for it.
+ * Records that a target is fenced past the term. The write is superseded if that target is the
+ * primary, or if so many targets are fenced that no majority can confirm the write. Whether the
+ * write survives is then known to the next primary; this one must not acknowledge it.
  */
 function recordFencedTarget(state: AcknowledgementState, target: string): Result {
   const fencedPastTerm = [...state.fencedPastTerm.filter((t) => t !== target), target];
@@ -107,7 +114,10 @@
   return succeed({ ...state, fencedPastTerm, outcome: isSuperseded ? "superseded" : "waiting" });
 }
 
-/** What a replica holds it held when it answered, whenever it was asked: the mark is the proof. */
+/**
+ * Records a replica that holds the write. The mark in its answer proves that it held the write when
+ * it answered, whenever the answer was requested.
+ */
 function recordHolder(state: AcknowledgementState, { status, answeredAt }: StatusAnswer): Result {
   const { write } = state;
   const reach = compareMarks(status.lineage, status.mark, write.mark);
@@ -119,9 +129,10 @@
 }
 
 /**
- * The commit's own reply does not count as the primary's confirmation: the primary and another
- * replica may have been fenced between that reply and the last replica's answer, and a superseded
- * primary would acknowledge. So the primary is asked again after that answer.
+ * Asks the targets to confirm that they are unfenced. The commit's own reply does not count as the
+ * primary's confirmation: the primary and another replica may have been fenced between that reply
+ * and the last replica's answer, and a superseded primary would acknowledge the write. So the
+ * primary is asked again after that answer.
  */
 function beginConfirmationRound(
   state: AcknowledgementState,
--- a/src/controller/acknowledge/options.ts
+++ b/src/controller/acknowledge/options.ts
@@ -1,12 +1,15 @@
-/** Rules that acknowledgement rests on. Only tests take one out, to show that it is needed. */
+/** Safety rules of acknowledgement. Only tests disable one, to show that it is needed. */
 export interface AcknowledgeSafeguards {
-  /** The last confirmations answer requests sent after the commit, the primary's included. */
+  /**
+   * The last confirmations, the primary's included, answer requests that were sent after the
+   * commit.
+   */
   readonly freshness: boolean;
-  /** A majority of the targets confirms, not just one. */
+  /** A majority of the targets has to confirm, not just one target. */
   readonly confirmMajority: boolean;
 }
 
-/** Everything on. */
+/** All rules enabled. */
 export const allAcknowledgeSafeguards: AcknowledgeSafeguards = {
   freshness: true,
   confirmMajority: true,
