--- a/src/controller/connections/grant.ts
+++ b/src/controller/connections/grant.ts
@@ -16,7 +16,10 @@
 const minRetryMs = 10;
 const drainingRetryMs = 100;
 
-/** Gives free connections to those who wait, checks or opens more, refuses who waits in vain. */
+/**
+ * Grants idle connections to waiters, checks or opens more for the others, and refuses waiters that
+ * no connection can serve in time.
+ */
 export function serveWaiters(draft: Draft, at: number): Draft {
   let next = draft;
   for (const waiter of draft.pool.waiters) {
@@ -27,7 +30,10 @@
   return refuseUnservable(next, at);
 }
 
-/** The idle connection of a team that was used last: the others may grow old and be closed. */
+/**
+ * The most recently used idle connection of a team that needs no check. The others are left to
+ * reach their idle timeout.
+ */
 function findUsableIdle(pool: Pool, team: string, at: number) {
   return listConnections(pool, "idle")
     .filter((c) => c.team === team && at - c.lastActivityAt < pool.settings.checkAfterIdleMs)
@@ -61,7 +67,10 @@
   return addEffect(left, { type: "grant", waiter: waiter.id, connection: id });
 }
 
-/** A check takes a round trip, opening about 12 ms: old idle connections are tried first. */
+/**
+ * Checks idle connections that are too old to be granted unchecked. They are tried before new ones
+ * are opened, because a check takes one round trip and an opening about 12 ms.
+ */
 function checkIdleForWaiters(draft: Draft, at: number): Draft {
   let next = draft;
   for (const { team } of listUnservedWaiters(draft.pool, ["suspect"])) {
@@ -71,7 +80,7 @@
   return next;
 }
 
-/** Refuses at once those whom no connection can reach in time. */
+/** Refuses waiters at once when no connection can serve them in time. */
 function refuseUnservable(draft: Draft, at: number): Draft {
   const refusals = draft.pool.waiters.flatMap((w) => findRefusal(draft.pool, w, at) ?? []);
   if (refusals.length === 0) return draft;
@@ -95,7 +104,10 @@
   return { ...base, reason, retryAfterMs };
 }
 
-/** Closes idle connections beyond those that are kept, and all of them while draining. */
+/**
+ * Closes idle connections beyond `minIdle`: those past the idle timeout, or all of them while the
+ * pool exceeds its share. While draining, closes every idle connection.
+ */
 export function closeSurplus(draft: Draft, at: number): Draft {
   const { isDraining, settings } = draft.pool;
   const idle = listConnections(draft.pool, "idle").toSorted((a, b) => a.idleSince - b.idleSince);
@@ -110,7 +122,10 @@
   return over.length === 0 || isOver ? closed : shrinkShare(closed);
 }
 
-/** The share falls back with what was grown and is not needed: others may need the places. */
+/**
+ * Lowers a share that has grown to the number of connections that are left, but not below the
+ * initial share. Other owners may need the places.
+ */
 function shrinkShare(draft: Draft): Draft {
   const { initialShare, share } = draft.pool;
   return updatePool(draft, {
--- a/src/controller/connections/liveness.ts
+++ b/src/controller/connections/liveness.ts
@@ -9,7 +9,7 @@
 } from "./pool.js";
 import type { Connection } from "./types.js";
 
-/** Takes an idle connection out of use until it has answered a check. */
+/** Starts a check of an idle connection, which is not granted until it has answered. */
 export function checkIdle(
   draft: Draft,
   connection: Extract<Connection, { type: "idle" }>,
@@ -20,9 +20,10 @@
 }
 
 /**
- * Checks every idle connection that gave no sign of life after `since`, when a silent one's exchange
- * began. Something between the two ends loses track of connections by age, many at once: the next
- * callers would each wait for the timeout. One that answered later is known to be alive.
+ * Checks every idle connection without activity after `since`, which is when the exchange on a
+ * silent connection began. A device on the network path can forget many connections of the same age
+ * at once, and each of the next callers would then wait for the timeout. A connection with later
+ * activity is known to be alive.
  */
 export function checkStaleIdle(draft: Draft, since: number, at: number): Draft {
   return listConnections(draft.pool, "idle")
@@ -30,7 +31,10 @@
     .reduce((next, c) => checkIdle(next, c, at), draft);
 }
 
-/** Finds what has been silent for too long, and forgets what is gone. */
+/**
+ * Closes or checks connections that have been silent for too long, and removes closed ones after
+ * `lingerMs`.
+ */
 export function applyTimeouts(draft: Draft, at: number): Draft {
   let next = draft;
   for (const connection of Object.values(draft.pool.connections)) {
--- a/src/controller/connections/open.ts
+++ b/src/controller/connections/open.ts
@@ -11,8 +11,8 @@
 import type { Pool } from "./types.js";
 
 /**
- * Opens connections for those who wait, a few at a time and within the share. All at once they would
- * queue up at the target, and each would take the longer to open.
+ * Opens connections for waiters, within the share and at most `maxOpening` at a time. If all were
+ * opened at once they would queue up at the target, and each would take longer to open.
  */
 export function openForWaiters(draft: Draft, at: number): Draft {
   let next = growShare(draft, at);
@@ -26,9 +26,10 @@
 }
 
 /**
- * Notes that a connection could not be opened, and waits the longer before the next try the more
- * often that happened. After 53300 the share falls back to what is open: a dead owner's connections
- * still count at the target, and asking faster than they close gets nothing but refusals.
+ * Records that a connection could not be opened, and doubles the delay before the next attempt.
+ * After SQLSTATE 53300 the share is lowered to the connections that count against the limit: those
+ * of a dead owner still count at the target, and opening faster than they close causes nothing but
+ * refusals.
  */
 export function recordOpenFailure(draft: Draft, reason: "tooMany" | "failed", at: number): Draft {
   const { settings, backoffMs, share } = draft.pool;
@@ -42,7 +43,7 @@
   });
 }
 
-/** Notes that a connection was opened. */
+/** Records that a connection was opened, and resets the backoff. */
 export function recordOpenSuccess(draft: Draft): Draft {
   return updatePool(draft, {
     backoffMs: draft.pool.settings.firstBackoffMs,
@@ -50,7 +51,7 @@
   });
 }
 
-/** While somebody waits for what the share forbids, the share grows by one from time to time. */
+/** Raises the share by one at intervals, while it keeps the first waiter waiting. */
 function growShare(draft: Draft, at: number): Draft {
   const { pool } = draft;
   const [first] = pool.waiters;
@@ -70,9 +71,10 @@
 }
 
 /**
- * Room for one more connection: within the share, or in place of an idle one of another team, the one
- * whose last use is the longest ago. Nothing is in flight on an idle one, and its end reaches the target
- * before the opening that follows on the same way, so that it stops counting at once.
+ * Makes room for one more connection: within the share, or by closing the least recently used idle
+ * connection of a team without waiters. Such a connection has nothing in flight, and its end
+ * reaches the target before the opening that follows on the same route, so that it stops counting
+ * at once. Returns `undefined` if there is no room.
  */
 function makeRoom(draft: Draft): Draft | undefined {
   const { pool } = draft;
--- a/src/controller/connections/pool.ts
+++ b/src/controller/connections/pool.ts
@@ -1,12 +1,12 @@
 import type { Connection, ConnectionEffect, ConnectionSettings, Pool, Waiter } from "./types.js";
 
-/** A state on its way through a step, with the effects so far. */
+/** The pool within a step, with the effects so far. */
 export interface Draft {
   readonly pool: Pool;
   readonly effects: readonly ConnectionEffect[];
 }
 
-/** What holds unless an owner sets something else. */
+/** The defaults of the connection settings. */
 export const defaultConnectionSettings: Omit<ConnectionSettings, "limit" | "maxShare"> = {
   controlReserve: 2,
   maxOpening: 2,
@@ -27,8 +27,9 @@
 };
 
 /**
- * A pool without connections; the first `ask` opens one. It starts with the share that no predecessor
- * can hold: a dead owner's connections may count at the target for as long as a TCP timeout.
+ * Creates a pool without connections; the first `ask` opens one. It starts with the share that no
+ * predecessor can hold, because the connections of a dead owner may count at the target for as long
+ * as a TCP timeout.
  */
 export function createPool(
   settings: Partial<ConnectionSettings> & Pick<ConnectionSettings, "limit">,
@@ -50,13 +51,16 @@
   };
 }
 
-/** The largest share of the free connections, and the one to begin with. */
+/** Computes the maximum share of the free connections, and the initial one. */
 function computeShares(free: number, settings: { readonly maxShare?: number }) {
   const maxShare = Math.max(1, Math.min(free, settings.maxShare ?? Math.floor(free / 2)));
   return { maxShare, share: Math.max(1, Math.min(maxShare, free - maxShare)) };
 }
 
-/** The pool with another limit and largest share. What is open beyond them closes as it comes free. */
+/**
+ * Changes the limit and the maximum share of a pool. Connections beyond them are closed as they
+ * become idle.
+ */
 export function resizePool(pool: Pool, limit: number, maxShare: number): Pool {
   const divided = computeShares(limit - pool.settings.controlReserve, { maxShare });
   return {
@@ -67,7 +71,7 @@
   };
 }
 
-/** The connections of one kind, in the order in which they were opened. */
+/** The connections in one state, in the order in which they were opened. */
 export function listConnections<T extends Connection["type"]>(
   pool: Pool,
   type: T,
@@ -77,7 +81,10 @@
   );
 }
 
-/** Waiters for whom no connection of their team is on its way in one of these states, in their order. */
+/**
+ * The waiters, in their order, for whom no connection of their team is pending in one of the given
+ * states.
+ */
 export function listUnservedWaiters(
   pool: Pool,
   pendingTypes: readonly ("opening" | "suspect")[],
@@ -94,39 +101,45 @@
   });
 }
 
-/** The connections that the target may count against its limit. */
+/**
+ * The number of connections that the target may count against its limit, which includes recently
+ * closed ones.
+ */
 export function countAgainstLimit(pool: Pool): number {
   return Object.keys(pool.connections).length;
 }
 
-/** The connections that are not closed. */
+/** The number of connections that are not closed, which includes those being opened. */
 export function countLive(pool: Pool): number {
   return countAgainstLimit(pool) - listConnections(pool, "closed").length;
 }
 
-/** The draft with a connection in a new state. */
+/** Adds a connection, or replaces its state. */
 export function putConnection(draft: Draft, connection: Connection): Draft {
   const connections = { ...draft.pool.connections, [connection.id]: connection };
   return { ...draft, pool: { ...draft.pool, connections } };
 }
 
-/** The draft without a connection. */
+/** Removes a connection. An unknown id is ignored. */
 export function removeConnection(draft: Draft, id: string): Draft {
   const { [id]: removed, ...connections } = draft.pool.connections;
   return removed === undefined ? draft : { ...draft, pool: { ...draft.pool, connections } };
 }
 
-/** The draft with one more effect. */
+/** Appends an effect. */
 export function addEffect(draft: Draft, effect: ConnectionEffect): Draft {
   return { ...draft, effects: [...draft.effects, effect] };
 }
 
-/** The draft with something changed that is no connection. */
+/** Changes fields of the pool other than its connections. */
 export function updatePool(draft: Draft, change: Partial<Pool>): Draft {
   return { ...draft, pool: { ...draft.pool, ...change } };
 }
 
-/** Closes a connection; it counts until it is gone or its time to linger is over. */
+/**
+ * Closes a connection. It counts against the share until it is known to be gone or `lingerMs` has
+ * passed.
+ */
 export function closeConnection(
   draft: Draft,
   id: string,
--- a/src/controller/connections/step.ts
+++ b/src/controller/connections/step.ts
@@ -20,14 +20,17 @@
   Pool,
 } from "./types.js";
 
-/** The result of one event. */
+/** The result of applying one event. */
 export type ConnectionResult = Applied<Pool, ConnectionEffect, ConnectionFailure>;
 
-/** Applies one event to the connections of a target. */
+/**
+ * Applies one event to the connections of a target, then serves waiters and closes surplus
+ * connections.
+ */
 export function applyConnections(pool: Pool, event: ConnectionEvent): ConnectionResult {
-  const step = handleEvent({ pool, effects: [] }, event);
-  if (typeof step === "string") return fail(step);
-  const served = closeSurplus(serveWaiters(step, event.at), event.at);
+  const handled = handleEvent({ pool, effects: [] }, event);
+  if (typeof handled === "string") return fail(handled);
+  const served = closeSurplus(serveWaiters(handled, event.at), event.at);
   return succeed(served.pool, served.effects);
 }
 
@@ -100,7 +103,10 @@
   }
 }
 
-/** A late event of a connection that the owner has closed: it only tells when it is gone. */
+/**
+ * Handles a late event of a connection that the owner has closed. It only shows whether the target
+ * has dropped the connection.
+ */
 function handleClosed(draft: Draft, id: string, event: SingleConnectionEvent): Draft {
   switch (event.type) {
     case "broken":
@@ -127,8 +133,8 @@
 }
 
 /**
- * Takes a waiter out of the line, or closes its connection. The answer of an abandoned statement may
- * still come; on a connection that is used again it would reach the next caller as its own.
+ * Removes a waiter, or closes the connection that it holds. The answer to an abandoned statement
+ * may still arrive, and if the connection were reused, the next caller would receive it as its own.
  */
 function giveUp(draft: Draft, waiter: string, at: number): Draft | ConnectionFailure {
   const { waiters, settings } = draft.pool;
@@ -151,7 +157,10 @@
   });
 }
 
-/** Only an exchange that is wholly over gives its connection back. */
+/**
+ * Returns a connection to the pool only when its exchange is complete: no transaction is open and
+ * nothing is in flight.
+ */
 function handleReady(
   draft: Draft,
   connection: LiveConnection,
--- a/src/controller/connections/types.ts
+++ b/src/controller/connections/types.ts
@@ -1,46 +1,56 @@
 import type { NotRunReason } from "../../model/index.js";
 
-/** What an owner may set for the connections to one target. */
+/** Settings for an owner's connections to one target. */
 export interface ConnectionSettings {
-  /** Connections that the target accepts from everybody. */
+  /** The number of connections that the target accepts from all clients together. */
   readonly limit: number;
-  /** Of these, kept for control. */
+  /** The part of `limit` that is reserved for control connections. */
   readonly controlReserve: number;
   /**
-   * The most that one owner opens. What is left of the limit is the share that is certainly free for
-   * a successor; up to half, the two together never reach what control needs.
+   * The most connections that one owner may open. The rest of the limit is certainly free for a
+   * successor. Up to half of the limit, an owner and its successor together never use up what
+   * control needs.
    */
   readonly maxShare: number;
-  /** How many are opened at the same time. */
+  /** The most connections that are being opened at the same time. */
   readonly maxOpening: number;
   readonly openTimeoutMs: number;
-  /** A statement without a byte of answer for this long sits on a silent connection. */
+  /** An active connection without a byte of the answer for this long counts as silent. */
   readonly progressTimeoutMs: number;
-  /** An abandoned statement counts as a sign of silence from this age on. */
+  /**
+   * When a caller abandons a statement after this long without a byte of the answer, the idle
+   * connections are checked.
+   */
   readonly abandonedSilenceMs: number;
-  /** A connection that was idle for longer is checked before it is used. */
+  /** A connection that has been idle for longer is checked before it is granted. */
   readonly checkAfterIdleMs: number;
   readonly checkTimeoutMs: number;
-  /** Idle connections beyond this number are closed after `idleCloseMs`. */
+  /**
+   * The number of idle connections that are kept open. Those beyond it are closed after
+   * `idleTimeoutMs`.
+   */
   readonly minIdle: number;
   readonly idleTimeoutMs: number;
-  /** How long a closed connection still counts, unless it is seen to be gone. */
+  /**
+   * How long a closed connection counts against the limit, unless it is known to be gone earlier.
+   */
   readonly lingerMs: number;
-  /** While somebody waits, the share grows by one in this time. */
+  /** The interval at which the share grows by one while there are waiters. */
   readonly growIntervalMs: number;
-  /** The share grows only for somebody who has waited for this long, in milliseconds. */
+  /** The share grows only for a waiter that has waited for this long, in milliseconds. */
   readonly growAfterMs: number;
-  /** After a target was full the share does not grow for this long, in milliseconds. */
+  /** The share does not grow for this long after the target was full, in milliseconds. */
   readonly growPauseWhenFullMs: number;
-  /** Until then the share does not grow, in milliseconds on the owner's clock. */
+  /** The share does not grow before this time, in milliseconds on the owner's clock. */
   readonly growNotBefore: number;
   readonly firstBackoffMs: number;
   readonly longestBackoffMs: number;
 }
 
 /**
- * One connection to the target. Times are on the owner's clock, in milliseconds. `team` is whom it was
- * opened for, the empty name where all may share it: it never serves another.
+ * One connection to the target. Times are on the owner's clock, in milliseconds. A connection is
+ * granted only to the `team` that it was opened for. The name is empty where all teams share
+ * connections.
  */
 export type Connection =
   | {
@@ -49,7 +59,10 @@
       readonly team: string;
       readonly since: number;
     }
-  /** At the end of an exchange, nothing in flight. `lastSignAt`: the target's last byte. */
+  /**
+   * Between two exchanges, with nothing in flight. `lastActivityAt` is when the last byte from the
+   * target arrived.
+   */
   | {
       readonly type: "idle";
       readonly id: string;
@@ -57,7 +70,7 @@
       readonly lastActivityAt: number;
       readonly idleSince: number;
     }
-  /** Held by one waiter, from its grant to `ReadyForQuery` idle. */
+  /** Held by one waiter, from its grant until `ReadyForQuery` with idle status. */
   | {
       readonly type: "active";
       readonly id: string;
@@ -65,7 +78,7 @@
       readonly lastActivityAt: number;
       readonly waiter: string;
     }
-  /** Being checked; nobody gets it before it has answered. */
+  /** Being checked, and not granted until it has answered. */
   | {
       readonly type: "suspect";
       readonly id: string;
@@ -74,41 +87,41 @@
       readonly idleSince: number;
       readonly checkStartedAt: number;
     }
-  /** Closed by the owner; the target may still count it. */
+  /** Closed by the owner. The target may still count it. */
   | { readonly type: "closed"; readonly id: string; readonly closedAt: number };
 
-/** Somebody who wants a connection. */
+/** A request or transaction that waits for a connection. */
 export interface Waiter {
   readonly id: string;
-  /** Whose the connection must be; the empty name where all may share it. */
+  /** The team that the connection must belong to; empty where all teams share connections. */
   readonly team: string;
   readonly since: number;
   readonly deadlineAt: number;
 }
 
-/** What happens to the connections of one target. `at` never goes back. */
+/** Events of the connections to one target. `at` never decreases. */
 export type ConnectionEvent =
   | {
       readonly type: "ask";
       readonly at: number;
       readonly waiter: string;
-      /** Absent where all may share the connections. */
+      /** Absent where all teams share connections. */
       readonly team?: string;
       readonly deadlineAt: number;
     }
-  /** A waiter gives up: it leaves the line, or the connection that it holds is closed. */
+  /** A waiter gives up. It is removed, or the connection that it holds is closed. */
   | { readonly type: "giveUp"; readonly at: number; readonly waiter: string }
   | { readonly type: "opened"; readonly at: number; readonly connection: string }
-  /** `tooMany` is SQLSTATE 53300. */
+  /** `tooMany` stands for SQLSTATE 53300. */
   | {
       readonly type: "openFailed";
       readonly at: number;
       readonly connection: string;
       readonly reason: "tooMany" | "failed";
     }
-  /** Bytes of an answer came. */
+  /** Bytes of an answer arrived. */
   | { readonly type: "progress"; readonly at: number; readonly connection: string }
-  /** `ReadyForQuery` came; `inFlight` counts the further ones that are still owed. */
+  /** `ReadyForQuery` arrived. `inFlight` is the number of further ones that are still expected. */
   | {
       readonly type: "ready";
       readonly at: number;
@@ -116,7 +129,7 @@
       readonly status: "I" | "T" | "E";
       readonly inFlight: number;
     }
-  /** The target or the network closed it. */
+  /** The target or the network closed the connection. */
   | { readonly type: "broken"; readonly at: number; readonly connection: string }
   | {
       readonly type: "checked";
@@ -126,9 +139,9 @@
     }
   /** A closed connection is known to be gone at the target too. */
   | { readonly type: "gone"; readonly at: number; readonly connection: string }
-  /** The target was seen to have this many connections of other owners. */
+  /** The target reports this many connections of other owners. */
   | { readonly type: "countOthers"; readonly at: number; readonly others: number }
-  /** The target works on all that it can: more connections would get nothing but refusals. */
+  /** All slots of the target are taken, so more connections would only be refused work. */
   | { readonly type: "full"; readonly at: number }
   /** The owner's part of the target's connections has changed. */
   | {
@@ -137,7 +150,7 @@
       readonly limit: number;
       readonly maxShare: number;
     }
-  /** No new work; connections close as they come free. */
+  /** No connections are granted any more, and each is closed when it becomes idle. */
   | { readonly type: "drain"; readonly at: number }
   | { readonly type: "tick"; readonly at: number };
 
@@ -145,15 +158,15 @@
 export type CloseReason =
   "abandoned" | "silent" | "openTimeout" | "unexpectedReady" | "surplus" | "replaced" | "draining";
 
-/** What is to be done outside. */
+/** Actions for the caller of `applyConnections`. */
 export type ConnectionEffect =
   | { readonly type: "open"; readonly connection: string; readonly team: string }
   | { readonly type: "close"; readonly connection: string; readonly reason: CloseReason }
-  /** Run an empty exchange on it, and report `checked`. */
+  /** Run an empty exchange on the connection, and report `checked`. */
   | { readonly type: "check"; readonly connection: string }
-  /** From now on the connection is the waiter's, until it is idle again or closed. */
+  /** The connection belongs to the waiter until it is idle again or closed. */
   | { readonly type: "grant"; readonly waiter: string; readonly connection: string }
-  /** The waiter's connection was closed under it; what it sent may have run. */
+  /** The waiter's connection was closed while held. What the waiter sent may have run. */
   | { readonly type: "lose"; readonly waiter: string; readonly connection: string }
   | {
       readonly type: "refuse";
@@ -165,25 +178,25 @@
       readonly retryAfterMs: number;
     };
 
-/** Why an event was not applied. */
+/** Why an event was rejected. */
 export type ConnectionFailure = "unknownConnection" | "unknownWaiter" | "duplicateWaiter";
 
 /** The connections of one owner to one target. */
 export interface Pool {
   readonly settings: ConnectionSettings;
   readonly connections: Readonly<Record<string, Connection>>;
-  /** First come, first served: admission has put them in order. */
+  /** Waiters are served in order of arrival, which is the order in which admission started them. */
   readonly waiters: readonly Waiter[];
   readonly nextId: number;
-  /** Connections that may be open at once, those that still count after closing included. */
+  /** The most connections that may exist at once, closed ones that still count included. */
   readonly share: number;
   readonly nextGrowthAt: number;
-  /** What the share begins with, and falls back to once nobody needs more. */
+  /** The share that the pool starts with, and falls back to when more is not needed. */
   readonly initialShare: number;
-  /** After a failure nothing is opened before this time. */
+  /** After a failure no connection is opened before this time. */
   readonly nextOpenAt: number;
   readonly backoffMs: number;
-  /** Why the last connection could not be opened; absent after a success. */
+  /** Why the last attempt to open a connection failed; `undefined` after a success. */
   readonly lastFailure: "tooMany" | "failed" | undefined;
   readonly isDraining: boolean;
 }
--- a/test/connections/builders.ts
+++ b/test/connections/builders.ts
@@ -9,7 +9,7 @@
 
 type Untimed<T> = T extends unknown ? Omit<T, "at"> : never;
 
-/** A pool under test, with a clock that is moved by hand. */
+/** Applies events to a connection pool, with a clock that is set by hand. */
 export class PoolHarness {
   pool: Pool;
   at = 0;
@@ -38,7 +38,7 @@
     return this.apply({ type: "tick" });
   }
 
-  /** Asks for `count` connections and opens them. They are held by `w1`, `w2`, … */
+  /** Requests and opens `count` connections. They are held by the waiters `w1`, `w2`, … */
   hold(count: number) {
     for (let i = 1; i <= count; i++) {
       this.ask(`w${i}`);
--- a/test/connections/model.test.ts
+++ b/test/connections/model.test.ts
@@ -47,8 +47,8 @@
   return events[kind];
 }
 
-/** Who holds which connection, by the effects and events alone. */
-class Holders {
+/** Tracks which waiter holds which connection, from the effects and events alone. */
+class HolderModel {
   readonly byConnection = new Map<string, string>();
   readonly dead = new Set<string>();
   readonly asking = new Set<string>();
@@ -80,12 +80,12 @@
   }
 }
 
-test("any course of events keeps one holder for each connection, and the limit", () => {
+test("random events keep one holder for each connection, and the limit", () => {
   fc.assert(
-    fc.property(steps, (course) => {
-      const holders = new Holders();
+    fc.property(steps, (events) => {
+      const holders = new HolderModel();
       let pool = createPool({ limit: 8, maxShare: 5, growIntervalMs: 20, minIdle: 2 });
-      course.forEach(({ kind, pick }, i) => {
+      events.forEach(({ kind, pick }, i) => {
         const event = toEvent(kind, pick, i * 40, pool);
         const result = applyConnections(pool, event);
         if (result.type === "failed") return;
