--- a/src/controller/acknowledge/acknowledgement.ts
+++ b/src/controller/acknowledge/acknowledgement.ts
@@ -104,8 +104,8 @@
 
 /**
  * Records that a target is fenced past the term. The write is superseded if that target is the
- * primary, or if so many targets are fenced that no majority can confirm the write. Whether the
- * write survives is then known to the next primary; this one must not acknowledge it.
+ * primary, or if so many targets are fenced that no majority can confirm the write. The next
+ * primary determines whether the write survives; this one must not acknowledge it.
  */
 function recordFencedTarget(state: AcknowledgementState, target: string): Result {
   const fencedPastTerm = [...state.fencedPastTerm.filter((t) => t !== target), target];
--- a/src/controller/connections/open.ts
+++ b/src/controller/connections/open.ts
@@ -33,9 +33,9 @@
  */
 export function recordOpenFailure(draft: Draft, reason: "tooMany" | "failed", at: number): Draft {
   const { settings, backoffMs, share } = draft.pool;
-  const counted = Math.max(1, countAgainstLimit(draft.pool));
+  const heldCount = Math.max(1, countAgainstLimit(draft.pool));
   return updatePool(draft, {
-    share: reason === "tooMany" ? Math.min(share, counted) : share,
+    share: reason === "tooMany" ? Math.min(share, heldCount) : share,
     nextGrowthAt: at + backoffMs,
     nextOpenAt: at + backoffMs,
     backoffMs: Math.min(settings.longestBackoffMs, backoffMs * 2),
--- a/test/connections/model.test.ts
+++ b/test/connections/model.test.ts
@@ -82,10 +82,10 @@
 
 test("random events keep one holder for each connection, and the limit", () => {
   fc.assert(
-    fc.property(steps, (events) => {
+    fc.property(steps, (sequence) => {
       const holders = new HolderModel();
       let pool = createPool({ limit: 8, maxShare: 5, growIntervalMs: 20, minIdle: 2 });
-      events.forEach(({ kind, pick }, i) => {
+      sequence.forEach(({ kind, pick }, i) => {
         const event = toEvent(kind, pick, i * 40, pool);
         const result = applyConnections(pool, event);
         if (result.type === "failed") return;
